--- a/cleatlink/limits/bucket.py
+++ b/cleatlink/limits/bucket.py
@@ -1,4 +1,4 @@
-"""One token bucket that several instances fill alike and take out of."""
+"""A token bucket whose units several instances share; each instance keeps its own copy."""
 
 from typing import NamedTuple
 
@@ -6,11 +6,11 @@
 
 
 class RateLimit(NamedTuple):
-    """How much may pass, over all instances together.
+    """A limit that applies to all instances together.
 
     Attributes:
-        rate: Units a second.
-        burst: Units on top of that.
+        rate: Units per second.
+        burst: Units that may pass at once on top of the rate.
     """
 
     rate: float
@@ -18,60 +18,60 @@
 
 
 class Bucket:
-    """A bucket, and what this instance and others took out of it."""
+    """A token bucket, with the units that this instance and its peers took."""
 
     __slots__ = (
-        "at",
         "changed_at",
         "credit",
         "debited",
         "level",
         "limit",
+        "refilled_at",
         "returned",
         "total",
     )
 
     def __init__(self, limit: RateLimit, level: float, now: float) -> None:
-        """Start with something in it.
+        """Create a bucket.
 
         Args:
-            limit: How fast it fills, and how far.
-            level: Units that are in it.
-            now: The time.
+            limit: Refill rate and maximum level.
+            level: Initial level, in units.
+            now: The current time.
         """
         self.limit = limit
         self.level = level
-        self.at = now
-        # Units that this instance took, and put back, since its start; they never fall.
+        self.refilled_at = now
+        # Units that this instance took and returned since its start; neither count decreases.
         self.total = 0
         self.returned = 0
-        # Units that peers took, as far as they have told.
+        # Units that peers have reported as taken.
         self.debited = 0
-        # Units that were given back, and are taken before the total grows again.
+        # Units that were taken and not used; they are spent before `total` grows again.
         self.credit = 0
         self.changed_at: float | None = None
 
     def refill(self, now: float, share: float) -> None:
-        """Bring the bucket up to a time, at a share of its limit."""
-        passed_s = max(0.0, now - self.at)
-        self.at = max(self.at, now)
+        """Refill the bucket for the time since the last refill, at a share of its rate."""
+        passed_s = max(0.0, now - self.refilled_at)
+        self.refilled_at = max(self.refilled_at, now)
         self.level = min(self.limit.burst, self.level + share * self.limit.rate * passed_s)
 
     def change(self, limit: RateLimit) -> None:
-        """Use another limit: a larger burst is there at once, a smaller one too."""
+        """Use another limit; a change of the burst takes effect at once in both directions."""
         self.level += max(0.0, limit.burst - self.limit.burst)
         self.level = min(self.level, limit.burst)
         self.limit = limit
 
-    def renewed(self, limit: RateLimit, now: float) -> "Bucket":
-        """Give an empty bucket that goes on with the totals of this one."""
+    def empty_copy(self, limit: RateLimit, now: float) -> "Bucket":
+        """Return an empty bucket that continues the totals of this one."""
         bucket = Bucket(limit, 0.0, now)
         bucket.total, bucket.returned = self.total, self.returned
         bucket.credit, bucket.changed_at = self.credit, self.changed_at
         return bucket
 
     def take(self, cost: int, now: float) -> None:
-        """Take units for something of this instance."""
+        """Take units for a request of this instance."""
         self.level -= cost
         paid = min(self.credit, cost)
         self.credit -= paid
@@ -80,21 +80,21 @@
             self.changed_at = now
 
     def give_back(self, cost: int) -> None:
-        """Take back what was taken and not used; peers see it in what is taken next."""
+        """Return unused units as a credit: peers notice because `total` then grows more slowly."""
         self.level = min(self.limit.burst, self.level + cost)
         self.credit += cost
 
     def put_back(self, cost: int, now: float) -> None:
-        """Take back what was taken and not used; peers are told of it as such."""
+        """Return unused units and count them in `returned`, which is reported to peers."""
         self.level = min(self.limit.burst, self.level + cost)
         self.returned += cost
         self.changed_at = now
 
     def debit(self, cost: int) -> None:
-        """Take out what a peer took."""
+        """Subtract units that a peer took."""
         self.level -= cost
         self.debited += cost
 
     def refund(self, cost: int) -> None:
-        """Put in what a peer put back."""
+        """Add units that a peer returned."""
         self.level = min(self.limit.burst, self.level + cost)
--- a/cleatlink/limits/shared.py
+++ b/cleatlink/limits/shared.py
@@ -1,10 +1,10 @@
-"""Keeps limits over all instances together, without shared state.
+"""Enforces rate limits over all instances together, without shared state.
 
-Every instance keeps a bucket of the whole limit for each name that has one. It takes its own
-units out of it at once, and those of its peers when they tell how much they have taken in all.
-Such totals only grow, so that a datagram that is lost, doubled or late changes nothing for good.
-An instance that does not hear all of its peers, dead or behind a cut, fills its buckets only
-with its part of the limit: what the others take is not seen.
+Every instance keeps a token bucket with the full limit for each limited name. It subtracts its own
+units at once, and those of its peers when they report the totals that they have taken.
+These totals only grow, so a datagram that is lost, duplicated or late has no lasting effect.
+An instance that does not receive from all of its peers, because they failed or the network is
+partitioned, refills its buckets only at its share of the limit: it can't see what the others take.
 """
 
 from abc import ABC, abstractmethod
@@ -15,25 +15,25 @@
 
 __all__ = ["HEARD_S", "PeerTotals", "SharedLimits"]
 
-# A total that changed is told so long, in seconds: two datagrams in a row may be lost.
-_TELL_S = 3.0
-# Silence after which a peer does not count as heard for limits, in seconds: its part of them is
-# left out, and it is not asked to account for that time later. One lost heartbeat in a while
-# costs little, since only that peer's part is left out; two sides of a cut let pass the whole
-# limit each until they notice.
+# Seconds for which a changed total is reported, so that two datagrams in a row may be lost.
+_REPORT_S = 3.0
+# Silence after which a peer counts as unreachable for limits, in seconds: its share of the limits
+# is left unused, and units that it took meanwhile are not debited later. A lost heartbeat now and
+# then costs little, since only that peer's share is left unused. In a network partition, each side
+# lets the whole limit pass until this time is over.
 HEARD_S = 1.6
 
 
 class PeerTotals(NamedTuple):
-    """What a peer tells of its spending.
+    """The units that a peer reports as taken and returned.
 
     Attributes:
-        name: The peer.
-        incarnation: Grows with each of its starts.
-        totals: Units that it took since its start, by name; some or all.
-        spenders: For how many names it took something.
+        name: Name of the peer.
+        incarnation: Number that grows with each start of the peer.
+        totals: Units that it took since its start, by limited name; some or all.
+        spenders: Number of names for which it took units.
         age_s: Seconds since its start.
-        returned: Units that it put back since its start, by name; some or all.
+        returned: Units that it returned since its start, by limited name; some or all.
     """
 
     name: str
@@ -44,55 +44,56 @@
     returned: Mapping[str, int] = {}
 
 
-class _ToldLevel(NamedTuple):
-    """What was left of a limit, as a peer told before the limit was known here."""
+class _ReportedLevel(NamedTuple):
+    """The level of a bucket that a peer reported before this instance knew the limit."""
 
     level: float
-    at: float
+    reported_at: float
 
 
 class _PeerAccount:
-    """The totals of one peer as last told."""
+    """The totals that one peer last reported."""
 
-    __slots__ = ("heard_at", "incarnation", "is_complete", "returned", "totals")
+    __slots__ = ("incarnation", "is_complete", "reported_at", "returned", "totals")
 
-    def __init__(self, incarnation: int, heard_at: float, is_complete: bool) -> None:
+    def __init__(self, incarnation: int, reported_at: float, is_complete: bool) -> None:
         self.incarnation = incarnation
-        self.heard_at = heard_at
+        self.reported_at = reported_at
         self.is_complete = is_complete
         self.totals: dict[str, int] = {}
         self.returned: dict[str, int] = {}
 
-    def grown(self, known: dict[str, int], name: str, figure: int) -> int:
-        """Note a figure that only grows; gives by how much, 0 if that is not known.
+    def grown(self, known: dict[str, int], name: str, total: int) -> int:
+        """Record a total that only grows; return its increase, or 0 if that is not known.
 
         Args:
-            known: Figures of one kind as last told.
-            name: Whose it is.
-            figure: As told now.
+            known: Totals of one kind as last reported.
+            name: Limited name of the total.
+            total: Total as reported now.
         """
         before = known.get(name, 0 if self.is_complete else None)
-        if before is not None and figure <= before:
+        if before is not None and total <= before:
             return 0
-        known[name] = figure
-        return 0 if before is None else figure - before
+        known[name] = total
+        return 0 if before is None else total - before
 
     def forget(self) -> None:
-        """Forget what was told: the peer is not asked to account for the time of its silence."""
+        """Discard the totals, so that units taken while the peer was silent are not debited."""
         self.totals.clear()
         self.returned.clear()
         self.is_complete = False
 
 
 class SharedLimits(ABC):
-    """Buckets by name, as seen by one instance."""
+    """Token buckets by limited name, as one instance knows them."""
 
     def __init__(self, now: float) -> None:
-        """Begin without anything heard."""
+        """Start without any reports of peers."""
         self._buckets: dict[str, Bucket] = {}
         self._peers: dict[str, _PeerAccount] = {}
-        # Peers answer the first heartbeat of an instance, which may have no route table yet.
-        self._told_levels: dict[str, _ToldLevel] = {}
+        # Levels that arrived before their limits: peers answer the first heartbeat of an
+        # instance, which may have no route table yet.
+        self._reported_levels: dict[str, _ReportedLevel] = {}
         self._share = 1.0
         self._age_from = now
         self._adopted_age_s = 0.0
@@ -102,14 +103,14 @@
 
     @abstractmethod
     def _find_limit(self, name: str) -> RateLimit | None:
-        """Give the limit of a name; None without one."""
+        """Return the limit of a name, or None."""
 
     @abstractmethod
     def _first_bucket(self, limit: RateLimit, now: float) -> Bucket:
-        """Give a bucket for a name that is new."""
+        """Return the bucket for a name that is new."""
 
     def note_heard(self, share: float, now: float) -> None:
-        """Note which part of all instances is heard, this one included."""
+        """Set the share of all instances that are reachable, this one included."""
         if share == self._share:
             return
         for bucket in self._buckets.values():
@@ -117,7 +118,7 @@
         self._share = share
 
     def _bucket(self, name: str, now: float) -> Bucket | None:
-        """Give the bucket of a name at a time; None if it has no limit."""
+        """Return the bucket of a name, refilled up to ``now``; None if it has no limit."""
         limit = self._find_limit(name)
         if limit is None:
             return None
@@ -130,91 +131,92 @@
         return bucket
 
     def _open_bucket(self, name: str, limit: RateLimit, now: float) -> Bucket:
-        """Give a bucket for a name that is new, at the level that was told of it."""
-        told = self._told_levels.pop(name, None)
-        if told is None:
+        """Return the bucket for a name that is new, at the level that a peer reported, if any."""
+        reported = self._reported_levels.pop(name, None)
+        if reported is None:
             return self._first_bucket(limit, now)
-        return Bucket(limit, min(told.level, limit.burst), told.at)
+        return Bucket(limit, min(reported.level, limit.burst), reported.reported_at)
 
     def _fills_in_s(self, bucket: Bucket, units: float) -> float:
-        """Give in how many seconds a bucket has some units, at the share that is heard."""
+        """Return the seconds until a bucket has ``units``, at the reachable share of its rate."""
         return max(0.0, units - bucket.level) / (self._share * bucket.limit.rate)
 
     def told_ago_s(self, now: float) -> float | None:
-        """Give the age of the oldest word of a peer that counts as heard; None without one."""
-        ages = [now - account.heard_at for account in self._peers.values()]
+        """Return the age of the oldest last report of a reachable peer; None without any."""
+        ages = [now - account.reported_at for account in self._peers.values()]
         return max((round(age, 3) for age in ages if age <= HEARD_S), default=None)
 
     def totals(self, now: float, *, whole: bool = False) -> dict[str, int]:
-        """Give what this instance took since its start, by name.
+        """Return the units that this instance took since its start, by name.
 
         Args:
-            now: The time.
-            whole: Whether to give all; otherwise what changed lately.
+            now: The current time.
+            whole: Whether to include totals that have not changed recently.
         """
         return {name: bucket.total for name, bucket in self._changed(now, whole=whole)}
 
     def returned(self, now: float, *, whole: bool = False) -> dict[str, int]:
-        """Give what this instance put back since its start, by name, as ``totals`` does."""
+        """Return the units that this instance returned since its start; see ``totals``."""
         changed = self._changed(now, whole=whole)
         return {name: bucket.returned for name, bucket in changed if bucket.returned}
 
     def _changed(self, now: float, *, whole: bool) -> list[tuple[str, Bucket]]:
-        """Give the buckets that this instance took out of: all, or those of lately."""
+        """Return the buckets that this instance took units from: all, or the recently changed."""
         return [
             (name, bucket)
             for name, bucket in self._buckets.items()
-            if bucket.changed_at is not None and (whole or now - bucket.changed_at < _TELL_S)
+            if bucket.changed_at is not None and (whole or now - bucket.changed_at < _REPORT_S)
         ]
 
     @property
     def spenders(self) -> int:
-        """For how many names this instance took something."""
+        """Number of names for which this instance took units."""
         return sum(bucket.total > 0 for bucket in self._buckets.values())
 
     def levels(self, now: float) -> dict[str, float]:
-        """Give what is left in the buckets, for an instance that starts."""
+        """Return the levels of the buckets by name, for an instance that starts."""
         for bucket in self._buckets.values():
             bucket.refill(now, self._share)
         return {name: round(bucket.level, 1) for name, bucket in self._buckets.items()}
 
     def age_s(self, now: float) -> float:
-        """Give for how long this instance has kept account."""
+        """Return the seconds for which this instance has counted units."""
         return now - self._age_from
 
     def note_again(self, name: str, now: float) -> bool:
-        """Note that a peer tells the same as before; False if that has to be taken anew."""
+        """Record a report equal to the last one; return False if it must be applied in full."""
         account = self._peers.get(name)
-        if account is None or now - account.heard_at > HEARD_S:
+        if account is None or now - account.reported_at > HEARD_S:
             return False
-        account.heard_at = now
+        account.reported_at = now
         return True
 
-    def take_totals(self, told: PeerTotals, now: float) -> None:
-        """Take what a peer told of its spending out of the buckets."""
-        account = self._peers.get(told.name)
-        if account is not None and told.incarnation < account.incarnation:
+    def take_totals(self, report: PeerTotals, now: float) -> None:
+        """Update the buckets by what a peer took and returned since its last report."""
+        account = self._peers.get(report.name)
+        if account is not None and report.incarnation < account.incarnation:
             return
-        if account is None or told.incarnation > account.incarnation:
-            # All that a peer took that has just started is recent, and not accounted for yet.
-            account = _PeerAccount(told.incarnation, now, told.age_s <= HEARD_S)
-            self._peers[told.name] = account
-        elif now - account.heard_at > HEARD_S:
+        if account is None or report.incarnation > account.incarnation:
+            # A peer that has just started took all of its units recently, so its whole total is
+            # debited.
+            account = _PeerAccount(report.incarnation, now, report.age_s <= HEARD_S)
+            self._peers[report.name] = account
+        elif now - account.reported_at > HEARD_S:
             account.forget()
-        account.heard_at = now
-        for name, total in told.totals.items():
+        account.reported_at = now
+        for name, total in report.totals.items():
             self._debit(name, account.grown(account.totals, name, total), now)
-        for name, returned in told.returned.items():
+        for name, returned in report.returned.items():
             self._refund(name, account.grown(account.returned, name, returned), now)
-        account.is_complete = len(account.totals) >= told.spenders
+        account.is_complete = len(account.totals) >= report.spenders
 
     def _debit(self, name: str, units: int, now: float) -> None:
         bucket = self._bucket(name, now) if units else None
         if bucket is not None:
             bucket.debit(units)
-        elif name in self._told_levels:
-            told = self._told_levels[name]
-            self._told_levels[name] = told._replace(level=told.level - units)
+        elif name in self._reported_levels:
+            reported = self._reported_levels[name]
+            self._reported_levels[name] = reported._replace(level=reported.level - units)
 
     def _refund(self, name: str, units: int, now: float) -> None:
         bucket = self._bucket(name, now) if units else None
@@ -222,9 +224,9 @@
             bucket.refund(units)
 
     def adopt(self, levels: Mapping[str, float], age_s: float, now: float) -> None:
-        """Take over what is left of the limits from a peer that has kept account for longer.
+        """Adopt the bucket levels of a peer that has counted units for longer.
 
-        It may tell them in several messages, all of the same age.
+        The peer may send them in several messages that all carry the same age.
         """
         if age_s <= self.age_s(now) or age_s < self._adopted_age_s:
             return
@@ -234,12 +236,12 @@
             if bucket is not None:
                 bucket.level = min(level, bucket.limit.burst)
             else:
-                self._told_levels[name] = _ToldLevel(level, now)
+                self._reported_levels[name] = _ReportedLevel(level, now)
 
     def _forget(self, name: str) -> None:
-        """Forget a name that has no limit any more, here and in what peers told."""
+        """Delete a name that no longer has a limit, with what peers reported of it."""
         self._buckets.pop(name, None)
-        self._told_levels.pop(name, None)
+        self._reported_levels.pop(name, None)
         for account in self._peers.values():
             account.totals.pop(name, None)
             account.returned.pop(name, None)
--- a/cleatlink/routing/endpoint_limits.py
+++ b/cleatlink/routing/endpoint_limits.py
@@ -1,8 +1,9 @@
-"""Limits that endpoints name themselves: calls a second, of all instances together.
+"""Rate limits that endpoints announce: calls per second, counted over all instances together.
 
-A limit belongs to a life, holds from the answer that names it, and ends with one that does not.
-A call books its unit when it is placed, which may be ahead of the time at which it is due: so
-calls of all instances stand in one line, and none of them is sent before its turn.
+A limit belongs to one incarnation of an endpoint. It applies from the first answer that announces
+it until an answer that does not. A call reserves a unit of the limit when it is assigned to the
+endpoint, which may be before the unit is available. The calls of all instances therefore form one
+queue, and no call is sent before its unit is available.
 """
 
 from collections.abc import Callable
@@ -13,25 +14,26 @@
 
 __all__ = ["EndpointLimits", "LimitWord"]
 
-# Seconds of a limit that may be sent together, on top of one call: calls that wait for room try
-# again within that time, so that nothing of what an endpoint takes is left unused.
+# Size of a burst on top of one call, in seconds of the limit. Calls that wait for capacity try
+# again within this time, so no unit of the limit is left unused.
 _BURST_S = 0.3
-# An answer without a limit counts only so long after one with it: answers can overtake each
-# other on their way.
-_OVERTAKEN_S = 0.5
-# A limit that no answer to anybody has named for so long is over: nobody gets an answer there.
-_KNOWN_S = 60.0
-# What is over is remembered for so long, so that totals that peers know do not fall.
-_KEPT_S = 600.0
+# An answer without a limit is ignored for this long after one that announced a limit, because
+# answers can arrive out of order.
+_REORDERING_WINDOW_S = 0.5
+# A limit expires when no instance has received an answer that announces it for this long: the
+# endpoint then answers no calls at all.
+_ANNOUNCEMENT_LIFETIME_S = 60.0
+# Expired limits are kept for this long, so that the totals that peers know do not decrease.
+_RETENTION_S = 600.0
 
 
 class LimitWord(NamedTuple):
-    """What an endpoint said of its limit.
+    """A limit that an endpoint announced, as peers exchange it.
 
     Attributes:
-        life: The endpoint's life.
-        rate_per_s: Calls a second, of all instances together; 0 for no limit any more.
-        age_s: Seconds since it said so.
+        life: The endpoint's incarnation.
+        rate_per_s: Calls per second, over all instances together; 0 if there is no limit.
+        age_s: Seconds since the announcement.
     """
 
     life: str
@@ -39,204 +41,219 @@
     age_s: float
 
 
-class _Named(NamedTuple):
-    """The newest word of one life.
+class _Announcement(NamedTuple):
+    """The newest announcement of one incarnation.
 
     Attributes:
         rate_per_s: As in ``LimitWord``.
-        said_at: When it said so.
-        was_heard: Whether it said so to this instance.
+        announced_at: Time of the announcement.
+        is_direct: Whether this instance received it from the endpoint, not from a peer.
     """
 
     rate_per_s: float
-    said_at: float
-    was_heard: bool
+    announced_at: float
+    is_direct: bool
 
 
 class EndpointLimits(SharedLimits):
-    """The limits that endpoints name, as seen by one instance."""
+    """The limits that endpoints announce, as one instance knows them."""
 
     def __init__(self, now: float) -> None:
-        """Begin without any."""
+        """Start without any limits."""
         super().__init__(now)
-        self._named: dict[str, _Named] = {}
-        # Units that calls have booked and not sent yet, by the calls' keys and by life.
-        self._booked: dict[str, str] = {}
-        self._unsent: dict[str, dict[str, None]] = {}
-        self._on_taken: Callable[[], None] = _ignore
+        self._announced: dict[str, _Announcement] = {}
+        # Incarnation for which each call has reserved a unit without being sent yet, by call key.
+        self._reserved: dict[str, str] = {}
+        # Keys of these calls in the order of reservation, by incarnation.
+        self._reserved_keys: dict[str, dict[str, None]] = {}
+        self._on_units_changed: Callable[[], None] = _ignore
 
-    def listen(self, on_taken: Callable[[], None]) -> None:
-        """Have somebody told of units taken and put back, so that peers hear of them at once."""
-        self._on_taken = on_taken
+    def listen(self, on_units_changed: Callable[[], None]) -> None:
+        """Set the callback that runs when units are taken or returned, to inform peers at once."""
+        self._on_units_changed = on_units_changed
 
     def _find_limit(self, name: str) -> RateLimit | None:
-        named = self._named.get(name)
-        if named is None or not named.rate_per_s:
+        announced = self._announced.get(name)
+        if announced is None or not announced.rate_per_s:
             return None
-        return RateLimit(named.rate_per_s, 1 + _BURST_S * named.rate_per_s)
+        return RateLimit(announced.rate_per_s, 1 + _BURST_S * announced.rate_per_s)
 
     def _first_bucket(self, limit: RateLimit, now: float) -> Bucket:
-        """Give an empty bucket: what was sent before the limit was named is not known."""
+        """Return an empty bucket: the calls sent before the announcement were not counted."""
         return Bucket(limit, 0.0, now)
 
-    def rate_per_s(self, life: str) -> float | None:
-        """Give the limit that an endpoint names; None without one."""
-        limit = self._find_limit(life)
+    def rate_per_s(self, incarnation: str) -> float | None:
+        """Return the limit that an endpoint announces, or None."""
+        limit = self._find_limit(incarnation)
         return None if limit is None else limit.rate
 
-    def rates_per_s(self, most: int) -> dict[str, float]:
-        """Give the limits that endpoints name, some of them at the most."""
-        limited = (life for life, named in self._named.items() if named.rate_per_s)
-        return {life: self._named[life].rate_per_s for life in islice(limited, most)}
-
-    def note_answer(self, life: str, rate_per_s: float | None, now: float) -> bool:
-        """Take what an answer to this instance says; tells whether that is new.
+    def rates_per_s(self, max_count: int) -> dict[str, float]:
+        """Return the announced limits by incarnation, at most ``max_count`` of them."""
+        limited = (
+            incarnation
+            for incarnation, announced in self._announced.items()
+            if announced.rate_per_s
+        )
+        return {
+            incarnation: self._announced[incarnation].rate_per_s
+            for incarnation in islice(limited, max_count)
+        }
+
+    def note_answer(self, incarnation: str, rate_per_s: float | None, now: float) -> bool:
+        """Apply the limit in an answer that this instance received.
 
         Args:
-            life: The endpoint's life.
-            rate_per_s: The limit that it names; None for none.
-            now: The time.
+            incarnation: The endpoint's incarnation.
+            rate_per_s: The limit that the answer announces, or None.
+            now: The current time.
+
+        Returns:
+            Whether the limit changed.
         """
-        known = self._named.get(life)
+        known = self._announced.get(incarnation)
         if rate_per_s is None:
             is_limited = known is not None and known.rate_per_s > 0
-            if known is None or not is_limited or now - known.said_at < _OVERTAKEN_S:
+            if known is None or not is_limited or now - known.announced_at < _REORDERING_WINDOW_S:
                 return False
-        return self._set(life, _Named(rate_per_s or 0.0, now, was_heard=True), now)
+        return self._set(incarnation, _Announcement(rate_per_s or 0.0, now, is_direct=True), now)
 
-    def note_told(self, word: LimitWord, now: float) -> bool:
-        """Take what an endpoint said to a peer; tells whether that is new."""
-        said_at = now - max(0.0, word.age_s)
-        known = self._named.get(word.life)
-        if known is not None and known.said_at >= said_at:
+    def note_told(self, report: LimitWord, now: float) -> bool:
+        """Apply a limit that an endpoint announced to a peer; return whether it changed."""
+        announced_at = now - max(0.0, report.age_s)
+        known = self._announced.get(report.life)
+        if known is not None and known.announced_at >= announced_at:
             return False
-        return self._set(word.life, _Named(word.rate_per_s, said_at, was_heard=False), now)
+        return self._set(
+            report.life, _Announcement(report.rate_per_s, announced_at, is_direct=False), now
+        )
 
-    def _set(self, life: str, named: _Named, now: float) -> bool:
-        """Use the newest word of a life; tells whether it is another limit than before."""
-        before = self._named.get(life)
+    def _set(self, incarnation: str, announced: _Announcement, now: float) -> bool:
+        """Use the newest announcement of an incarnation; return whether the limit changed."""
+        before = self._announced.get(incarnation)
         rate_before = before.rate_per_s if before is not None else 0.0
-        bucket = self._bucket(life, now)
-        self._named[life] = named
-        if named.rate_per_s == rate_before:
+        bucket = self._bucket(incarnation, now)
+        self._announced[incarnation] = announced
+        if announced.rate_per_s == rate_before:
             return False
-        limit = self._find_limit(life)
+        limit = self._find_limit(incarnation)
         if limit is None:
             return True
         if bucket is not None:
             bucket.limit = limit
             bucket.level = min(bucket.level, limit.burst)
-        elif life in self._buckets:
-            # What was sent since the limit before was over is not known.
-            self._buckets[life] = self._buckets[life].renewed(limit, now)
+        elif incarnation in self._buckets:
+            # Calls sent since the previous limit ended were not counted.
+            self._buckets[incarnation] = self._buckets[incarnation].empty_copy(limit, now)
         else:
-            self._bucket(life, now)
+            self._bucket(incarnation, now)
         return True
 
-    def due_in_s(self, life: str, now: float, after_s: float = 0.0) -> float:
-        """Give in how many seconds an endpoint takes one more call; 0 for most.
+    def due_in_s(self, incarnation: str, now: float, after_s: float = 0.0) -> float:
+        """Return the seconds until an endpoint accepts one more call; 0 without a limit.
 
         Args:
-            life: The endpoint's life.
-            now: The time.
-            after_s: For how long it has to be able to, at the most what it keeps of its limit.
+            incarnation: The endpoint's incarnation.
+            now: The current time.
+            after_s: Seconds for which the endpoint must have been able to accept it, capped by the
+                burst of its limit.
         """
-        bucket = self._bucket(life, now)
+        bucket = self._bucket(incarnation, now)
         if bucket is None:
             return 0.0
         limit = bucket.limit
         return self._fills_in_s(bucket, min(1 + after_s * limit.rate, limit.burst))
 
-    def pause_s(self, life: str) -> float:
-        """Give the seconds between two calls that an endpoint takes; 0 for most."""
-        rate_per_s = self.rate_per_s(life)
+    def pause_s(self, incarnation: str) -> float:
+        """Return the seconds between two calls that an endpoint accepts; 0 without a limit."""
+        rate_per_s = self.rate_per_s(incarnation)
         return 0.0 if rate_per_s is None else 1 / (self._share * rate_per_s)
 
-    def book(self, key: str, life: str, now: float) -> float:
-        """Book the next unit of an endpoint for a call; gives when it may be sent."""
+    def book(self, key: str, incarnation: str, now: float) -> float:
+        """Reserve the next unit of an endpoint for a call; return when the call may be sent."""
         self.give_up(key, now)
-        bucket = self._bucket(life, now)
+        bucket = self._bucket(incarnation, now)
         if bucket is None:
             return now
         due_at = now + self._fills_in_s(bucket, 1.0)
         self._take(bucket, now)
-        self._booked[key] = life
-        self._unsent.setdefault(life, {})[key] = None
+        self._reserved[key] = incarnation
+        self._reserved_keys.setdefault(incarnation, {})[key] = None
         return due_at
 
     def give_up(self, key: str, now: float) -> None:
-        """Give back what a call has booked and not sent; unknown keys are fine."""
-        life = self._booked.pop(key, None)
-        if life is None:
+        """Return the unit that a call reserved but did not use; ignore unknown keys."""
+        incarnation = self._reserved.pop(key, None)
+        if incarnation is None:
             return
-        self._drop_unsent(life, key)
-        bucket = self._buckets.get(life)
+        self._remove_key(incarnation, key)
+        bucket = self._buckets.get(incarnation)
         if bucket is not None:
             bucket.put_back(1, now)
-            self._on_taken()
-
-    def note_sent(self, life: str, now: float) -> None:
-        """Count a call of any kind that is sent to an endpoint, booked or not."""
-        unsent = self._unsent.get(life)
-        if unsent:
-            # Which of the calls that booked it is counts for nothing: the first one's turn was due.
-            key = next(iter(unsent))
-            self._drop_unsent(life, key)
-            del self._booked[key]
+            self._on_units_changed()
+
+    def note_sent(self, incarnation: str, now: float) -> None:
+        """Count a call that is sent to an endpoint, with or without a reservation."""
+        keys = self._reserved_keys.get(incarnation)
+        if keys:
+            # Which reservation is used up does not matter; the oldest was due first.
+            key = next(iter(keys))
+            self._remove_key(incarnation, key)
+            del self._reserved[key]
             return
-        bucket = self._bucket(life, now)
+        bucket = self._bucket(incarnation, now)
         if bucket is not None:
             self._take(bucket, now)
 
     def _take(self, bucket: Bucket, now: float) -> None:
         bucket.take(1, now)
-        self._on_taken()
+        self._on_units_changed()
 
-    def _drop_unsent(self, life: str, key: str) -> None:
-        del self._unsent[life][key]
-        if not self._unsent[life]:
-            del self._unsent[life]
+    def _remove_key(self, incarnation: str, key: str) -> None:
+        del self._reserved_keys[incarnation][key]
+        if not self._reserved_keys[incarnation]:
+            del self._reserved_keys[incarnation]
 
-    def taken_by_peers(self, life: str) -> int:
-        """Give the units of an endpoint's limit that peers took, as far as they have told."""
-        bucket = self._buckets.get(life)
+    def taken_by_peers(self, incarnation: str) -> int:
+        """Return the units of an endpoint's limit that peers have reported as taken."""
+        bucket = self._buckets.get(incarnation)
         return 0 if bucket is None else bucket.debited
 
-    def level(self, life: str, now: float) -> float:
-        """Give the units that are left of an endpoint's limit; negative if some are booked."""
-        bucket = self._bucket(life, now)
+    def level(self, incarnation: str, now: float) -> float:
+        """Return the units left of an endpoint's limit; negative if future units are reserved."""
+        bucket = self._bucket(incarnation, now)
         return 0.0 if bucket is None else bucket.level
 
-    def words(self, now: float, most: int, *, all_known: bool = False) -> list[LimitWord]:
-        """Give the newest words of endpoints.
+    def words(self, now: float, max_count: int, *, all_known: bool = False) -> list[LimitWord]:
+        """Return the newest announcements of all endpoints, newest first.
 
         Args:
-            now: The time.
-            most: How many at the most.
-            all_known: Whether to give those that peers told, too.
+            now: The current time.
+            max_count: Maximum number to return.
+            all_known: Whether to include announcements that peers reported.
         """
         found = [
-            LimitWord(life, named.rate_per_s, round(now - named.said_at, 3))
-            for life, named in self._named.items()
-            if (all_known or named.was_heard) and now - named.said_at < _KNOWN_S
+            LimitWord(incarnation, announced.rate_per_s, round(now - announced.announced_at, 3))
+            for incarnation, announced in self._announced.items()
+            if (all_known or announced.is_direct)
+            and now - announced.announced_at < _ANNOUNCEMENT_LIFETIME_S
         ]
-        return sorted(found, key=lambda word: word.age_s)[:most]
+        return sorted(found, key=lambda report: report.age_s)[:max_count]
 
-    def word(self, life: str, now: float) -> LimitWord:
-        """Give the newest word of one endpoint."""
-        named = self._named[life]
-        return LimitWord(life, named.rate_per_s, round(now - named.said_at, 3))
+    def word(self, incarnation: str, now: float) -> LimitWord:
+        """Return the newest announcement of one endpoint."""
+        announced = self._announced[incarnation]
+        return LimitWord(incarnation, announced.rate_per_s, round(now - announced.announced_at, 3))
 
     def forget(self, now: float) -> None:
-        """End limits that nobody has heard named for long, and forget what is long over."""
-        for life, named in list(self._named.items()):
-            age_s = now - named.said_at
-            if named.rate_per_s and age_s > _KNOWN_S:
-                self._named[life] = named._replace(rate_per_s=0.0)
-            elif age_s > _KEPT_S:
-                del self._named[life]
-                self._forget(life)
+        """End limits whose announcements have expired, and delete those that ended long ago."""
+        for incarnation, announced in list(self._announced.items()):
+            age_s = now - announced.announced_at
+            if announced.rate_per_s and age_s > _ANNOUNCEMENT_LIFETIME_S:
+                self._announced[incarnation] = announced._replace(rate_per_s=0.0)
+            elif age_s > _RETENTION_S:
+                del self._announced[incarnation]
+                self._forget(incarnation)
 
 
 def _ignore() -> None:
-    """Stand for somebody who listens."""
+    """Do nothing; the default callback."""
