--- a/cleatlink/routing/fleet_records.py
+++ b/cleatlink/routing/fleet_records.py
@@ -1,10 +1,10 @@
-"""Route tables and registrations, merged upwards only, whatever their source.
+"""Merges route tables and registrations from all sources; older versions never replace newer ones.
 
-The configuration service and the peers tell the same facts at different times.
-Each fact carries what orders it, and only a later one replaces what is known, so
-that the order of arrival does not matter and nothing ever reverts: a table the
-operator's revision, a registration its life first, then the era and revision of
-the service that keeps it.
+The configuration service and the peers send the same data at different times. Each item carries
+its version, and only a later version replaces the known one, so the order of arrival does not
+matter and nothing reverts. The version of a route table is the operator's revision. Registrations
+are ordered by the endpoint's incarnation first, then by the epoch (`era`) and the revision of the
+store that keeps them.
 """
 
 from typing import NamedTuple
@@ -15,18 +15,18 @@
 
 __all__ = ["EndpointRecord", "FleetRecords"]
 
-# Anybody may have written a name: longer ones are cut where they are shown.
-_MOST_LABEL = 80
+# Longer names are truncated for display, because any client of the store may write a name.
+_MAX_LABEL_LENGTH = 80
 
 
 class EndpointRecord(NamedTuple):
-    """A registration as of a revision.
+    """A registration, or its removal, as of a revision.
 
     Attributes:
-        name: The name that it stands under.
-        revision: Orders what was written under this name within one life.
-        endpoint: None once it was removed, and for one that can't be used.
-        fault: Why it can't be used; None if it can, or was removed.
+        name: Name under which the endpoint is registered.
+        revision: Orders the writes under this name within one incarnation of the endpoint.
+        endpoint: The endpoint; None if the registration was removed or is not usable.
+        fault: Why the registration is not usable; None if it is usable or was removed.
     """
 
     name: str
@@ -36,122 +36,126 @@
 
     @property
     def label(self) -> str:
-        """Its name as logs and pages show it."""
-        return self.name[:_MOST_LABEL]
+        """The name as shown in logs and on status pages, truncated."""
+        return self.name[:_MAX_LABEL_LENGTH]
 
 
 class FleetRecords:
-    """What is known, with the revision at which it was learned."""
+    """The known route table and registrations, with their revisions."""
 
     def __init__(self) -> None:
         self._table: RouteTable | None = None
         self._records: dict[str, EndpointRecord] = {}
-        self._born: dict[str, int] = {}
-        # The life that was removed last under each name.
-        self._removed_lives: dict[str, str] = {}
+        self._born_at: dict[str, int] = {}
+        # The incarnation that was last removed under each name.
+        self._removed_incarnations: dict[str, str] = {}
         self._revision = NO_REVISION
         self._newest = NO_REVISION
-        # Highest revision of any record, also of one before which some are missing.
-        self._newest_offered = NO_REVISION
+        # Highest revision of any record, including records before which others may be missing.
+        self._newest_of_all = NO_REVISION
 
     @property
     def table(self) -> RouteTable | None:
-        """The route table in force; None before the first."""
+        """The route table in force; None before the first one."""
         return self._table
 
     @property
     def table_revision(self) -> int:
-        """Revision of the table in force; 0 before the first."""
+        """Revision of the table in force; 0 before the first one."""
         return self._table.revision if self._table is not None else 0
 
     @property
     def revision(self) -> StoreRevision:
-        """Highest revision of the registrations that is known to be complete."""
+        """Highest revision up to which all registrations and removals are known."""
         return self._revision
 
     @property
     def newest(self) -> StoreRevision:
-        """Highest revision of a registration or removal before which none is missing.
+        """Highest revision of a known record before which no record is missing.
 
-        Peers compare it: one that counted records beyond a gap would look as if it lacked nothing.
+        Peers compare this value. If it included records beyond a gap, an instance that lacks the
+        records of the gap would appear to be complete.
         """
         return self._newest
 
     @property
     def records(self) -> tuple[EndpointRecord, ...]:
-        """All records, removed ones included."""
+        """All records, including removals."""
         return tuple(self._records.values())
 
     def get(self, name: str) -> EndpointRecord | None:
-        """Give the record of an endpoint."""
+        """Return the record of a registration, or None."""
         return self._records.get(name)
 
     def offer_table(self, table: RouteTable) -> bool:
-        """Take a table if it is newer than the one in force."""
+        """Use a table if it is newer than the one in force; return whether it is."""
         if table.revision <= self.table_revision:
             return False
         self._table = table
         return True
 
     def offer_record(self, record: EndpointRecord) -> EndpointRecord | None:
-        """Take a record if it is newer; gives the one it replaced, or an empty one.
+        """Store a record if it is newer than the known one.
 
-        What an older life of an endpoint wrote is never newer, whatever its revision: it was
-        on its way while the next life began.
+        A record of an older incarnation of the endpoint is never newer, whatever its revision: it
+        was in transit while the next incarnation started.
 
         Returns:
-            What was known before, or None if the offered record is not newer.
+            The previous record (without an endpoint if there was none), or None if ``record`` is
+            not newer.
         """
         known = self._records.get(record.name)
         if known is None:
-            # Whoever knew everything up to here, and not this one, saw it go.
+            # All records up to this revision are known, so a registration that is missing here has
+            # been removed.
             if record.endpoint is not None and record.revision <= self._revision:
                 return None
             known = EndpointRecord(record.name, NO_REVISION, None)
         elif record.revision <= known.revision:
             return None
-        born = record.endpoint.born if record.endpoint is not None else 0
-        if born and born < self._born.get(record.name, 0):
+        born_at = record.endpoint.born if record.endpoint is not None else 0
+        if born_at and born_at < self._born_at.get(record.name, 0):
             return None
-        if born:
-            self._born[record.name] = born
+        if born_at:
+            self._born_at[record.name] = born_at
         if known.endpoint is not None and record.endpoint is None:
-            self._removed_lives[record.name] = known.endpoint.name
+            self._removed_incarnations[record.name] = known.endpoint.name
         self._records[record.name] = record
-        self._newest_offered = max(self._newest_offered, record.revision)
+        self._newest_of_all = max(self._newest_of_all, record.revision)
         return known
 
     def was_removed(self, endpoint: RoutedEndpoint) -> bool:
-        """Tell whether this very life was registered before, and removed."""
-        return self._removed_lives.get(endpoint.answers_to) == endpoint.name
+        """Check whether this incarnation of an endpoint was the last one removed under its name."""
+        return self._removed_incarnations.get(endpoint.answers_to) == endpoint.name
 
     def note_complete(self, revision: StoreRevision) -> None:
-        """Note that every change up to a revision is known."""
+        """Record that every change up to a revision is known."""
         self._revision = max(self._revision, revision)
         self._newest = self._find_newest()
 
     def _find_newest(self) -> StoreRevision:
-        if self._newest_offered <= self._revision:
-            return self._newest_offered
+        if self._newest_of_all <= self._revision:
+            return self._newest_of_all
         known = (record.revision for record in self._records.values())
         complete = (revision for revision in known if revision <= self._revision)
-        # A record beyond the gap may have replaced the newest one before it.
+        # A record beyond the gap may have replaced the newest record before the gap.
         return max(self._newest, max(complete, default=NO_REVISION))
 
     def changes_of_list(
         self, records: list[EndpointRecord], revision: StoreRevision
     ) -> list[EndpointRecord]:
-        """Give what a whole list as of a revision changes: its records, and what it lacks."""
+        """Return the changes in a full list: its records, and removals of what it lacks."""
         names = {record.name for record in records}
         return records + self.missing_since(names, revision)
 
     def changes_of_snapshot(
         self, records: list[EndpointRecord], revision: StoreRevision
     ) -> list[EndpointRecord]:
-        """Give what a peer's records change; it knew all of them up to a revision.
+        """Return the changes in the records of a peer that knew all changes up to a revision.
 
-        They name removals, too. But what was lost with a copy is in no record of the new era:
-        a peer that knows of one tells by its silence what is gone.
+        The records include removals. When the store was restored from a copy, which starts a new
+        era, registrations that the copy lacks have no removal in that era. If the peer knows the
+        new era, they are removed because they are missing from its records.
         """
         if revision.era <= self._revision.era:
             return records
@@ -160,7 +164,7 @@
         )
 
     def missing_since(self, names: set[str], revision: StoreRevision) -> list[EndpointRecord]:
-        """Give removals for endpoints that a whole list at ``revision`` no longer has."""
+        """Return removals of the endpoints that are missing from a full list at ``revision``."""
         return [
             EndpointRecord(record.name, revision, None)
             for record in self._records.values()
--- a/cleatlink/routing/route_index.py
+++ b/cleatlink/routing/route_index.py
@@ -1,4 +1,4 @@
-"""Finds the route of a call: the longest prefix among its host's routes."""
+"""Finds the route of a call by its host and the longest matching path prefix."""
 
 from cleatlink.core.routes import Route, RouteTable
 
@@ -6,7 +6,7 @@
 
 
 class RouteIndex:
-    """The routes of one table by host and prefix."""
+    """The routes of one table, indexed by host and path prefix."""
 
     def __init__(self, table: RouteTable) -> None:
         self.table = table
@@ -15,7 +15,7 @@
             self._by_host.setdefault(route.host.lower(), {})[route.path_prefix] = route
 
     def find(self, host: str, path: str) -> Route | None:
-        """Give the route with the longest prefix that begins the path."""
+        """Return the route of a host with the longest prefix of the path, or None."""
         prefixes = self._by_host.get(host.lower())
         if prefixes is None:
             return None
@@ -28,18 +28,18 @@
         return None
 
 
-def choose_service(route: Route, draw: float) -> str | None:
-    """Give a service of a route by weight.
+def choose_service(route: Route, random_value: float) -> str | None:
+    """Choose a service of a route at random by weight.
 
     Args:
         route: The route.
-        draw: A random number from 0 to below 1.
+        random_value: A random number from 0 to below 1.
 
     Returns:
-        A service, or None if no service has any weight.
+        A service, or None if no service has a weight above 0.
     """
     total = sum(share.weight for share in route.shares)
-    point = draw * total
+    point = random_value * total
     for share in route.shares:
         if point < share.weight:
             return share.service
--- a/cleatlink/routing/shed.py
+++ b/cleatlink/routing/shed.py
@@ -1,8 +1,9 @@
-"""Decides what follows when a decode turns away a stream whose prompt is computed.
+"""Plans the next step when a decode endpoint rejects a stream whose prompt is computed.
 
-The prompt's result is kept for a moment only, and each send counts against the retry
-budget. Another decode with room gets the stream at once; where there is none, or the
-route allows no other, the same decode is asked again after pauses that grow.
+The endpoint rejects it for overload. The result of the prompt is kept for a short time only, and
+each send counts against the retry budget. If another decode endpoint has capacity, the stream goes
+there at once. If there is none, or the route does not allow another, the same endpoint is tried
+again after growing delays.
 """
 
 from enum import StrEnum
@@ -10,17 +11,24 @@
 
 __all__ = ["ShedAction", "ShedPlan", "plan_after_shed"]
 
-# An engine that is full just now has room after some steps.
-_FIRST_PAUSE_S = 0.08
-_PAUSE_FACTOR = 2.0
-# With the pauses between them these outlast a handle, and stay below a usual target.
-_MOST_REFUSALS = 3
-# A second refusal may be the handle's: the endpoint can compute the prompt itself.
-_MOST_HANDLE_REFUSALS = 1
+# A full engine has capacity again after some decode steps.
+_FIRST_DELAY_S = 0.08
+_DELAY_FACTOR = 2.0
+# With their delays, these retries last longer than a prefill handle and stay below a usual
+# latency target.
+_MAX_REFUSALS = 3
+# A second rejection may be caused by the handle; without it, the endpoint computes the prompt.
+_MAX_HANDLE_REFUSALS = 1
 
 
 class ShedAction(StrEnum):
-    """What a stream does that was turned away."""
+    """What to do with a rejected stream.
+
+    Attributes:
+        ELSEWHERE: Send it to another endpoint.
+        AGAIN: Send it to the same endpoint again, after a delay.
+        GIVE_UP: Fail the call.
+    """
 
     ELSEWHERE = "elsewhere"
     AGAIN = "again"
@@ -28,12 +36,12 @@
 
 
 class ShedPlan(NamedTuple):
-    """What follows a refusal.
+    """The next step after a rejection.
 
     Attributes:
-        action: What the stream does.
-        pause_s: Seconds for which it waits before.
-        keeps_handle: Whether the prompt's result is offered again.
+        action: What to do with the stream.
+        pause_s: Seconds to wait before the action.
+        keeps_handle: Whether to send the handle of the prompt's result again.
     """
 
     action: ShedAction
@@ -44,20 +52,20 @@
 def plan_after_shed(
     refusals: int, *, room_elsewhere: bool, handle_left_s: float, left_s: float
 ) -> ShedPlan:
-    """Plan what follows a refusal; the stream has not run.
+    """Plan the next step after a rejection; the stream has not run.
 
     Args:
-        refusals: How often the stream was turned away, this time included.
-        room_elsewhere: Whether another decode that it may go to has room now.
-        handle_left_s: Seconds for which the prompt's result surely lives.
+        refusals: Number of rejections of the stream, including this one.
+        room_elsewhere: Whether another decode endpoint that the stream may use has capacity now.
+        handle_left_s: Seconds for which the result of the prompt is certain to be kept.
         left_s: Seconds for which the caller still waits.
     """
-    keeps_handle = refusals <= _MOST_HANDLE_REFUSALS and handle_left_s > 0
-    if refusals > _MOST_REFUSALS:
+    keeps_handle = refusals <= _MAX_HANDLE_REFUSALS and handle_left_s > 0
+    if refusals > _MAX_REFUSALS:
         return ShedPlan(ShedAction.GIVE_UP, keeps_handle=False)
     if room_elsewhere:
         return ShedPlan(ShedAction.ELSEWHERE, keeps_handle=keeps_handle)
-    pause_s = _FIRST_PAUSE_S * _PAUSE_FACTOR ** (refusals - 1)
-    if pause_s >= left_s:
+    delay_s = _FIRST_DELAY_S * _DELAY_FACTOR ** (refusals - 1)
+    if delay_s >= left_s:
         return ShedPlan(ShedAction.GIVE_UP, keeps_handle=False)
-    return ShedPlan(ShedAction.AGAIN, pause_s, keeps_handle and handle_left_s > pause_s)
+    return ShedPlan(ShedAction.AGAIN, delay_s, keeps_handle and handle_left_s > delay_s)
--- a/cleatlink/routing/shed_limits.py
+++ b/cleatlink/routing/shed_limits.py
@@ -1,9 +1,11 @@
-"""What engines that turned streams away can hold, in the measure of what is believed of them.
-
-An engine that has no room for a stream shows that less is free there than was believed, to all
-instances alike. Until some of the work that is believed to be there ends, or the word is old,
-nothing of that size fits; asked all the same, it refuses again, and each time costs a call.
-Where nothing is believed to be there, nothing can be waited for, and it is asked again soon.
+"""Sizes that decode engines rejected, as upper bounds on what they can hold.
+
+The bounds count tokens in the same way as the estimate of the work held by an engine. An engine
+that rejects a stream for lack of capacity has less free than estimated, and the same is true for
+all instances. Until some of the work that is estimated to run there ends, or the rejection is old,
+no stream of that size fits: another attempt would be rejected too, and each attempt costs a call.
+If no work is estimated to run there, there is nothing to wait for, and the engine is tried again
+soon. The routing mechanism is called `shed-limits` and can be switched off.
 """
 
 import math
@@ -11,60 +13,60 @@
 
 __all__ = ["ShedLimits"]
 
-# A word holds for so long without a new one: belief is wrong by what was lost or comes late, and
-# heartbeats mend that within a second.
-_HOLDS_S = 1.0
+# Lifetime of a bound without another rejection. The estimate differs from the actual work by lost
+# or late messages, and heartbeats correct that within a second.
+_BOUND_LIFETIME_S = 1.0
 
 
-class _Word(NamedTuple):
-    """What a refusal showed.
+class _Bound(NamedTuple):
+    """The bound from a rejection.
 
     Attributes:
-        below_tokens: The engine holds less than this.
-        until: When it is no longer believed.
+        below_tokens: The engine can hold fewer tokens than this.
+        expires_at: When the bound ends.
     """
 
     below_tokens: int
-    until: float
+    expires_at: float
 
 
 class ShedLimits:
-    """Refusals by endpoint; every method takes the time as an argument."""
+    """Bounds by endpoint; methods that depend on time take it as an argument."""
 
     def __init__(self) -> None:
-        self._words: dict[str, _Word] = {}
+        self._bounds: dict[str, _Bound] = {}
 
     def note_refused(self, name: str, held_tokens: int, tokens: int, now: float) -> bool:
-        """Note that an endpoint had no room for a stream.
+        """Record that an endpoint had no capacity for a stream.
 
         Args:
-            name: The endpoint.
-            held_tokens: What is believed to be held there without the stream.
+            name: Name of the endpoint.
+            held_tokens: Estimated tokens that it holds without the stream.
             tokens: Size of the stream at its end.
-            now: The time.
+            now: The current time.
 
         Returns:
-            Whether this says more than what was known.
+            Whether the bound is lower than the known one.
         """
         below_tokens = held_tokens + tokens
-        is_news = below_tokens < self.below_tokens(name, now)
-        if is_news or name not in self._words:
-            self._words[name] = _Word(below_tokens, now + _HOLDS_S)
-        return is_news
+        is_lower = below_tokens < self.below_tokens(name, now)
+        if is_lower or name not in self._bounds:
+            self._bounds[name] = _Bound(below_tokens, now + _BOUND_LIFETIME_S)
+        return is_lower
 
     def note_held(self, name: str, held_tokens: int) -> None:
-        """Note that an endpoint took a stream, and holds so much with it."""
-        word = self._words.get(name)
-        if word is not None and held_tokens >= word.below_tokens:
-            del self._words[name]
+        """Record that an endpoint accepted a stream and now holds ``held_tokens``."""
+        bound = self._bounds.get(name)
+        if bound is not None and held_tokens >= bound.below_tokens:
+            del self._bounds[name]
 
     def below_tokens(self, name: str, now: float) -> float:
-        """Give what an endpoint holds less than, in tokens; infinite if nothing is known."""
-        word = self._words.get(name)
-        if word is None or word.until <= now:
+        """Return the bound of an endpoint in tokens; infinite if there is none."""
+        bound = self._bounds.get(name)
+        if bound is None or bound.expires_at <= now:
             return math.inf
-        return word.below_tokens
+        return bound.below_tokens
 
     def forget(self, name: str) -> None:
-        """Forget an endpoint."""
-        self._words.pop(name, None)
+        """Delete the bound of an endpoint."""
+        self._bounds.pop(name, None)
--- a/cleatlink/routing/shed_limits_test.py
+++ b/cleatlink/routing/shed_limits_test.py
@@ -1,4 +1,4 @@
-"""Engines that have no room for a stream, and who asks them next."""
+"""Placement of streams after a decode engine rejected one for lack of capacity."""
 
 import random
 
@@ -23,7 +23,7 @@
     return RoutedEndpoint(name, "127.0.0.1:1", "a", "s", Role.DECODE, 16)
 
 
-def fleet_member(*names: str, without: frozenset[Mechanism] = frozenset()) -> Capacity:
+def capacity_with(*names: str, without: frozenset[Mechanism] = frozenset()) -> Capacity:
     capacity = Capacity(Switches(without))
     for name in names:
         capacity.set_endpoint(decode(name))
@@ -35,32 +35,33 @@
     return place_decode("s", STREAM, TRAITS, capacity, seeker)
 
 
-def test_instances_do_not_ask_an_engine_that_turned_another_away() -> None:
-    """Engines were asked for room 4,618 times within 20 s, and 3,433 times they had none.
+def test_rejection_at_one_instance_keeps_other_instances_from_trying() -> None:
+    """Guards against many instances trying the same full engine one after the other.
 
-    Two of 45 were asked 141 and 135 times within 2 s. Each of 82 instances believed that there
-    was room, since a refusal was known to the one that had met it alone, for 0.15 s.
+    Engines received 4,618 attempts within 20 s and rejected 3,433 of them. Two of 45 engines
+    received 141 and 135 attempts within 2 s. Each of 82 instances assumed free capacity, because
+    only the instance that was rejected knew of it, and only for 0.15 s.
     """
 
-    def asked(without: frozenset[Mechanism]) -> int:
-        members = [fleet_member("e1", without=without) for _ in range(82)]
-        for member in members:
-            member.peer_reserve("p", "k", Reservation("e1", Role.DECODE, 20_000, 9.0, 9.0))
+    def count_attempts(without: frozenset[Mechanism]) -> int:
+        instances = [capacity_with("e1", without=without) for _ in range(82)]
+        for instance in instances:
+            instance.peer_reserve("p", "k", Reservation("e1", Role.DECODE, 20_000, 9.0, 9.0))
         count = 0
         for step in range(82):
             now = 1.0 + step * 0.01
-            if place(members[step], now) is not None:
+            if place(instances[step], now) is not None:
                 count += 1
-                for member in members:
-                    member.note_shed("e1", STREAM.prompt + STREAM.output, now)
+                for instance in instances:
+                    instance.note_shed("e1", STREAM.prompt + STREAM.output, now)
         return count
 
-    assert asked(frozenset({Mechanism.SHED_LIMITS})) == 82
-    assert asked(frozenset()) == 1
+    assert count_attempts(frozenset({Mechanism.SHED_LIMITS})) == 82
+    assert count_attempts(frozenset()) == 1
 
 
-def test_work_that_ends_makes_room_and_so_does_time() -> None:
-    capacity = fleet_member("e1")
+def test_engine_is_tried_again_after_work_ends_or_the_bound_expires() -> None:
+    capacity = capacity_with("e1")
     for key in ("k1", "k2", "k3"):
         capacity.peer_reserve("p", key, Reservation("e1", Role.DECODE, 4_200, 9.0, 9.0))
     capacity.note_shed("e1", 4_200, 1.0)
@@ -72,8 +73,8 @@
     assert place(capacity, 2.1) is not None
 
 
-def test_other_engines_and_smaller_streams_are_not_held_up() -> None:
-    capacity = fleet_member("e1", "e2")
+def test_rejection_does_not_block_other_engines_or_smaller_streams() -> None:
+    capacity = capacity_with("e1", "e2")
     for name in ("e1", "e2"):
         capacity.peer_reserve("p", name, Reservation(name, Role.DECODE, 4_200, 9.0, 9.0))
     capacity.note_shed("e1", 4_200, 1.0)
@@ -83,14 +84,14 @@
     assert capacity.free_tokens("e1", 1.1) == 4_200
 
 
-def test_engine_without_any_known_work_is_not_waited_for() -> None:
-    capacity = fleet_member("e1")
+def test_engine_without_known_work_is_tried_again_at_once() -> None:
+    capacity = capacity_with("e1")
     capacity.note_shed("e1", 4_200, 1.0)
     assert place(capacity, 1.1) is not None
 
 
-def test_engine_that_takes_a_stream_after_all_is_believed() -> None:
-    capacity = fleet_member("e1")
+def test_accepted_stream_that_reaches_the_bound_removes_it() -> None:
+    capacity = capacity_with("e1")
     capacity.peer_reserve("p", "k", Reservation("e1", Role.DECODE, 4_200, 9.0, 9.0))
     capacity.note_shed("e1", 4_200, 1.0)
     assert place(capacity, 1.1) is None
@@ -104,7 +105,7 @@
         st.tuples(st.integers(0, 40_000), st.integers(1, 10_000), st.floats(0, 5)), max_size=30
     )
 )
-def test_nothing_that_was_refused_within_a_second_fits(
+def test_bound_lasts_one_second_and_is_at_most_the_rejected_size(
     refusals: list[tuple[int, int, float]],
 ) -> None:
     limits = ShedLimits()
--- a/cleatlink/routing/shed_test.py
+++ b/cleatlink/routing/shed_test.py
@@ -1,25 +1,26 @@
-"""A decode turned away a stream whose prompt is computed."""
+"""Next steps after a decode endpoint rejects a stream whose prompt is computed."""
 
 from hypothesis import given
 from hypothesis import strategies as st
 
 from cleatlink.routing.shed import ShedAction, plan_after_shed
 
-HANDLE_S = 0.35
+HANDLE_LEFT_S = 0.35
 
 
-def test_stream_does_not_wait_at_a_full_decode_while_another_has_room() -> None:
-    """A stream was sent to one decode three times within 0.2 s and refused each time.
+def test_rejected_stream_goes_to_another_endpoint_with_capacity_at_once() -> None:
+    """Guards against retries at a full endpoint while another one has capacity.
 
-    Others had room meanwhile. The result of its prompt lasts for half a second.
+    A stream was sent to one decode endpoint three times within 0.2 s and rejected each time, while
+    others had capacity. The result of its prompt is kept for only half a second.
     """
-    plan = plan_after_shed(1, room_elsewhere=True, handle_left_s=HANDLE_S, left_s=5.0)
+    plan = plan_after_shed(1, room_elsewhere=True, handle_left_s=HANDLE_LEFT_S, left_s=5.0)
     assert (plan.action, plan.pause_s, plan.keeps_handle) == (ShedAction.ELSEWHERE, 0.0, True)
 
 
-def test_pauses_grow_where_there_is_no_other() -> None:
+def test_delays_double_without_another_endpoint() -> None:
     plans = [
-        plan_after_shed(count, room_elsewhere=False, handle_left_s=HANDLE_S, left_s=5.0)
+        plan_after_shed(count, room_elsewhere=False, handle_left_s=HANDLE_LEFT_S, left_s=5.0)
         for count in (1, 2, 3, 4)
     ]
     assert [plan.action for plan in plans] == [ShedAction.AGAIN] * 3 + [ShedAction.GIVE_UP]
@@ -28,7 +29,7 @@
 
 
 @given(st.integers(1, 10), st.booleans(), st.floats(0.0, 2.0), st.floats(-1.0, 20.0))
-def test_plan_holds_its_bounds(
+def test_plan_respects_retry_limit_caller_deadline_and_handle(
     refusals: int, room_elsewhere: bool, handle_left_s: float, left_s: float
 ) -> None:
     plan = plan_after_shed(
