--- a/cleatlink/routing/table_knowledge.py
+++ b/cleatlink/routing/table_knowledge.py
@@ -1,4 +1,7 @@
-"""Which route table is in force at an instance, beside the newest that it knows to exist."""
+"""Tracks the route table in force at an instance and the newest one that is known to exist.
+
+A request may be refused for good only by a table that is current.
+"""
 
 import math
 from enum import StrEnum
@@ -6,18 +9,19 @@
 __all__ = ["TableKnowledge", "TableStanding"]
 
 
-# A table counts as current for so long after the last word from the configuration service. Two
-# heartbeats may be lost meanwhile, and a small fleet waits no longer for changes.
-_CONFIRMED_S = 4.0
+# Seconds for which a table counts as current after the last response of the configuration service.
+# Two heartbeats may be lost in this time, and a small fleet waits no longer for changes.
+_CONFIRMATION_LIFETIME_S = 4.0
 
 
 class TableStanding(StrEnum):
-    """What the route table in force is worth as the last word on a request.
+    """Whether the route table in force is the newest one.
 
     Attributes:
-        CURRENT: No newer table exists, as far as the configuration service told lately.
+        CURRENT: The configuration service recently confirmed that no newer table exists.
         BEHIND: A newer table exists.
-        UNCONFIRMED: Nobody knows: neither this instance nor a peer heard the service lately.
+        UNCONFIRMED: Unknown, because neither this instance nor a peer has recently received a
+            response of the service.
     """
 
     CURRENT = "current"
@@ -26,24 +30,24 @@
 
 
 class TableKnowledge:
-    """What is known of route tables; every method takes the time as an argument."""
+    """The known revisions of route tables; methods that depend on time take it as an argument."""
 
     def __init__(self) -> None:
         self._in_force = 0
         self._newest = 0
         self._behind_since = 0.0
         self._confirmed_at = -math.inf
-        # Highest revision of which the service said that it does not exist there.
-        self._refuted = 0
+        # Highest revision that peers reported and the service does not have.
+        self._absent_at_service = 0
 
     @property
     def in_force(self) -> int:
-        """Revision of the table in force; 0 before the first."""
+        """Revision of the table in force; 0 before the first one."""
         return self._in_force
 
     @property
     def newest(self) -> int:
-        """Highest revision that the service or any peer told of."""
+        """Highest revision that the service or any peer reported."""
         return self._newest
 
     @property
@@ -52,37 +56,37 @@
         return self._newest > self._in_force
 
     def standing(self, now: float) -> TableStanding:
-        """Tell whether a request may be denied finally: only by a table that is current."""
+        """Return whether the table in force is current, so that it may refuse requests for good."""
         if self.is_behind:
             return TableStanding.BEHIND
-        if self._in_force == 0 or now - self._confirmed_at > _CONFIRMED_S:
+        if self._in_force == 0 or now - self._confirmed_at > _CONFIRMATION_LIFETIME_S:
             return TableStanding.UNCONFIRMED
         return TableStanding.CURRENT
 
     def confirm(self, now: float) -> None:
-        """Note that the service was heard, by this instance or by a peer with its table."""
+        """Record a response of the service to this instance, or to a peer with no older table."""
         self._confirmed_at = now
 
     def note_service(self, revision: int, now: float) -> None:
-        """Note which table the service holds: its word goes before that of peers.
+        """Record the revision that the service holds; it overrides the reports of peers.
 
         Args:
-            revision: Revision of its table; 0 if it has none.
-            now: The time.
+            revision: Revision of the service's table; 0 if it has none.
+            now: The current time.
         """
         self.confirm(now)
         if self._newest > max(revision, self._in_force):
-            self._refuted = self._newest
+            self._absent_at_service = self._newest
             self._newest = self._in_force
         self.hear(revision, now)
 
     def behind_s(self, now: float) -> float:
-        """Give for how many seconds a newer table has been known to exist; 0 if none is."""
+        """Return the seconds since a newer table became known; 0 if there is none."""
         return now - self._behind_since if self.is_behind else 0.0
 
     def hear(self, revision: int, now: float) -> bool:
-        """Note that a table exists; tells whether that is news."""
-        if revision <= max(self._newest, self._refuted):
+        """Record that a revision exists; return whether it is the newest known one."""
+        if revision <= max(self._newest, self._absent_at_service):
             return False
         if not self.is_behind:
             self._behind_since = now
@@ -90,6 +94,6 @@
         return True
 
     def use(self, revision: int, now: float) -> None:
-        """Note that a table is in force from now on."""
+        """Record that a table is in force from now on."""
         self.hear(revision, now)
         self._in_force = max(self._in_force, revision)
