--- a/cleatlink/limits/bucket.py
+++ b/cleatlink/limits/bucket.py
@@ -84,7 +84,7 @@
         self.level = min(self.limit.burst, self.level + cost)
         self.credit += cost
 
-    def put_back(self, cost: int, now: float) -> None:
+    def return_unused(self, cost: int, now: float) -> None:
         """Return unused units and count them in `returned`, which is reported to peers."""
         self.level = min(self.limit.burst, self.level + cost)
         self.returned += cost
--- a/cleatlink/limits/shared.py
+++ b/cleatlink/limits/shared.py
@@ -96,7 +96,7 @@
         self._reported_levels: dict[str, _ReportedLevel] = {}
         self._share = 1.0
         self._age_from = now
-        self._adopted_age_s = 0.0
+        self._adopted_uptime_s = 0.0
 
     def __len__(self) -> int:
         return len(self._buckets)
@@ -153,19 +153,23 @@
             now: The current time.
             whole: Whether to include totals that have not changed recently.
         """
-        return {name: bucket.total for name, bucket in self._changed(now, whole=whole)}
+        return {
+            name: bucket.total
+            for name, bucket in self._changed_buckets(now, include_unchanged=whole)
+        }
 
     def returned(self, now: float, *, whole: bool = False) -> dict[str, int]:
         """Return the units that this instance returned since its start; see ``totals``."""
-        changed = self._changed(now, whole=whole)
+        changed = self._changed_buckets(now, include_unchanged=whole)
         return {name: bucket.returned for name, bucket in changed if bucket.returned}
 
-    def _changed(self, now: float, *, whole: bool) -> list[tuple[str, Bucket]]:
+    def _changed_buckets(self, now: float, *, include_unchanged: bool) -> list[tuple[str, Bucket]]:
         """Return the buckets that this instance took units from: all, or the recently changed."""
         return [
             (name, bucket)
             for name, bucket in self._buckets.items()
-            if bucket.changed_at is not None and (whole or now - bucket.changed_at < _REPORT_S)
+            if bucket.changed_at is not None
+            and (include_unchanged or now - bucket.changed_at < _REPORT_S)
         ]
 
     @property
@@ -180,7 +184,7 @@
         return {name: round(bucket.level, 1) for name, bucket in self._buckets.items()}
 
     def age_s(self, now: float) -> float:
-        """Return the seconds for which this instance has counted units."""
+        """Return the seconds since this instance started to count units."""
         return now - self._age_from
 
     def note_again(self, name: str, now: float) -> bool:
@@ -223,14 +227,14 @@
         if bucket is not None:
             bucket.refund(units)
 
-    def adopt(self, levels: Mapping[str, float], age_s: float, now: float) -> None:
+    def adopt(self, levels: Mapping[str, float], uptime_s: float, now: float) -> None:
         """Adopt the bucket levels of a peer that has counted units for longer.
 
-        The peer may send them in several messages that all carry the same age.
+        The peer may send them in several messages that all carry the same uptime.
         """
-        if age_s <= self.age_s(now) or age_s < self._adopted_age_s:
+        if uptime_s <= self.age_s(now) or uptime_s < self._adopted_uptime_s:
             return
-        self._adopted_age_s = age_s
+        self._adopted_uptime_s = uptime_s
         for name, level in levels.items():
             bucket = self._bucket(name, now)
             if bucket is not None:
@@ -238,7 +242,7 @@
             else:
                 self._reported_levels[name] = _ReportedLevel(level, now)
 
-    def _forget(self, name: str) -> None:
+    def _remove_name(self, name: str) -> None:
         """Delete a name that no longer has a limit, with what peers reported of it."""
         self._buckets.pop(name, None)
         self._reported_levels.pop(name, None)
--- a/cleatlink/routing/endpoint_limits.py
+++ b/cleatlink/routing/endpoint_limits.py
@@ -17,13 +17,13 @@
 # Size of a burst on top of one call, in seconds of the limit. Calls that wait for capacity try
 # again within this time, so no unit of the limit is left unused.
 _BURST_S = 0.3
-# An answer without a limit is ignored for this long after one that announced a limit, because
+# Seconds for which an answer without a limit is ignored after one that announced a limit, because
 # answers can arrive out of order.
 _REORDERING_WINDOW_S = 0.5
-# A limit expires when no instance has received an answer that announces it for this long: the
+# Seconds after which a limit expires if no instance has received an answer that announces it: the
 # endpoint then answers no calls at all.
 _ANNOUNCEMENT_LIFETIME_S = 60.0
-# Expired limits are kept for this long, so that the totals that peers know do not decrease.
+# Seconds for which expired limits are kept, so that the totals that peers know do not decrease.
 _RETENTION_S = 600.0
 
 
@@ -148,20 +148,20 @@
             self._bucket(incarnation, now)
         return True
 
-    def due_in_s(self, incarnation: str, now: float, after_s: float = 0.0) -> float:
+    def due_in_s(self, incarnation: str, now: float, ready_for_s: float = 0.0) -> float:
         """Return the seconds until an endpoint accepts one more call; 0 without a limit.
 
         Args:
             incarnation: The endpoint's incarnation.
             now: The current time.
-            after_s: Seconds for which the endpoint must have been able to accept it, capped by the
-                burst of its limit.
+            ready_for_s: Seconds for which the endpoint must have been able to accept it, capped
+                by the burst of its limit.
         """
         bucket = self._bucket(incarnation, now)
         if bucket is None:
             return 0.0
         limit = bucket.limit
-        return self._fills_in_s(bucket, min(1 + after_s * limit.rate, limit.burst))
+        return self._fills_in_s(bucket, min(1 + ready_for_s * limit.rate, limit.burst))
 
     def pause_s(self, incarnation: str) -> float:
         """Return the seconds between two calls that an endpoint accepts; 0 without a limit."""
@@ -188,7 +188,7 @@
         self._remove_key(incarnation, key)
         bucket = self._buckets.get(incarnation)
         if bucket is not None:
-            bucket.put_back(1, now)
+            bucket.return_unused(1, now)
             self._on_units_changed()
 
     def note_sent(self, incarnation: str, now: float) -> None:
@@ -252,7 +252,7 @@
                 self._announced[incarnation] = announced._replace(rate_per_s=0.0)
             elif age_s > _RETENTION_S:
                 del self._announced[incarnation]
-                self._forget(incarnation)
+                self._remove_name(incarnation)
 
 
 def _ignore() -> None:
--- a/cleatlink/routing/shed.py
+++ b/cleatlink/routing/shed.py
@@ -16,9 +16,9 @@
 _DELAY_FACTOR = 2.0
 # With their delays, these retries last longer than a prefill handle and stay below a usual
 # latency target.
-_MAX_REFUSALS = 3
+_MAX_REJECTIONS = 3
 # A second rejection may be caused by the handle; without it, the endpoint computes the prompt.
-_MAX_HANDLE_REFUSALS = 1
+_MAX_HANDLE_REJECTIONS = 1
 
 
 class ShedAction(StrEnum):
@@ -50,22 +50,22 @@
 
 
 def plan_after_shed(
-    refusals: int, *, room_elsewhere: bool, handle_left_s: float, left_s: float
+    rejections: int, *, room_elsewhere: bool, handle_left_s: float, left_s: float
 ) -> ShedPlan:
     """Plan the next step after a rejection; the stream has not run.
 
     Args:
-        refusals: Number of rejections of the stream, including this one.
+        rejections: Number of rejections of the stream, including this one.
         room_elsewhere: Whether another decode endpoint that the stream may use has capacity now.
         handle_left_s: Seconds for which the result of the prompt is certain to be kept.
         left_s: Seconds for which the caller still waits.
     """
-    keeps_handle = refusals <= _MAX_HANDLE_REFUSALS and handle_left_s > 0
-    if refusals > _MAX_REFUSALS:
+    keeps_handle = rejections <= _MAX_HANDLE_REJECTIONS and handle_left_s > 0
+    if rejections > _MAX_REJECTIONS:
         return ShedPlan(ShedAction.GIVE_UP, keeps_handle=False)
     if room_elsewhere:
         return ShedPlan(ShedAction.ELSEWHERE, keeps_handle=keeps_handle)
-    delay_s = _FIRST_DELAY_S * _DELAY_FACTOR ** (refusals - 1)
+    delay_s = _FIRST_DELAY_S * _DELAY_FACTOR ** (rejections - 1)
     if delay_s >= left_s:
         return ShedPlan(ShedAction.GIVE_UP, keeps_handle=False)
     return ShedPlan(ShedAction.AGAIN, delay_s, keeps_handle and handle_left_s > delay_s)
--- a/cleatlink/routing/shed_test.py
+++ b/cleatlink/routing/shed_test.py
@@ -30,12 +30,12 @@
 
 @given(st.integers(1, 10), st.booleans(), st.floats(0.0, 2.0), st.floats(-1.0, 20.0))
 def test_plan_respects_retry_limit_caller_deadline_and_handle(
-    refusals: int, room_elsewhere: bool, handle_left_s: float, left_s: float
+    rejections: int, room_elsewhere: bool, handle_left_s: float, left_s: float
 ) -> None:
     plan = plan_after_shed(
-        refusals, room_elsewhere=room_elsewhere, handle_left_s=handle_left_s, left_s=left_s
+        rejections, room_elsewhere=room_elsewhere, handle_left_s=handle_left_s, left_s=left_s
     )
-    assert plan.action is ShedAction.GIVE_UP or refusals <= 3
+    assert plan.action is ShedAction.GIVE_UP or rejections <= 3
     assert plan.action is not ShedAction.ELSEWHERE or room_elsewhere
     if plan.action is ShedAction.AGAIN:
         assert plan.pause_s < left_s
