--- a/cleatlink/routing/shared_waiting.py
+++ b/cleatlink/routing/shared_waiting.py
@@ -1,15 +1,16 @@
-"""Decides for whom a stream leaves room: those that wait at other instances.
-
-Each instance has a waiting room of its own. While all of them are few, the first to see
-room may take it; among many, a stream that has just come to one instance would take the
-room for which more urgent or older ones wait at others. So instances tell each other what
-waits, and each counts those who go before a stream of its own, by the same order everywhere:
-who can still be in time goes before who will be late, and then by the time at which it came,
-less a head start for its urgency.
-
-What is told is believed by its age, and for a short time only: an instance that is gone or
-cut off holds nothing up. The head start is bounded, and some of the less urgent streams, drawn
-by lot, stand with the most urgent, so that these never get all of the room.
+"""Decides when a stream leaves free capacity to streams that wait at other instances.
+
+Each instance has its own wait queue. With few instances, the first stream to see free
+capacity may take it. With many instances, a stream that has just arrived at one of them would
+take the capacity for which more urgent or older streams wait at others. So instances report
+their wait queues to each other, and each counts the streams queued ahead of its own. All use
+the same order: streams that can still be in time come first, and then streams are sorted by
+their arrival time, less a head start for their urgency.
+
+The weight of a report falls with its age, and reports expire after a short time, so that an
+instance that has stopped or is disconnected delays no stream. The head start is bounded, and
+a random share of the less urgent streams gets the highest urgency, so that the most urgent
+streams never take all of the capacity.
 """
 
 import math
@@ -32,26 +33,28 @@
     "rank",
 ]
 
-# Seconds of head start for each point of urgency.
+# Head start for each point of urgency, in seconds.
 HEAD_START_S = 0.1
-# Points of urgency for each priority: urgent streams may wait for less than that and be in time,
-# and others wait at the most about twice as long.
-_PRIORITY_POINTS = 20
-# Points for each priority of a route among streams of one priority of an organisation, and the
-# least urgent that counts: together they stay below one priority of an organisation.
-_ROUTE_POINTS = 9
-_MOST_ROUTE_PRIORITY = 2
-# What is told counts whole for so long: it is told again before.
-_FRESH_S = 0.6
-# Then it counts less and less, and no more after this.
-_BELIEVED_S = 1.0
-# Room that nobody took for so long is not wanted by those who are said to wait: news of it
-# takes an instance a good part of this.
-_LEFT_S = 0.4
-# Up to this share of streams stands with the most urgent, whatever their priority.
-_LOT_SHARE = 0.25
-# The highest urgency that a priority gives.
-_MOST_URGENT = 0
+# Points of urgency for each priority level. Urgent streams that wait for less than this head
+# start can still be in time, and other streams wait at most about twice as long.
+_POINTS_PER_PRIORITY = 20
+# Points for each priority level of a route, and the least urgent level that counts. They order
+# streams of organisations with equal priority, so their product stays below the points for one
+# priority level of an organisation.
+_POINTS_PER_ROUTE_PRIORITY = 9
+_MAX_ROUTE_PRIORITY = 2
+# Age up to which a report counts in full, in seconds; instances repeat their reports sooner.
+_FULL_WEIGHT_AGE_S = 0.6
+# Age from which a report no longer counts, in seconds; its weight falls linearly until then.
+_MAX_REPORT_AGE_S = 1.0
+# Longest time that a stream leaves free capacity to streams queued ahead, in seconds. If they
+# have not taken it by then, they do not want it. A large part of this time passes before other
+# instances learn of the free capacity.
+_MAX_YIELD_S = 0.4
+# Largest share of the less urgent streams that gets the highest urgency at random.
+_PROMOTED_SHARE = 0.25
+# Urgency of the most urgent priority level.
+_MAX_URGENCY = 0
 
 
 class WaitingGroup(NamedTuple):
@@ -59,12 +62,12 @@
 
     Attributes:
         service: The service.
-        urgency: Larger goes first.
-        is_late: Whether they will be late even if they have room now.
-        streams: How many wait.
-        tokens: Memory that they hold at their ends, together.
-        oldest_s: Seconds since the first of them came.
-        spare_s: Seconds for which one of them can still wait and be in time.
+        urgency: Urgency of each stream; larger values go first.
+        is_late: Whether they will be late even if they are placed now.
+        streams: Number of waiting streams.
+        tokens: Total memory that they hold when they end, in tokens.
+        oldest_s: Seconds since the oldest of them arrived.
+        spare_s: Longest time that any of them can still wait and be in time, in seconds.
     """
 
     service: str
@@ -77,14 +80,14 @@
 
 
 class WaitingReport(NamedTuple):
-    """All that waits at one instance.
+    """The wait queue of one instance.
 
     Attributes:
-        name: The instance.
-        incarnation: Grows with each start of the instance.
-        number: Grows with each report of one incarnation.
-        data_centre: Where the instance runs.
-        groups: What waits there; none if nothing does.
+        name: Name of the instance.
+        incarnation: Number that grows with each start of the instance.
+        number: Number that grows with each report of one incarnation.
+        data_centre: Data centre in which the instance runs.
+        groups: The waiting streams, in groups; empty if none wait.
     """
 
     name: str
@@ -95,237 +98,254 @@
 
 
 class Claim(NamedTuple):
-    """A stream that wants room now.
+    """A stream that asks for capacity now.
 
     Attributes:
         service: The service.
-        due: Where it stands in the order; smaller goes first.
-        is_late: Whether it will be late even if it has room now.
+        effective_arrival: Arrival time less the head start; smaller values go first.
+        is_late: Whether the stream will be late even if it is placed now.
     """
 
     service: str
-    due: float
+    effective_arrival: float
     is_late: bool
 
 
 class Ahead(NamedTuple):
-    """Those that go before a stream.
+    """The streams that are queued ahead of a stream.
 
     Attributes:
-        streams: How many.
-        tokens: Memory that one of them holds at its end, in the mean.
+        streams: Number of streams.
+        tokens: Mean memory that one of them holds when it ends, in tokens.
     """
 
     streams: int
     tokens: int
 
-    def fit(self, places: int) -> bool:
-        """Tell whether some places are enough for all of them."""
-        return self.streams <= places
+    def fits_in(self, capacity: int) -> bool:
+        """Check whether there is capacity for all of them.
+
+        Args:
+            capacity: Number of streams of their size that can be placed.
+        """
+        return self.streams <= capacity
 
 
 NOBODY_AHEAD = Ahead(0, 0)
 
 
 class LeftRoom:
-    """Bounds for how long one stream leaves room to others that do not take it."""
+    """Limits how long one stream leaves free capacity to others that do not take it."""
 
     def __init__(self) -> None:
-        self._since: float | None = None
-        self._seen_at = 0.0
-        self._openings = 0
+        self._yielding_since: float | None = None
+        self._last_seen_at = 0.0
+        self._yield_count = 0
 
     @property
     def openings(self) -> int:
-        """How often the stream saw room that it left."""
-        return self._openings
+        """The number of times that the stream left free capacity to others."""
+        return self._yield_count
 
-    def may_take(self, ahead: Ahead, places: int, now: float) -> bool:
-        """Tell whether the stream may take room that it sees now.
+    def may_take(self, ahead: Ahead, capacity: int, now: float) -> bool:
+        """Check whether the stream may take the capacity that is free now.
 
         Args:
-            ahead: Those that go before it.
-            places: For how many of them there is room beside the stream's own.
-            now: The time.
+            ahead: The streams queued ahead of it.
+            capacity: Number of those streams that can be placed in addition to this one.
+            now: The current time.
         """
-        if ahead.fit(places):
+        if ahead.fits_in(capacity):
             return True
-        if self._since is None or now - self._seen_at > _LEFT_S:
-            # What happened between two looks that lie far apart is not known.
-            self._since = now
-            self._openings += 1
-        self._seen_at = now
-        return now - self._since >= _LEFT_S
+        if self._yielding_since is None or now - self._last_seen_at > _MAX_YIELD_S:
+            # The last check is too long ago: the capacity may have been taken and freed since.
+            self._yielding_since = now
+            self._yield_count += 1
+        self._last_seen_at = now
+        return now - self._yielding_since >= _MAX_YIELD_S
 
     def note_none(self) -> None:
-        """Note that there is no room: others took what there was."""
-        self._since = None
+        """Note that no capacity is free: other streams took it."""
+        self._yielding_since = None
 
 
-class _Heard(NamedTuple):
-    """A report, and when it came."""
+class _ReceivedReport(NamedTuple):
+    """A report and the time at which it was received."""
 
     report: WaitingReport
-    heard_at: float
+    received_at: float
 
 
 def rank(priority: int, route_priority: int = 0) -> int:
-    """Give the urgency with which a stream waits among many instances; larger goes first.
+    """Return the urgency of a stream in a fleet of many instances; larger values go first.
 
     Args:
-        priority: From 0, the most urgent: its organisation's, or else its route's.
-        route_priority: Its route's, where its organisation has one too: that goes first, and
-            this decides among streams of the same.
+        priority: Priority of the stream's organisation, or of its route if the organisation
+            has none; 0 is the most urgent.
+        route_priority: Priority of the stream's route if its organisation has a priority too.
+            It orders only streams whose organisations have equal priority.
     """
-    route_points = _ROUTE_POINTS * min(_MOST_ROUTE_PRIORITY, route_priority)
-    return -(_PRIORITY_POINTS * priority + route_points)
+    route_points = _POINTS_PER_ROUTE_PRIORITY * min(_MAX_ROUTE_PRIORITY, route_priority)
+    return -(_POINTS_PER_PRIORITY * priority + route_points)
+
 
+def due_at(arrived_at: float, urgency: int, head_start_s: float = HEAD_START_S) -> float:
+    """Return the arrival time less the head start; streams with smaller values go first.
 
-def due_at(since: float, urgency: int, head_start_s: float = HEAD_START_S) -> float:
-    """Give where a stream stands that came at a time; smaller goes first."""
-    return since - urgency * head_start_s
+    Args:
+        arrived_at: Time at which the stream arrived.
+        urgency: Urgency of the stream.
+        head_start_s: Head start for each point of urgency, in seconds.
+    """
+    return arrived_at - urgency * head_start_s
 
 
 class SharedWaiting:
-    """What waits at other instances; every method takes the time as an argument."""
+    """The wait queues of other instances; methods take the current time as an argument."""
 
     def __init__(self, *, is_on: bool = True) -> None:
-        """Start without anything heard.
+        """Start without any reports.
 
         Args:
-            is_on: Whether room is left for others at all.
+            is_on: Whether streams leave capacity to streams at other instances at all.
         """
         self._is_on = is_on
-        self._heard: dict[str, _Heard] = {}
-        self._peers = 0
+        self._received: dict[str, _ReceivedReport] = {}
+        self._peer_count = 0
         self._on_change: Callable[[], None] = _ignore
-        self._own: Callable[[], Sequence[WaitingGroup]] = tuple
+        self._local_source: Callable[[], Sequence[WaitingGroup]] = tuple
 
     @property
     def is_large_group(self) -> bool:
-        """Whether there are so many instances that one rarely holds two streams that wait."""
-        return self._peers > FEW_PEERS
+        """Whether there are so many instances that few have two or more waiting streams."""
+        return self._peer_count > FEW_PEERS
 
     @property
     def is_in_use(self) -> bool:
-        """Whether instances tell each other what waits."""
+        """Whether instances report their wait queues to each other."""
         return self._is_on and self.is_large_group
 
-    def note_peers(self, peers: int) -> None:
-        """Note how many other instances there are."""
-        self._peers = peers
+    def note_peers(self, peer_count: int) -> None:
+        """Set the number of other instances."""
+        self._peer_count = peer_count
 
     def listen(self, on_change: Callable[[], None]) -> None:
-        """Have somebody told when what waits here has changed."""
+        """Register the function to call when the local wait queue has changed."""
         self._on_change = on_change
 
-    def attach(self, own: Callable[[], Sequence[WaitingGroup]]) -> None:
-        """Take what waits here from a source."""
-        self._own = own
+    def attach(self, local_source: Callable[[], Sequence[WaitingGroup]]) -> None:
+        """Set the function that returns the groups in the local wait queue."""
+        self._local_source = local_source
 
     def note_changed(self) -> None:
-        """Note that what waits here has changed."""
+        """Note that the local wait queue has changed."""
         if self.is_in_use:
             self._on_change()
 
     def own(self) -> Sequence[WaitingGroup]:
-        """Give what waits here."""
-        return self._own()
+        """Return the groups in the local wait queue."""
+        return self._local_source()
 
     def note(self, report: WaitingReport, now: float) -> None:
-        """Take what an instance tells; an older report than what is known changes nothing."""
-        known = self._heard.get(report.name)
-        if known is not None and _order(report) <= _order(known.report):
+        """Store an instance's report; ignore one that is not newer than the known one."""
+        known = self._received.get(report.name)
+        if known is not None and _report_order(report) <= _report_order(known.report):
             return
-        self._heard[report.name] = _Heard(report, now)
+        self._received[report.name] = _ReceivedReport(report, now)
 
     def forget(self, name: str) -> None:
-        """Forget what an instance told."""
-        self._heard.pop(name, None)
+        """Delete the report of an instance."""
+        self._received.pop(name, None)
 
     def ahead(self, claim: Claim, now: float) -> Ahead:
-        """Give those that wait at other instances and go before a stream."""
+        """Return the streams at other instances that are queued ahead of a stream."""
         if not self._is_on:
             return NOBODY_AHEAD
         count = tokens = 0.0
-        for heard in self._heard.values():
-            belief = _belief(now - heard.heard_at)
-            if not belief:
+        for received in self._received.values():
+            weight = _report_weight(now - received.received_at)
+            if not weight:
                 continue
-            for group in heard.report.groups:
+            for group in received.report.groups:
                 if group.service != claim.service or group.streams <= 0:
                     continue
-                share = belief * _share_ahead(group, heard.heard_at, claim, now)
+                share = weight * _share_ahead_of(group, received.received_at, claim, now)
                 count += share * group.streams
                 tokens += share * group.tokens
-        # Half of one that is believed is nobody.
-        whole = round(count)
-        return Ahead(whole, int(tokens / count)) if whole else NOBODY_AHEAD
+        # A weighted count of up to half a stream counts as none.
+        stream_count = round(count)
+        return Ahead(stream_count, int(tokens / count)) if stream_count else NOBODY_AHEAD
 
     def draw_urgency(self, service: str, urgency: int, rng: random.Random, now: float) -> int:
-        """Give the urgency with which a stream waits: a share of all stands with the most urgent.
+        """Return a stream's urgency; a random share of all streams gets the highest one.
 
-        The share is smaller where more urgent ones are few among those that wait: they leave
-        room then by themselves.
+        The share is smaller if few of the waiting streams are more urgent than this one, since
+        those leave capacity to the less urgent anyway.
 
         Args:
             service: The service.
-            urgency: What the stream's priority gives.
-            rng: Draws.
-            now: The time.
+            urgency: Urgency according to the stream's priority.
+            rng: Source of random numbers.
+            now: The current time.
         """
-        if not self.is_in_use or urgency >= _MOST_URGENT:
+        if not self.is_in_use or urgency >= _MAX_URGENCY:
             return urgency
-        above = others = 1.0
-        for heard in self._heard.values():
-            belief = _belief(now - heard.heard_at)
-            for group in heard.report.groups:
+        more_urgent = others = 1.0
+        for received in self._received.values():
+            weight = _report_weight(now - received.received_at)
+            for group in received.report.groups:
                 if group.service == service and group.urgency > urgency:
-                    above += belief * group.streams
+                    more_urgent += weight * group.streams
                 elif group.service == service:
-                    others += belief * group.streams
-        share = _LOT_SHARE * min(1.0, above / others)
-        return _MOST_URGENT if rng.random() < share else urgency
+                    others += weight * group.streams
+        share = _PROMOTED_SHARE * min(1.0, more_urgent / others)
+        return _MAX_URGENCY if rng.random() < share else urgency
 
-    def counts(self, service: str, now: float) -> dict[str, int]:
-        """Give how many wait for a service in each data centre, at other instances."""
-        found: dict[str, float] = {}
-        for heard in self._heard.values():
-            waiting = sum(item.streams for item in heard.report.groups if item.service == service)
-            believed = _belief(now - heard.heard_at) * waiting
-            data_centre = heard.report.data_centre
-            found[data_centre] = found.get(data_centre, 0.0) + believed
-        return {name: round(count) for name, count in found.items() if round(count)}
+    def count_by_data_centre(self, service: str, now: float) -> dict[str, int]:
+        """Return the number of streams that wait for a service, by data centre of the instance.
+
+        Streams that wait at this instance do not count.
+        """
+        counts: dict[str, float] = {}
+        for received in self._received.values():
+            waiting = sum(
+                item.streams for item in received.report.groups if item.service == service
+            )
+            weighted = _report_weight(now - received.received_at) * waiting
+            data_centre = received.report.data_centre
+            counts[data_centre] = counts.get(data_centre, 0.0) + weighted
+        return {name: round(count) for name, count in counts.items() if round(count)}
 
 
 def _ignore() -> None:
-    """Stand for a listener."""
+    """Do nothing; called on changes until a listener is registered."""
 
 
-def _order(report: WaitingReport) -> tuple[int, int]:
+def _report_order(report: WaitingReport) -> tuple[int, int]:
     return report.incarnation, report.number
 
 
-def _belief(age_s: float) -> float:
-    """Give how far a report counts that came some seconds ago."""
-    if age_s <= _FRESH_S:
+def _report_weight(age_s: float) -> float:
+    """Return the weight of a report of the given age, from 0 to 1."""
+    if age_s <= _FULL_WEIGHT_AGE_S:
         return 1.0
-    return max(0.0, (_BELIEVED_S - age_s) / (_BELIEVED_S - _FRESH_S))
+    return max(0.0, (_MAX_REPORT_AGE_S - age_s) / (_MAX_REPORT_AGE_S - _FULL_WEIGHT_AGE_S))
 
 
-def _share_ahead(group: WaitingGroup, heard_at: float, claim: Claim, now: float) -> float:
-    """Give the share of a group that goes before a stream.
+def _share_ahead_of(group: WaitingGroup, received_at: float, claim: Claim, now: float) -> float:
+    """Return the share of a group that is queued ahead of a stream.
 
-    Of a group only the oldest is known; the others are taken to have come at even pauses.
+    Only the arrival of the oldest stream of a group is known; the others are assumed to have
+    arrived at even intervals since.
     """
-    is_late = group.is_late or now - heard_at > group.spare_s
+    is_late = group.is_late or now - received_at > group.spare_s
     if is_late != claim.is_late:
         return 0.0 if is_late else 1.0
-    oldest = due_at(heard_at - group.oldest_s, group.urgency)
-    newest = due_at(heard_at, group.urgency)
-    if claim.due <= oldest:
+    oldest = due_at(received_at - group.oldest_s, group.urgency)
+    newest = due_at(received_at, group.urgency)
+    if claim.effective_arrival <= oldest:
         return 0.0
-    if claim.due >= newest or group.streams == 1:
+    if claim.effective_arrival >= newest or group.streams == 1:
         return 1.0
-    before = 1 + (group.streams - 1) * (claim.due - oldest) / (newest - oldest)
+    before = 1 + (group.streams - 1) * (claim.effective_arrival - oldest) / (newest - oldest)
     return min(1.0, before / group.streams)
--- a/cleatlink/routing/waiting.py
+++ b/cleatlink/routing/waiting.py
@@ -1,9 +1,9 @@
-"""Requests that wait for room, in an order that favours priority but starves nobody.
+"""The wait queue of an instance, ordered by urgency without starvation.
 
-Those that can still be in time go before those that will be late anyway. Among them
-each point of priority is worth a head start of a fixed time, so the order is fixed at
-arrival: an urgent request overtakes what came shortly before, never what has waited
-for long.
+Requests that can still be in time go before requests that will be late anyway. Within each of
+these two groups, every point of urgency gives a head start of fixed length, so the order is set
+on arrival: an urgent request overtakes requests that arrived shortly before it, but no request
+that has waited for long.
 """
 
 import math
@@ -14,49 +14,50 @@
 
 from cleatlink.routing.shared_waiting import WaitingGroup, due_at
 
-__all__ = ["PRIORITY_S", "Ticket", "WaitingRoom", "WaitingTraits"]
+__all__ = ["DEFAULT_HEAD_START_S", "RequestTraits", "WaitingRequest", "WaitingRoom"]
 
-# Seconds of head start for each point of priority, among few instances.
-PRIORITY_S = 0.1
-# After so many in vain, the rest of a class waits for the next change. Classes are
-# counted apart: what one lacks, such as a free prefill, another may not need.
-_TRIES = 4
+# Head start for each point of urgency in a fleet of few instances, in seconds.
+DEFAULT_HEAD_START_S = 0.1
+# Failed attempts to place requests of one class after which its other requests wait for the next
+# change. Classes are counted separately, since what one lacks, such as a free prefill endpoint,
+# another may not need.
+_MAX_FAILED_ATTEMPTS = 4
 
 
-class WaitingTraits(NamedTuple):
-    """What others need to know of a request that waits.
+class RequestTraits(NamedTuple):
+    """What an instance reports to other instances about a waiting request.
 
     Attributes:
-        urgency: Its priority; larger goes first.
-        since: When it came.
-        tokens: Memory that it holds at its end.
-        late_at: When it will be late even if it is placed then.
+        urgency: Urgency of the request; larger values go first.
+        arrived_at: Time at which the request arrived.
+        tokens: Memory that the request holds when it ends, in tokens.
+        late_at: Time from which the request will be late even if it is placed at once.
     """
 
     urgency: int
-    since: float
+    arrived_at: float
     tokens: int = 0
     late_at: float = math.inf
 
 
-class Ticket(NamedTuple):
-    """One waiting request; tickets sort in the order in which they are served.
+class WaitingRequest(NamedTuple):
+    """One waiting request; requests sort in the order in which they are served.
 
     Attributes:
-        due: Arrival less the head start.
-        number: Breaks ties in the order of arrival.
+        effective_arrival: Arrival time less the head start.
+        sequence_number: Number of the request in the order of arrival; breaks ties.
         request_class: Class of the request.
-        attempt: Tries to place the request; true ends its wait.
-        is_late: Tells whether the request will be late even if it is placed now.
-        traits: What others need to know of it.
+        attempt: Function that tries to place the request; its wait ends when this returns True.
+        is_late: Function that checks whether the request will be late even if it is placed now.
+        traits: What other instances need to know of the request.
     """
 
-    due: float
-    number: int
+    effective_arrival: float
+    sequence_number: int
     request_class: str
     attempt: Callable[[], bool]
     is_late: Callable[[], bool]
-    traits: WaitingTraits
+    traits: RequestTraits
 
 
 def _never_late() -> bool:
@@ -64,100 +65,122 @@
 
 
 class WaitingRoom:
-    """All requests of one instance that wait for room."""
+    """All requests of one instance that wait for capacity."""
 
     def __init__(self) -> None:
-        self.head_start_s = PRIORITY_S
-        self._tickets: list[Ticket] = []
-        self._count = 0
+        self.head_start_s = DEFAULT_HEAD_START_S
+        self._requests: list[WaitingRequest] = []
+        self._last_sequence_number = 0
 
     def __len__(self) -> int:
-        return len(self._tickets)
+        return len(self._requests)
 
-    def must_wait(self, request_class: str, priority: int, now: float) -> bool:
-        """Tell whether a request that arrives now stands behind one of its class."""
-        due = due_at(now, priority, self.head_start_s)
+    def must_wait(self, request_class: str, urgency: int, arrived_at: float) -> bool:
+        """Check whether a request of the same class that can be in time is queued ahead.
+
+        Args:
+            request_class: Class of the arriving request.
+            urgency: Urgency of the arriving request; larger values go first.
+            arrived_at: Time at which it arrived.
+        """
+        effective_arrival = due_at(arrived_at, urgency, self.head_start_s)
         return any(
-            ticket.due <= due and ticket.request_class == request_class and not ticket.is_late()
-            for ticket in self._tickets
+            request.effective_arrival <= effective_arrival
+            and request.request_class == request_class
+            and not request.is_late()
+            for request in self._requests
         )
 
-    def count_ahead(self, priority: int, now: float, *, is_late: bool) -> int:
-        """Give how many of those who wait go before a request.
+    def count_ahead(self, urgency: int, arrived_at: float, *, is_late: bool) -> int:
+        """Return the number of waiting requests that are queued ahead of a request.
 
         Args:
-            priority: Its priority.
-            now: When it came.
-            is_late: Whether it will be late.
+            urgency: Urgency of the request; larger values go first.
+            arrived_at: Time at which the request arrived.
+            is_late: Whether the request will be late.
         """
-        due = due_at(now, priority, self.head_start_s)
+        effective_arrival = due_at(arrived_at, urgency, self.head_start_s)
         return sum(
-            (ticket.due <= due and ticket.is_late() == is_late)
-            or (is_late and not ticket.is_late())
-            for ticket in self._tickets
+            (request.effective_arrival <= effective_arrival and request.is_late() == is_late)
+            or (is_late and not request.is_late())
+            for request in self._requests
         )
 
     def add(
         self,
         request_class: str,
-        priority: int,
-        now: float,
+        urgency: int,
+        arrived_at: float,
         attempt: Callable[[], bool],
         is_late: Callable[[], bool] = _never_late,
         *,
         tokens: int = 0,
         late_at: float = math.inf,
-    ) -> Ticket:
-        """Let a request wait."""
-        self._count += 1
-        due = due_at(now, priority, self.head_start_s)
-        traits = WaitingTraits(priority, now, tokens, late_at)
-        ticket = Ticket(due, self._count, request_class, attempt, is_late, traits)
-        insort(self._tickets, ticket)
-        return ticket
-
-    def remove(self, ticket: Ticket) -> None:
-        """Let a request wait no more; safe if it waits no more already."""
-        if ticket in self._tickets:
-            self._tickets.remove(ticket)
+    ) -> WaitingRequest:
+        """Add a request to the queue.
+
+        Args:
+            request_class: Class of the request.
+            urgency: Urgency of the request; larger values go first.
+            arrived_at: Time at which the request arrived.
+            attempt: Function that tries to place the request and returns whether its wait ends.
+            is_late: Function that checks whether the request will be late even if it is placed now.
+            tokens: Memory that the request holds when it ends, in tokens.
+            late_at: Time from which the request will be late even if it is placed at once.
+        """
+        self._last_sequence_number += 1
+        effective_arrival = due_at(arrived_at, urgency, self.head_start_s)
+        traits = RequestTraits(urgency, arrived_at, tokens, late_at)
+        request = WaitingRequest(
+            effective_arrival, self._last_sequence_number, request_class, attempt, is_late, traits
+        )
+        insort(self._requests, request)
+        return request
+
+    def remove(self, request: WaitingRequest) -> None:
+        """Remove a request from the queue; do nothing if it is not in the queue."""
+        if request in self._requests:
+            self._requests.remove(request)
 
     def groups(self, now: float) -> list[WaitingGroup]:
-        """Give what waits, by class, urgency and whether it will be late; most urgent first."""
-        found: dict[tuple[bool, int, str], list[WaitingTraits]] = {}
-        for ticket in self._tickets:
-            key = (ticket.is_late(), -ticket.traits.urgency, ticket.request_class)
-            found.setdefault(key, []).append(ticket.traits)
+        """Return the waiting requests grouped by lateness, urgency and class, most urgent first."""
+        traits_by_group: dict[tuple[bool, int, str], list[RequestTraits]] = {}
+        for request in self._requests:
+            key = (request.is_late(), -request.traits.urgency, request.request_class)
+            traits_by_group.setdefault(key, []).append(request.traits)
         return [
             WaitingGroup(
                 request_class,
-                -priority,
+                -negative_urgency,
                 is_late,
                 len(waiting),
                 sum(item.tokens for item in waiting),
-                now - min(item.since for item in waiting),
+                now - min(item.arrived_at for item in waiting),
                 max(item.late_at for item in waiting) - now,
             )
-            for (is_late, priority, request_class), waiting in sorted(found.items())
+            for (is_late, negative_urgency, request_class), waiting in sorted(
+                traits_by_group.items()
+            )
         ]
 
     def offer(self) -> None:
-        """Let those who wait try, in order, after something has changed."""
+        """Try to place the waiting requests in order, after a change of capacity."""
         failures: Counter[str] = Counter()
         late = []
-        for ticket in list(self._tickets):
-            if failures[ticket.request_class] >= _TRIES:
+        for request in list(self._requests):
+            if failures[request.request_class] >= _MAX_FAILED_ATTEMPTS:
                 continue
-            if ticket.is_late():
-                late.append(ticket)
+            if request.is_late():
+                late.append(request)
             else:
-                self._attempt(ticket, failures)
-        for ticket in late:
-            if failures[ticket.request_class] < _TRIES:
-                self._attempt(ticket, failures)
-
-    def _attempt(self, ticket: Ticket, failures: Counter[str]) -> None:
-        """Let one try; counts a failure of its class."""
-        if ticket.attempt():
-            self.remove(ticket)
+                self._attempt(request, failures)
+        for request in late:
+            if failures[request.request_class] < _MAX_FAILED_ATTEMPTS:
+                self._attempt(request, failures)
+
+    def _attempt(self, request: WaitingRequest, failures: Counter[str]) -> None:
+        """Try to place a request; on failure, count it for the class of the request."""
+        if request.attempt():
+            self.remove(request)
         else:
-            failures[ticket.request_class] += 1
+            failures[request.request_class] += 1
--- a/cleatlink/routing/waiting_test.py
+++ b/cleatlink/routing/waiting_test.py
@@ -1,4 +1,4 @@
-"""The waiting room: priority goes first, and nobody starves."""
+"""Tests that the wait queue serves urgent requests first and starves no request."""
 
 from collections.abc import Callable
 from functools import partial
@@ -6,17 +6,17 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cleatlink.routing.waiting import PRIORITY_S, WaitingRoom
+from cleatlink.routing.waiting import DEFAULT_HEAD_START_S, WaitingRoom
 
 
-class Places:
-    """Places that open now and then; those who get one are noted."""
+class Slots:
+    """Slots that become free; records the requests that are placed in them."""
 
     def __init__(self) -> None:
         self.free = 0
         self.served: list[str] = []
 
-    def waiting(self, name: str) -> Callable[[], bool]:
+    def attempt_for(self, name: str) -> Callable[[], bool]:
         def attempt() -> bool:
             if not self.free:
                 return False
@@ -26,107 +26,107 @@
 
         return attempt
 
-    def open(self, room: WaitingRoom, count: int) -> None:
+    def free_slots(self, queue: WaitingRoom, count: int) -> None:
         self.free = count
-        room.offer()
-
-
-def test_priority_overtakes_but_not_what_has_waited_long() -> None:
-    room, places = WaitingRoom(), Places()
-    room.add("lm", 10, 0.0, places.waiting("old tagging"))
-    room.add("lm", 10, 19.0, places.waiting("new tagging"))
-    room.add("lm", 100, 20.0, places.waiting("translation"))
-    places.open(room, 1)
-    places.open(room, 2)
-    assert places.served == ["old tagging", "translation", "new tagging"]
-    assert len(room) == 0
-
-
-def test_newcomer_stands_behind_whom_it_does_not_overtake() -> None:
-    room = WaitingRoom()
-    ticket = room.add("lm", 50, 10.0, lambda: False)
-    assert room.must_wait("lm", 50, 10.0)
-    assert room.must_wait("lm", 10, 11.0)
-    assert not room.must_wait("lm", 100, 10.0)
-    assert not room.must_wait("other", 10, 11.0)
-    room.remove(ticket)
-    room.remove(ticket)
-    assert not room.must_wait("lm", 10, 11.0)
-
-
-def test_one_full_class_does_not_hold_up_another() -> None:
-    room, places = WaitingRoom(), Places()
+        queue.offer()
+
+
+def test_urgent_request_overtakes_recent_ones_but_no_long_waiting_one() -> None:
+    queue, slots = WaitingRoom(), Slots()
+    queue.add("lm", 10, 0.0, slots.attempt_for("old tagging"))
+    queue.add("lm", 10, 19.0, slots.attempt_for("new tagging"))
+    queue.add("lm", 100, 20.0, slots.attempt_for("translation"))
+    slots.free_slots(queue, 1)
+    slots.free_slots(queue, 2)
+    assert slots.served == ["old tagging", "translation", "new tagging"]
+    assert len(queue) == 0
+
+
+def test_new_request_must_wait_behind_those_that_it_does_not_overtake() -> None:
+    queue = WaitingRoom()
+    request = queue.add("lm", 50, 10.0, lambda: False)
+    assert queue.must_wait("lm", 50, 10.0)
+    assert queue.must_wait("lm", 10, 11.0)
+    assert not queue.must_wait("lm", 100, 10.0)
+    assert not queue.must_wait("other", 10, 11.0)
+    queue.remove(request)
+    queue.remove(request)
+    assert not queue.must_wait("lm", 10, 11.0)
+
+
+def test_class_without_capacity_does_not_delay_another() -> None:
+    queue, slots = WaitingRoom(), Slots()
     for number in range(10):
-        room.add("full", 100, float(number), lambda: False)
-    room.add("free", 0, 50.0, places.waiting("free"))
-    places.open(room, 1)
-    assert places.served == ["free"]
-    assert len(room) == 10
+        queue.add("full", 100, float(number), lambda: False)
+    queue.add("free", 0, 50.0, slots.attempt_for("free"))
+    slots.free_slots(queue, 1)
+    assert slots.served == ["free"]
+    assert len(queue) == 10
 
 
-def test_class_that_lacks_something_else_does_not_stand_in_the_way() -> None:
-    """Long ones wait for a free prefill; short ones of the same service need none."""
-    room, places = WaitingRoom(), Places()
+def test_class_that_waits_for_prefill_does_not_delay_one_that_needs_none() -> None:
+    """Long requests wait for a free prefill endpoint; short ones of the same service need none."""
+    queue, slots = WaitingRoom(), Slots()
     for number in range(6):
-        room.add("verdict", 60, float(number), lambda: False)
-    assert not room.must_wait("question", 80, 100.0)
-    room.add("question", 80, 100.0, places.waiting("question"))
-    places.open(room, 1)
-    assert places.served == ["question"]
-
-
-def test_those_that_will_be_late_go_last_in_their_order() -> None:
-    room, places = WaitingRoom(), Places()
-    room.add("lm", 0, 0.0, places.waiting("first late"), lambda: True)
-    room.add("lm", 0, 1.0, places.waiting("second late"), lambda: True)
-    room.add("lm", 0, 2.0, places.waiting("in time"))
-    assert not room.must_wait("lm", 0, 1.5)
-    assert room.must_wait("lm", 0, 2.5)
-    places.open(room, 2)
-    assert places.served == ["in time", "first late"]
-    places.open(room, 1)
-    assert places.served == ["in time", "first late", "second late"]
-
-
-def test_nobody_is_judged_once_enough_of_a_class_have_tried_in_vain() -> None:
-    room = WaitingRoom()
-    judged: list[int] = []
+        queue.add("verdict", 60, float(number), lambda: False)
+    assert not queue.must_wait("question", 80, 100.0)
+    queue.add("question", 80, 100.0, slots.attempt_for("question"))
+    slots.free_slots(queue, 1)
+    assert slots.served == ["question"]
+
+
+def test_late_requests_are_served_last_in_order_of_arrival() -> None:
+    queue, slots = WaitingRoom(), Slots()
+    queue.add("lm", 0, 0.0, slots.attempt_for("first late"), lambda: True)
+    queue.add("lm", 0, 1.0, slots.attempt_for("second late"), lambda: True)
+    queue.add("lm", 0, 2.0, slots.attempt_for("in time"))
+    assert not queue.must_wait("lm", 0, 1.5)
+    assert queue.must_wait("lm", 0, 2.5)
+    slots.free_slots(queue, 2)
+    assert slots.served == ["in time", "first late"]
+    slots.free_slots(queue, 1)
+    assert slots.served == ["in time", "first late", "second late"]
+
+
+def test_lateness_is_not_checked_after_the_last_allowed_failure_of_a_class() -> None:
+    queue = WaitingRoom()
+    checked: list[int] = []
 
     def is_late(number: int) -> bool:
-        judged.append(number)
+        checked.append(number)
         return False
 
     for number in range(30):
-        room.add("lm", 0, float(number), lambda: False, partial(is_late, number))
-    room.offer()
-    assert judged == [0, 1, 2, 3]
+        queue.add("lm", 0, float(number), lambda: False, partial(is_late, number))
+    queue.offer()
+    assert checked == [0, 1, 2, 3]
 
 
 @given(st.lists(st.integers(0, 100), min_size=1, max_size=60))
-def test_nobody_waits_longer_than_the_greatest_head_start(priorities: list[int]) -> None:
-    """One arrival and one place a second: all wait at most for those with a head start."""
-    room, places = WaitingRoom(), Places()
+def test_no_request_waits_longer_than_the_greatest_head_start(priorities: list[int]) -> None:
+    """With one arrival and one free slot a second, only a head start makes a request wait."""
+    queue, slots = WaitingRoom(), Slots()
     arrived: dict[str, float] = {}
-    room.add("lm", 0, 0.0, places.waiting("first"))
+    queue.add("lm", 0, 0.0, slots.attempt_for("first"))
     arrived["first"] = 0.0
     for second, priority in enumerate(priorities, 1):
         name = str(second)
         arrived[name] = float(second)
-        room.add("lm", priority, float(second), places.waiting(name))
-        places.open(room, 1)
-        if "first" not in places.served:
-            assert second <= 100 * PRIORITY_S + 1
-
-
-def test_who_goes_before_a_request() -> None:
-    room = WaitingRoom()
-    room.add("a", 0, 1.0, lambda: False)
-    room.add("a", 0, 3.0, lambda: False)
-    room.add("a", 0, 2.0, lambda: False, lambda: True)
-    # In time: behind what came before it and can be in time too.
-    assert room.count_ahead(0, 2.5, is_late=False) == 1
-    assert room.count_ahead(0, 3.5, is_late=False) == 2
-    assert room.count_ahead(1, 3.05, is_late=False) == 1
-    # Late: behind all that can be in time, and what is late and asked before.
-    assert room.count_ahead(0, 0.5, is_late=True) == 2
-    assert room.count_ahead(0, 2.5, is_late=True) == 3
+        queue.add("lm", priority, float(second), slots.attempt_for(name))
+        slots.free_slots(queue, 1)
+        if "first" not in slots.served:
+            assert second <= 100 * DEFAULT_HEAD_START_S + 1
+
+
+def test_count_of_requests_queued_ahead() -> None:
+    queue = WaitingRoom()
+    queue.add("a", 0, 1.0, lambda: False)
+    queue.add("a", 0, 3.0, lambda: False)
+    queue.add("a", 0, 2.0, lambda: False, lambda: True)
+    # A request in time is queued behind earlier requests that can be in time too.
+    assert queue.count_ahead(0, 2.5, is_late=False) == 1
+    assert queue.count_ahead(0, 3.5, is_late=False) == 2
+    assert queue.count_ahead(1, 3.05, is_late=False) == 1
+    # A late request is queued behind all that can be in time and behind earlier late ones.
+    assert queue.count_ahead(0, 0.5, is_late=True) == 2
+    assert queue.count_ahead(0, 2.5, is_late=True) == 3
