--- a/cleatlink/routing/view.py
+++ b/cleatlink/routing/view.py
@@ -1,8 +1,10 @@
-"""What one instance believes of the fleet: list, reports, own placements, leaving.
+"""The state of the fleet as one instance knows it.
 
-Everything here is soft, dated and rebuilt from nothing. Two rules protect the
-promises: an endpoint gets work only while its own report is fresh, and the
-earliest word that it is leaving wins over every later report that lags.
+It consists of the instance list, the load reports of endpoints, this instance's own
+reservations and the endpoints that are leaving. All of it expires or is replaced with time, and
+an instance that starts without it rebuilds it. Two rules prevent work from being sent to an
+endpoint that may no longer accept it: an endpoint gets work only while its last load report is
+recent, and the first notice that it is leaving overrides later reports, which may be outdated.
 """
 
 from collections.abc import Mapping, Set
@@ -12,18 +14,21 @@
 from cleatlink.core.labels import match
 from cleatlink.routing.group import Group, make_group
 
-__all__ = ["CONFIRM_S", "EndpointLoad", "FleetView", "Reservation", "endpoint_labels"]
+__all__ = ["EndpointLoad", "FleetView", "Reservation", "endpoint_labels"]
 
-# An endpoint whose own report is older than this may have left unseen.
-CONFIRM_S = 4.0
-# Reports lag: one that no longer says leaving counts only after this long.
-LEAVING_HOLD_S = 10.0
-# A refusal is ahead of the reports. Until one of them shows the leaving, or the
-# endpoint was started anew, nothing that they say is news; this bounds the wait
-# in case the leaving was taken back before any report showed it.
-REFUSAL_HOLD_S = 120.0
-# Prefixes remembered of one endpoint.
-MAX_CACHED = 20_000
+# Age from which an endpoint's last report is too old to use it, in seconds: it may have left
+# without notice.
+MAX_REPORT_AGE_S = 4.0
+# Time for which an endpoint counts as leaving after a report that says so, in seconds. Reports may
+# be outdated, so one that does not say so has no effect before.
+LEAVING_EXPIRY_S = 10.0
+# Time for which an endpoint counts as leaving after it refused work for this reason, in seconds.
+# A refusal is more recent than the reports, so they have no effect until one says that the
+# endpoint is leaving or that it has restarted. The limit applies if the endpoint stops leaving
+# before any report says that it is.
+LEAVING_REFUSAL_EXPIRY_S = 120.0
+# Largest number of cached prefixes that are stored for one endpoint.
+MAX_CACHED_PREFIXES = 20_000
 
 
 class Reservation(NamedTuple):
@@ -32,29 +37,30 @@
     Attributes:
         endpoint: Name of the endpoint.
         prefill_tokens: Prompt tokens to be computed; 0 for a decode.
-        memory_tokens: Tokens of memory for a decode; 0 for a prefill.
-        at: When the endpoint can have it in its reports; None before.
+        memory_tokens: Memory for a decode, in tokens; 0 for a prefill.
+        started_at: Time from which the endpoint's reports can include the work; None before it
+            has started.
     """
 
     endpoint: str
     prefill_tokens: int
     memory_tokens: int
-    at: float | None
+    started_at: float | None
 
 
-class Work(NamedTuple):
-    """How much an endpoint has to do, for this instance or for others."""
+class WorkInProgress(NamedTuple):
+    """Work in progress at an endpoint, either for this instance or for all others."""
 
     running: int = 0
     waiting_tokens: int = 0
     memory_tokens: int = 0
 
 
-_NO_WORK = Work()
+_NO_WORK = WorkInProgress()
 
 
 class EndpointLoad(NamedTuple):
-    """An endpoint's load as believed now."""
+    """Estimate of an endpoint's current load."""
 
     endpoint: Endpoint
     running: int
@@ -65,17 +71,17 @@
 
     @property
     def wait_s(self) -> float:
-        """Seconds of prefill that stand before a new prompt."""
+        """Time until the prefill work queued ahead of a new prompt is done, in seconds."""
         return self.waiting_tokens / self.prefill_tokens_per_s
 
     @property
     def busy(self) -> float:
-        """Share of the decode slots in use."""
+        """The share of the decode slots that is in use."""
         return self.running / max(1, self.slots)
 
 
 class FleetView:
-    """The mutable view; every method takes the time as an argument."""
+    """The mutable state of the fleet; methods take the current time as an argument."""
 
     def __init__(self) -> None:
         self._fleet = Fleet(0, (), ())
@@ -83,18 +89,18 @@
         self._configuration: Configuration | None = None
         self._reports: dict[str, tuple[LoadReport, float]] = {}
         self._leaving_until: dict[str, float] = {}
-        self._heard_leaving_until: dict[str, float] = {}
+        self._peer_leaving_until: dict[str, float] = {}
         self._failed_at: dict[str, float] = {}
-        self._rests_until: dict[str, float] = {}
+        self._back_off_until: dict[str, float] = {}
         self._reservations: dict[str, Reservation] = {}
-        self._placed: dict[str, dict[str, Reservation]] = {}
-        self._own: dict[str, Work] = {}
-        # When the own prefill that an endpoint is at must have begun.
-        self._prefill_began: dict[str, float] = {}
-        self._others: dict[str, Work] = {}
-        self._cached: dict[str, set[int]] = {}
-        self._holders: dict[int, set[str]] = {}
-        self._last_events: dict[str, int] = {}
+        self._reservations_by_endpoint: dict[str, dict[str, Reservation]] = {}
+        self._own_work: dict[str, WorkInProgress] = {}
+        # Latest time at which an endpoint can have begun the own prefill that it computes now.
+        self._prefill_began_at: dict[str, float] = {}
+        self._other_work: dict[str, WorkInProgress] = {}
+        self._prefixes_by_endpoint: dict[str, set[int]] = {}
+        self._endpoints_by_prefix: dict[int, set[str]] = {}
+        self._last_event_numbers: dict[str, int] = {}
         self._groups: dict[tuple[str, Role, str], Group] = {}
 
     @property
@@ -104,35 +110,35 @@
 
     @property
     def reservations(self) -> Mapping[str, Reservation]:
-        """Own placements in progress, by request and role."""
+        """The own reservations in progress, by request and role."""
         return self._reservations
 
     def endpoint(self, name: str) -> Endpoint | None:
-        """Give an endpoint of the instance list by its name."""
+        """Return the endpoint of the given name in the instance list, or None."""
         return self._by_name.get(name)
 
     def set_fleet(self, fleet: Fleet) -> bool:
-        """Take an instance list if it is newer than the one in use."""
+        """Use an instance list if it is newer than the current one, and return whether it is."""
         if fleet.revision <= self._fleet.revision:
             return False
         self._fleet = fleet
         self._groups.clear()
         names = {endpoint.name for endpoint in fleet.endpoints}
         self._by_name = {endpoint.name: endpoint for endpoint in fleet.endpoints}
-        for name in self._cached.keys() - names:
-            self._forget_cache(name)
-        by_endpoint: list[dict[str, Any]] = [
+        for name in self._prefixes_by_endpoint.keys() - names:
+            self._forget_cached_prefixes(name)
+        state_by_endpoint: list[dict[str, Any]] = [
             self._reports,
-            self._others,
-            self._last_events,
+            self._other_work,
+            self._last_event_numbers,
             self._leaving_until,
-            self._heard_leaving_until,
+            self._peer_leaving_until,
             self._failed_at,
-            self._rests_until,
+            self._back_off_until,
         ]
-        for facts in by_endpoint:
-            for name in facts.keys() - names:
-                del facts[name]
+        for state in state_by_endpoint:
+            for name in state.keys() - names:
+                del state[name]
         return True
 
     def set_configuration(self, configuration: Configuration) -> None:
@@ -141,155 +147,167 @@
         self._groups.clear()
 
     def report(self, report: LoadReport, now: float) -> None:
-        """Take an endpoint's own load report."""
+        """Store an endpoint's load report."""
         name = report.endpoint
         known = self._reports.get(name)
         if known is not None and known[0].incarnation != report.incarnation:
             self._leaving_until.pop(name, None)
-            self._rests_until.pop(name, None)
+            self._back_off_until.pop(name, None)
         self._reports[name] = (report, now)
-        self._others[name] = self._subtract_own(report, now)
+        self._other_work[name] = self._subtract_own_work(report, now)
         if report.leaving:
-            self._leaving_until[name] = now + LEAVING_HOLD_S
+            self._leaving_until[name] = now + LEAVING_EXPIRY_S
 
     def last_event(self, name: str) -> int:
-        """Give the number of the last cache event heard of an endpoint."""
-        return self._last_events.get(name, 0)
-
-    def cache_news(self, name: str, news: CacheNews) -> None:
-        """Take cache events; after a gap nothing older is believed any more."""
-        if news.gap:
-            self._forget_cache(name)
-        cached = self._cached.setdefault(name, set())
-        for prefix in news.removed:
-            cached.discard(prefix)
-            self._drop_holder(prefix, name)
-        for prefix in news.added[-MAX_CACHED:]:
-            cached.add(prefix)
-            self._holders.setdefault(prefix, set()).add(name)
-        while len(cached) > MAX_CACHED:
-            self._drop_holder(cached.pop(), name)
-        self._last_events[name] = news.last
+        """Return the number of the last cache event received from an endpoint."""
+        return self._last_event_numbers.get(name, 0)
+
+    def cache_news(self, name: str, update: CacheNews) -> None:
+        """Apply cache events; a gap in them deletes what is known from earlier ones."""
+        if update.gap:
+            self._forget_cached_prefixes(name)
+        prefixes = self._prefixes_by_endpoint.setdefault(name, set())
+        for prefix in update.removed:
+            prefixes.discard(prefix)
+            self._remove_prefix(prefix, name)
+        for prefix in update.added[-MAX_CACHED_PREFIXES:]:
+            prefixes.add(prefix)
+            self._endpoints_by_prefix.setdefault(prefix, set()).add(name)
+        while len(prefixes) > MAX_CACHED_PREFIXES:
+            self._remove_prefix(prefixes.pop(), name)
+        self._last_event_numbers[name] = update.last
 
     def cache_holders(self, prefix: int) -> Set[str]:
-        """Give the names of endpoints that are believed to have a prefix cached."""
-        return self._holders.get(prefix, frozenset())
+        """Return the names of endpoints that have a prefix cached, according to their events."""
+        return self._endpoints_by_prefix.get(prefix, frozenset())
 
-    def _forget_cache(self, name: str) -> None:
-        for prefix in self._cached.pop(name, ()):
-            self._drop_holder(prefix, name)
+    def _forget_cached_prefixes(self, name: str) -> None:
+        for prefix in self._prefixes_by_endpoint.pop(name, ()):
+            self._remove_prefix(prefix, name)
 
-    def _drop_holder(self, prefix: int, name: str) -> None:
-        holders = self._holders.get(prefix)
-        if holders is not None:
-            holders.discard(name)
-            if not holders:
-                del self._holders[prefix]
+    def _remove_prefix(self, prefix: int, name: str) -> None:
+        names = self._endpoints_by_prefix.get(prefix)
+        if names is not None:
+            names.discard(name)
+            if not names:
+                del self._endpoints_by_prefix[prefix]
 
     def refuse_leaving(self, name: str, now: float) -> None:
         """Note that an endpoint refused work because it is leaving."""
-        self._leaving_until[name] = now + REFUSAL_HOLD_S
+        self._leaving_until[name] = now + LEAVING_REFUSAL_EXPIRY_S
 
-    def note_rest(self, name: str, rest_s: float, now: float) -> None:
-        """Note that an endpoint refused work and wants nothing for some time."""
-        self._rests_until[name] = max(self._rests_until.get(name, 0.0), now + rest_s)
+    def note_rest(self, name: str, back_off_s: float, now: float) -> None:
+        """Note that an endpoint refused work and accepts none for some time.
+
+        Args:
+            name: Name of the endpoint.
+            back_off_s: Time for which it accepts no work, in seconds.
+            now: The current time.
+        """
+        self._back_off_until[name] = max(self._back_off_until.get(name, 0.0), now + back_off_s)
 
     def note_failure(self, name: str, now: float) -> None:
-        """Note that an endpoint was not reached or did not answer an order.
+        """Note that an endpoint was unreachable or did not answer an order.
 
-        It gets nothing new until it gives its next report, which one that lives
-        does within a second: reports are the proof that it is back.
+        It gets no new work until its next report, which shows that it works again. An endpoint
+        that is running sends one within a second.
         """
         self._failed_at[name] = now
 
     def hear_leaving(self, name: str, now: float) -> None:
-        """Note a peer's word that an endpoint is leaving.
+        """Note that a peer has reported that an endpoint is leaving.
 
-        It is kept apart and not passed on: two instances that repeat each
-        other's word would keep an endpoint that came back out for ever.
+        This is stored separately and not passed on: two instances that repeated each other's
+        report would exclude an endpoint forever, even after it has returned to service.
         """
-        self._heard_leaving_until[name] = now + LEAVING_HOLD_S
+        self._peer_leaving_until[name] = now + LEAVING_EXPIRY_S
 
     def leaving(self, now: float) -> tuple[str, ...]:
-        """Names of endpoints that said themselves that they are leaving."""
+        """Return the names of endpoints that have reported or refused work as leaving."""
         return tuple(name for name, until in self._leaving_until.items() if now < until)
 
     def reserve(self, key: str, reservation: Reservation, now: float) -> None:
-        """Count work placed on an endpoint until it is released."""
+        """Count work as placed on an endpoint until it is released.
+
+        Args:
+            key: Key of the reservation; an earlier reservation of this key is released.
+            reservation: The work.
+            now: The current time.
+        """
         self.release(key, now)
         name = reservation.endpoint
-        if reservation.prefill_tokens and not self._own.get(name, _NO_WORK).waiting_tokens:
-            self._prefill_began[name] = now
+        if reservation.prefill_tokens and not self._own_work.get(name, _NO_WORK).waiting_tokens:
+            self._prefill_began_at[name] = now
         self._reservations[key] = reservation
-        self._placed.setdefault(name, {})[key] = reservation
-        self._add_own(reservation, 1)
+        self._reservations_by_endpoint.setdefault(name, {})[key] = reservation
+        self._add_own_work(reservation, 1)
 
     def note_started(self, key: str, now: float) -> None:
-        """Note that an endpoint has begun with reserved work."""
+        """Note that an endpoint has started reserved work."""
         reservation = self._reservations.get(key)
         if reservation is not None:
-            started = reservation._replace(at=now)
+            started = reservation._replace(started_at=now)
             self._reservations[key] = started
-            self._placed[reservation.endpoint][key] = started
+            self._reservations_by_endpoint[reservation.endpoint][key] = started
 
     def release(self, key: str, now: float) -> None:
-        """Forget a reservation; unknown keys are fine."""
+        """Delete a reservation; do nothing if the key is unknown."""
         reservation = self._reservations.pop(key, None)
         if reservation is None:
             return
         name = reservation.endpoint
-        del self._placed[name][key]
-        self._add_own(reservation, -1)
+        del self._reservations_by_endpoint[name][key]
+        self._add_own_work(reservation, -1)
         if reservation.prefill_tokens:
-            self._prefill_began[name] = now
-        if not self._placed[name]:
-            # Endpoints come and go; only those with work in progress are kept.
-            del self._placed[name], self._own[name]
-            self._prefill_began.pop(name, None)
-
-    def _add_own(self, item: Reservation, sign: int) -> None:
-        own = self._own.get(item.endpoint, _NO_WORK)
-        self._own[item.endpoint] = Work(
-            own.running + sign * (item.memory_tokens > 0),
-            own.waiting_tokens + sign * item.prefill_tokens,
-            own.memory_tokens + sign * (item.memory_tokens + item.prefill_tokens),
+            self._prefill_began_at[name] = now
+        if not self._reservations_by_endpoint[name]:
+            # Endpoints are replaced over time, so only those with work in progress are stored.
+            del self._reservations_by_endpoint[name], self._own_work[name]
+            self._prefill_began_at.pop(name, None)
+
+    def _add_own_work(self, item: Reservation, sign: int) -> None:
+        own_work = self._own_work.get(item.endpoint, _NO_WORK)
+        self._own_work[item.endpoint] = WorkInProgress(
+            own_work.running + sign * (item.memory_tokens > 0),
+            own_work.waiting_tokens + sign * item.prefill_tokens,
+            own_work.memory_tokens + sign * (item.memory_tokens + item.prefill_tokens),
         )
 
-    def _subtract_own(self, report: LoadReport, now: float) -> Work:
-        """Take this instance's work in progress from a report.
+    def _subtract_own_work(self, report: LoadReport, now: float) -> WorkInProgress:
+        """Return the work of other instances: a report less this instance's work in progress.
 
-        A report that is a little old may not show all of it; then others are
-        taken to do a little less than they do. Counting such work twice instead
-        was measured to cost far more (docs/design/policy.md).
+        A slightly outdated report may not include all of this instance's work. Then the work of
+        other instances is underestimated a little. Counting own work twice instead costs far
+        more (docs/design/policy.md).
         """
         running, waiting = report.running, report.waiting_tokens
         memory = report.memory_tokens - report.memory_free_tokens
-        for item in self._placed.get(report.endpoint, {}).values():
-            if item.at is not None and item.at <= now:
+        for item in self._reservations_by_endpoint.get(report.endpoint, {}).values():
+            if item.started_at is not None and item.started_at <= now:
                 running -= item.memory_tokens > 0
                 waiting -= item.prefill_tokens
                 memory -= item.memory_tokens + item.prefill_tokens
-        return Work(max(0, running), max(0, waiting), max(0, memory))
+        return WorkInProgress(max(0, running), max(0, waiting), max(0, memory))
 
     def usable(self, endpoint: Endpoint, now: float) -> bool:
-        """Tell whether an endpoint may get new work now."""
+        """Check whether an endpoint may get new work now."""
         name = endpoint.name
         if endpoint.leaving or now < self._leaving_until.get(name, 0.0):
             return False
-        if now < max(self._heard_leaving_until.get(name, 0.0), self._rests_until.get(name, 0.0)):
+        if now < max(self._peer_leaving_until.get(name, 0.0), self._back_off_until.get(name, 0.0)):
             return False
         report = self._reports.get(name)
-        if report is None or now - report[1] > CONFIRM_S:
+        if report is None or now - report[1] > MAX_REPORT_AGE_S:
             return False
         return report[1] >= self._failed_at.get(name, 0.0)
 
     def group(self, request_class: str, role: Role, data_centre: str = "") -> Group:
-        """Give the endpoints that a class may use in a role, usable now or not.
+        """Return the endpoints that a class may use in a role, including unusable ones.
 
         Args:
             request_class: Name of the class.
-            role: Role in the request.
-            data_centre: Only those there; all by default.
+            role: Role of the endpoint in the request.
+            data_centre: Data centre of the endpoints; empty for all.
         """
         key = (request_class, role, data_centre)
         if key not in self._groups:
@@ -297,58 +315,58 @@
         return self._groups[key]
 
     def candidates(self, request_class: str, role: Role, now: float) -> list[Endpoint]:
-        """Give all endpoints that a class may use in a role now; this looks at each."""
+        """Return all endpoints that a class may use in a role now; checks every endpoint."""
         group = self.group(request_class, role)
         return [endpoint for endpoint in group.endpoints if self.usable(endpoint, now)]
 
     def reported(self, endpoint: Endpoint) -> LoadReport:
-        """Give an endpoint's last report as it came."""
+        """Return an endpoint's last report without changes."""
         return self._reports[endpoint.name][0]
 
     def load(self, endpoint: Endpoint, now: float) -> EndpointLoad:
-        """Give an endpoint's load: others' as last reported, own as it is now."""
+        """Estimate an endpoint's load from its last report and the current own reservations."""
         name = endpoint.name
-        report, others = self._reports[name][0], self._others[name]
-        own = self._own.get(name, _NO_WORK)
+        report, other_work = self._reports[name][0], self._other_work[name]
+        own_work = self._own_work.get(name, _NO_WORK)
         rate = report.prefill_tokens_per_s
-        waiting = others.waiting_tokens + own.waiting_tokens
-        if own.waiting_tokens:
+        waiting = other_work.waiting_tokens + own_work.waiting_tokens
+        if own_work.waiting_tokens:
             waiting -= self._computed_tokens(name, rate, now)
         return EndpointLoad(
             endpoint,
-            others.running + own.running,
+            other_work.running + own_work.running,
             report.slots,
             waiting,
-            report.memory_tokens - others.memory_tokens - own.memory_tokens,
+            report.memory_tokens - other_work.memory_tokens - own_work.memory_tokens,
             rate,
         )
 
     def _computed_tokens(self, name: str, rate: float, now: float) -> int:
-        """Estimate how much of the own prefill in progress is done."""
-        sizes = (item.prefill_tokens for item in self._placed[name].values())
+        """Estimate how many tokens of the own prefill in progress have been computed."""
+        sizes = (item.prefill_tokens for item in self._reservations_by_endpoint[name].values())
         oldest = next((size for size in sizes if size), 0)
-        return min(oldest, int((now - self._prefill_began[name]) * rate))
+        return min(oldest, int((now - self._prefill_began_at[name]) * rate))
 
     def _select(self, request_class: str, role: Role, data_centre: str) -> tuple[Endpoint, ...]:
         configuration = self._configuration
         if configuration is None or request_class not in configuration.classes:
             return ()
-        wanted = configuration.classes[request_class]
+        class_configuration = configuration.classes[request_class]
         return tuple(
             endpoint
             for endpoint in self._fleet.endpoints
             if data_centre in ("", endpoint.data_centre)
-            and _serves(configuration.pools.get(endpoint.pool), wanted.service, role)
-            and match(wanted.selector, endpoint_labels(configuration, endpoint))
+            and _serves(configuration.pools.get(endpoint.pool), class_configuration.service, role)
+            and match(class_configuration.selector, endpoint_labels(configuration, endpoint))
         )
 
 
 def endpoint_labels(configuration: Configuration, endpoint: Endpoint) -> dict[str, str]:
-    """Give an endpoint's labels; the nearest giver of a label wins.
+    """Return an endpoint's labels; the most specific source of a label wins.
 
-    The order is data centre, pool, endpoint. The names that the instance list
-    gives (``dc``, ``pool``, ``endpoint``) and the region come last and can't be
-    overridden, so that a selector on them means what it says.
+    The order is data centre, pool, endpoint. The names from the instance list (``dc``, ``pool``,
+    ``endpoint``) and the region are set last and can't be overridden, so that a selector on them
+    always matches the actual data centre, pool, endpoint or region.
     """
     labels: dict[str, str] = {}
     data_centre = configuration.data_centres.get(endpoint.data_centre)
@@ -365,7 +383,7 @@
 
 
 def _serves(pool: Pool | None, service: str, role: Role) -> bool:
-    """Tell whether a pool serves a service in a role."""
+    """Check whether a pool serves a service in a role."""
     if pool is None or pool.service != service:
         return False
     return pool.role is role or (pool.role is Role.BOTH and role in (Role.PREFILL, Role.DECODE))
--- a/cleatlink/routing/view_test.py
+++ b/cleatlink/routing/view_test.py
@@ -1,4 +1,4 @@
-"""The view against a naive one that filters everything each time, and its rules on age."""
+"""Compares the fleet view with a naive search and tests its expiry rules."""
 
 from pathlib import Path
 
@@ -9,27 +9,27 @@
 from cleatlink.core.data import CacheNews, Configuration, Endpoint, Fleet, LoadReport, Role
 from cleatlink.core.labels import match, parse_selector
 from cleatlink.routing.view import (
-    CONFIRM_S,
-    LEAVING_HOLD_S,
-    REFUSAL_HOLD_S,
+    LEAVING_EXPIRY_S,
+    LEAVING_REFUSAL_EXPIRY_S,
+    MAX_REPORT_AGE_S,
     FleetView,
     Reservation,
     endpoint_labels,
 )
 
-TEXT = (Path(__file__).parents[2] / "examples/bublina.yaml").read_text()
+EXAMPLE_CONFIGURATION = (Path(__file__).parents[2] / "examples/bublina.yaml").read_text()
 POOLS = ["bublina-prefill", "bublina-decode", "reader", "no-such-pool"]
-PLACES = ["praha-a", "praha-b", "kladno", "elsewhere"]
+DATA_CENTRES = ["praha-a", "praha-b", "kladno", "elsewhere"]
 SELECTORS = ["", "site=edge", "site!=edge", "dc in (praha-a, kladno)", "work", "!work", "region=x"]
 
 
-def load(**changes: str) -> Configuration:
-    configuration, faults = load_configuration(TEXT, 1)
+def load_example(**changes: str) -> Configuration:
+    configuration, faults = load_configuration(EXAMPLE_CONFIGURATION, 1)
     assert configuration is not None, faults
     return configuration
 
 
-def report(name: str, leaving: bool = False, incarnation: str = "1") -> LoadReport:
+def make_report(name: str, leaving: bool = False, incarnation: str = "1") -> LoadReport:
     return LoadReport(name, incarnation, Role.DECODE, 8, 2, 100, 1000, 500, leaving, 100.0)
 
 
@@ -38,7 +38,7 @@
         Endpoint,
         st.sampled_from([f"n{number}" for number in range(12)]),
         st.just("127.0.0.1:1"),
-        st.sampled_from(PLACES),
+        st.sampled_from(DATA_CENTRES),
         st.sampled_from(POOLS),
         st.booleans(),
     ),
@@ -48,13 +48,13 @@
 
 
 @given(ENDPOINTS, st.sampled_from(SELECTORS), st.sampled_from(Role), st.data())
-def test_candidates_agree_with_filtering_everything(
+def test_usable_endpoints_equal_those_of_a_naive_search(
     endpoints: list[Endpoint], text: str, role: Role, data: st.DataObject
 ) -> None:
-    configuration = load()
+    configuration = load_example()
     selector, _ = parse_selector(text)
     assert selector is not None
-    wanted = configuration.classes["translation"]._replace(selector=selector)
+    request_class = configuration.classes["translation"]._replace(selector=selector)
     labels = data.draw(
         st.dictionaries(
             st.sampled_from([f"n{number}" for number in range(12)]),
@@ -62,14 +62,14 @@
         )
     )
     configuration = configuration._replace(
-        classes={**configuration.classes, "translation": wanted}, endpoint_labels=labels
+        classes={**configuration.classes, "translation": request_class}, endpoint_labels=labels
     )
     view = FleetView()
     view.set_configuration(configuration)
     view.set_fleet(Fleet(1, tuple(endpoints), ()))
     reported = data.draw(st.sets(st.sampled_from([f"n{number}" for number in range(12)])))
     for name in reported:
-        view.report(report(name), 100.0)
+        view.report(make_report(name), 100.0)
     naive = [
         endpoint
         for endpoint in endpoints
@@ -86,97 +86,97 @@
 def make_view() -> tuple[FleetView, Endpoint]:
     endpoint = Endpoint("d1", "127.0.0.1:1", "praha-a", "bublina-decode")
     view = FleetView()
-    view.set_configuration(load())
+    view.set_configuration(load_example())
     view.set_fleet(Fleet(5, (endpoint,), ()))
     return view, endpoint
 
 
-def test_old_report_makes_unusable() -> None:
+def test_endpoint_with_an_old_report_is_unusable() -> None:
     view, endpoint = make_view()
     assert not view.usable(endpoint, 0.0)
-    view.report(report("d1"), 100.0)
-    assert view.usable(endpoint, 100.0 + CONFIRM_S)
-    assert not view.usable(endpoint, 100.1 + CONFIRM_S)
+    view.report(make_report("d1"), 100.0)
+    assert view.usable(endpoint, 100.0 + MAX_REPORT_AGE_S)
+    assert not view.usable(endpoint, 100.1 + MAX_REPORT_AGE_S)
 
 
-def test_refusal_holds_until_a_report_shows_the_leaving() -> None:
+def test_leaving_refusal_counts_until_a_report_says_leaving() -> None:
     view, endpoint = make_view()
-    view.report(report("d1"), 100.0)
+    view.report(make_report("d1"), 100.0)
     view.refuse_leaving("d1", 100.0)
-    view.report(report("d1"), 100.0 + REFUSAL_HOLD_S - 1)
-    assert not view.usable(endpoint, 100.0 + REFUSAL_HOLD_S - 1)
-    view.report(report("d1", leaving=True), 300.0)
-    view.report(report("d1"), 300.0 + LEAVING_HOLD_S)
-    assert view.usable(endpoint, 300.0 + LEAVING_HOLD_S)
+    view.report(make_report("d1"), 100.0 + LEAVING_REFUSAL_EXPIRY_S - 1)
+    assert not view.usable(endpoint, 100.0 + LEAVING_REFUSAL_EXPIRY_S - 1)
+    view.report(make_report("d1", leaving=True), 300.0)
+    view.report(make_report("d1"), 300.0 + LEAVING_EXPIRY_S)
+    assert view.usable(endpoint, 300.0 + LEAVING_EXPIRY_S)
 
 
-def test_rest_is_kept_whatever_reports_say_but_not_by_a_new_incarnation() -> None:
+def test_back_off_ends_on_restart_but_not_on_a_report() -> None:
     view, endpoint = make_view()
-    view.report(report("d1"), 100.0)
+    view.report(make_report("d1"), 100.0)
     view.note_rest("d1", 3.0, 100.0)
     view.note_rest("d1", 1.0, 101.0)
-    view.report(report("d1"), 102.0)
+    view.report(make_report("d1"), 102.0)
     assert not view.usable(endpoint, 102.9)
-    view.report(report("d1"), 103.0)
+    view.report(make_report("d1"), 103.0)
     assert view.usable(endpoint, 103.0)
     view.note_rest("d1", 60.0, 103.0)
-    view.report(report("d1", incarnation="2"), 104.0)
+    view.report(make_report("d1", incarnation="2"), 104.0)
     assert view.usable(endpoint, 104.0)
 
 
-def test_new_incarnation_is_not_leaving() -> None:
+def test_restart_ends_the_leaving_state() -> None:
     view, endpoint = make_view()
-    view.report(report("d1", leaving=True), 100.0)
+    view.report(make_report("d1", leaving=True), 100.0)
     assert view.leaving(100.0) == ("d1",)
-    view.report(report("d1", incarnation="2"), 101.0)
+    view.report(make_report("d1", incarnation="2"), 101.0)
     assert view.usable(endpoint, 101.0)
 
 
-def test_peers_word_is_kept_but_not_passed_on() -> None:
+def test_leaving_notice_of_a_peer_is_stored_but_not_passed_on() -> None:
     view, endpoint = make_view()
-    view.report(report("d1"), 100.0)
+    view.report(make_report("d1"), 100.0)
     view.hear_leaving("d1", 100.0)
     assert not view.usable(endpoint, 101.0)
     assert view.leaving(101.0) == ()
 
 
-def loads(view: FleetView, endpoint: Endpoint) -> tuple[int, int, int]:
-    # At the time of placing, when nothing of the own prefill is done yet.
+def estimated_load(view: FleetView, endpoint: Endpoint) -> tuple[int, int, int]:
+    # At the time of the placement, when no token of the own prefill has been computed.
     load = view.load(endpoint, 100.5)
     return load.running, load.waiting_tokens, load.free_tokens
 
 
-def test_own_placements_count_once() -> None:
+def test_own_reservations_count_once() -> None:
     view, endpoint = make_view()
-    unseen = report("d1")
-    view.report(unseen, 100.0)
-    assert loads(view, endpoint) == (2, 100, 500)
+    without_own_work = make_report("d1")
+    view.report(without_own_work, 100.0)
+    assert estimated_load(view, endpoint) == (2, 100, 500)
     view.reserve("r/decode", Reservation("d1", 0, 200, None), 100.5)
     view.reserve("r/prefill", Reservation("d1", 50, 0, 100.5), 100.5)
-    assert loads(view, endpoint) == (3, 150, 250)
-    seen = unseen._replace(waiting_tokens=150, memory_free_tokens=450)
-    view.report(seen, 100.6)
-    assert loads(view, endpoint) == (3, 150, 250)
+    assert estimated_load(view, endpoint) == (3, 150, 250)
+    with_own_prefill = without_own_work._replace(waiting_tokens=150, memory_free_tokens=450)
+    view.report(with_own_prefill, 100.6)
+    assert estimated_load(view, endpoint) == (3, 150, 250)
     view.release("r/prefill", 102.0)
     view.note_started("r/decode", 102.0)
-    both = unseen._replace(running=3, memory_free_tokens=300)
-    view.report(both, 102.1)
-    assert loads(view, endpoint) == (3, 100, 300)
+    with_own_decode = without_own_work._replace(running=3, memory_free_tokens=300)
+    view.report(with_own_decode, 102.1)
+    assert estimated_load(view, endpoint) == (3, 100, 300)
     view.release("r/decode", 103.0)
     view.release("r/decode", 103.0)
-    assert loads(view, endpoint) == (2, 100, 500)
+    assert estimated_load(view, endpoint) == (2, 100, 500)
 
 
-def test_report_that_misses_own_work_never_makes_others_negative() -> None:
+def test_work_of_others_is_not_negative_if_a_report_misses_own_work() -> None:
     view, endpoint = make_view()
-    idle = report("d1")._replace(running=0, waiting_tokens=0, memory_free_tokens=1000)
+    idle = make_report("d1")._replace(running=0, waiting_tokens=0, memory_free_tokens=1000)
     view.report(idle, 100.0)
     view.reserve("r/prefill", Reservation("d1", 50, 0, 100.5), 100.5)
     view.report(idle, 100.6)
-    assert loads(view, endpoint) == (0, 50, 950)
+    assert estimated_load(view, endpoint) == (0, 50, 950)
 
 
-def test_lists_go_upwards_only() -> None:
+def test_older_or_equal_instance_list_is_ignored() -> None:
     view, _ = make_view()
     assert not view.set_fleet(Fleet(4, (), ()))
     assert not view.set_fleet(Fleet(5, (), ()))
@@ -184,7 +184,7 @@
     assert view.set_fleet(Fleet(6, (), ()))
 
 
-def test_cached_prefixes_follow_events_and_are_forgotten_after_a_gap() -> None:
+def test_cache_events_update_prefixes_and_a_gap_deletes_them() -> None:
     view, _ = make_view()
     view.cache_news("d1", CacheNews((1, 2), (), 2, False))
     view.cache_news("d1", CacheNews((3,), (1,), 4, False))
@@ -196,21 +196,21 @@
     assert not view.cache_holders(5)
 
 
-def test_own_prefill_in_progress_counts_with_what_is_left() -> None:
+def test_own_prefill_in_progress_counts_its_remaining_tokens() -> None:
     view, endpoint = make_view()
-    view.report(report("d1")._replace(waiting_tokens=0), 100.0)
+    view.report(make_report("d1")._replace(waiting_tokens=0), 100.0)
     view.reserve("r/prefill", Reservation("d1", 300, 0, 100.0), 100.0)
     view.reserve("s/prefill", Reservation("d1", 500, 0, 101.0), 101.0)
     assert view.load(endpoint, 102.0).waiting_tokens == 600
-    assert view.load(endpoint, 110.0).waiting_tokens == 500, "the next has not begun"
+    assert view.load(endpoint, 110.0).waiting_tokens == 500, "the next prefill has not begun"
     view.release("r/prefill", 104.0)
     assert view.load(endpoint, 105.0).waiting_tokens == 400
 
 
-def test_failed_endpoint_gets_nothing_until_its_next_report() -> None:
+def test_failed_endpoint_is_unusable_until_its_next_report() -> None:
     view, endpoint = make_view()
-    view.report(report("d1"), 100.0)
+    view.report(make_report("d1"), 100.0)
     view.note_failure("d1", 100.5)
     assert not view.usable(endpoint, 100.6)
-    view.report(report("d1"), 101.0)
+    view.report(make_report("d1"), 101.0)
     assert view.usable(endpoint, 101.0)
