--- a/cleatlink/routing/prompt_plan.py
+++ b/cleatlink/routing/prompt_plan.py
@@ -1,10 +1,10 @@
-"""Decides where a stream's prompt is computed: at a prefill, or at the decode itself.
+"""Decides whether a prefill or a decode endpoint computes the prompt of a stream.
 
-A prefill computes it at its full pace, but may have others to do first. A decode
-that computes a prompt between the tokens of its other streams holds those up: an
-event of theirs may have to wait for all of it. So the decode does it when there is
-no prefill, or when every prefill is too busy for the stream to be in time and the
-pause that it causes is one that the route bears.
+A prefill endpoint computes prompts at full speed, but may have a queue. A decode endpoint that
+computes a prompt delays its other streams: one of their events may have to wait until the whole
+prompt is computed. So the decode endpoint computes the prompt only if there is no prefill
+endpoint, or if every prefill endpoint is too busy for the stream to be in time and the delay of
+the other streams is within the route's limit.
 """
 
 from typing import NamedTuple
@@ -23,12 +23,13 @@
     """Where a prompt is to be computed.
 
     Attributes:
-        direct: Whether the decode computes it.
-        ready_s: Seconds until it should be done, queue included.
-        queue_s: Seconds until it should begin.
-        spare_s: Seconds for which the stream may still wait for room and be in time;
-            negative if it can't be.
-        stay_s: Seconds for which it may still wait and be served before its caller leaves.
+        direct: Whether the decode endpoint computes the prompt.
+        ready_s: Expected time until the prompt is computed, including the queue, in seconds.
+        queue_s: Expected time until the computation begins, in seconds.
+        spare_s: Time for which the stream may still wait for capacity and be in time, in
+            seconds; negative if it can't be in time.
+        stay_s: Time for which the stream may still wait for capacity and be served before its
+            caller leaves, in seconds.
     """
 
     direct: bool
@@ -39,16 +40,16 @@
 
     @property
     def is_late(self) -> bool:
-        """Whether the stream will be late even if it has room now."""
+        """Whether the stream will be late even if it is placed now."""
         return self.spare_s < 0
 
 
-class _Ready(NamedTuple):
-    """When a prefill has a prompt ready, in seconds.
+class _PrefillTime(NamedTuple):
+    """Time that a prefill endpoint needs for a prompt.
 
     Attributes:
-        queue_s: Until it begins.
-        prompt_s: What it takes then.
+        queue_s: Time until the computation begins, in seconds.
+        prompt_s: Time that the computation takes, in seconds.
     """
 
     queue_s: float
@@ -62,48 +63,57 @@
     capacity: Capacity,
     seeker: Seeker,
 ) -> PromptPlan:
-    """Plan where a stream's prompt is computed if it gets room now."""
+    """Decide where a stream's prompt is computed if the stream is placed now."""
     assert service.engine is not None, "only engines compute prompts"
     pace = capacity.pace(service.name)
-    alone_s = pace.prompt_s(inbound.prompt_tokens)
+    idle_prompt_s = pace.prompt_s(inbound.prompt_tokens)
     age_s = seeker.now - inbound.arrived_at
-    in_time_s = pace.bearable_s(route.target_s, alone_s) - age_s
-    # Callers leave a stream that does not begin, and one that they have no time left to read.
-    rest_s = pace.token_s * estimate_output(inbound, pace)
-    lasts_s = min(route.timeout_s, inbound.deadline - inbound.arrived_at)
-    leaves_s = pace.bearable_s(min(route.patience_s, lasts_s - rest_s), alone_s) - age_s
+    target_slack_s = pace.bearable_s(route.target_s, idle_prompt_s) - age_s
+    # Callers leave if a stream does not begin in time, or if the time left is too short for its
+    # output.
+    output_s = pace.token_s * estimate_output(inbound, pace)
+    time_limit_s = min(route.timeout_s, inbound.deadline - inbound.arrived_at)
+    caller_slack_s = (
+        pace.bearable_s(min(route.patience_s, time_limit_s - output_s), idle_prompt_s) - age_s
+    )
 
     def plan(direct: bool, queue_s: float, prompt_s: float, start_s: float) -> PromptPlan:
         ready_s = queue_s + prompt_s
-        first_s = ready_s + start_s
-        return PromptPlan(direct, ready_s, queue_s, in_time_s - first_s, leaves_s - first_s)
-
-    direct_s = DIRECT_FACTOR * alone_s
-    direct = plan(True, 0.0, direct_s, pace.token_s)
-    first = _first_ready(service.name, capacity, seeker, alone_s)
-    if first is None:
-        return direct
-    apart = plan(False, first.queue_s, first.prompt_s, pace.start_s)
-    pause_s = pace.direct_pause_s(alone_s, service.engine.event_tokens)
-    shares = capacity.switches.uses(Mechanism.SHARED_PROMPTS)
-    if not apart.is_late or pause_s > route.event_gap_s or not shares:
-        return apart
-    return apart if direct.is_late else direct
-
-
-def _first_ready(service: str, capacity: Capacity, seeker: Seeker, alone_s: float) -> _Ready | None:
-    """Give when the prefill that has a prompt ready first is done; None without any.
+        first_token_s = ready_s + start_s
+        return PromptPlan(
+            direct, ready_s, queue_s, target_slack_s - first_token_s, caller_slack_s - first_token_s
+        )
+
+    decode_prompt_s = DIRECT_FACTOR * idle_prompt_s
+    on_decode = plan(True, 0.0, decode_prompt_s, pace.token_s)
+    earliest = _earliest_prefill(service.name, capacity, seeker, idle_prompt_s)
+    if earliest is None:
+        return on_decode
+    on_prefill = plan(False, earliest.queue_s, earliest.prompt_s, pace.start_s)
+    pause_s = pace.direct_pause_s(idle_prompt_s, service.engine.event_tokens)
+    may_use_decode = capacity.switches.uses(Mechanism.SHARED_PROMPTS)
+    if not on_prefill.is_late or pause_s > route.event_gap_s or not may_use_decode:
+        return on_prefill
+    return on_prefill if on_decode.is_late else on_decode
+
+
+def _earliest_prefill(
+    service: str, capacity: Capacity, seeker: Seeker, idle_prompt_s: float
+) -> _PrefillTime | None:
+    """Return the times of the prefill endpoint that completes the prompt first, or None.
 
     Args:
-        service: The service.
-        capacity: What is believed of its endpoints.
-        seeker: Who seeks.
-        alone_s: Seconds that one of the usual speed takes for the prompt.
+        service: Name of the service.
+        capacity: Known state of its endpoints.
+        seeker: The request for an endpoint.
+        idle_prompt_s: Seconds that an idle endpoint of the usual speed needs for the prompt.
     """
     names = (item.name for item in capacity.candidates(service, Role.PREFILL, seeker.now))
-    found = (
-        _Ready(capacity.begins_in_s(name, seeker.now), alone_s / capacity.speed(name, seeker.now))
+    times = (
+        _PrefillTime(
+            capacity.begins_in_s(name, seeker.now), idle_prompt_s / capacity.speed(name, seeker.now)
+        )
         for name in names
         if name not in seeker.excluded
     )
-    return min(found, key=sum, default=None)
+    return min(times, key=sum, default=None)
--- a/cleatlink/routing/queueing.py
+++ b/cleatlink/routing/queueing.py
@@ -1,16 +1,16 @@
-"""Estimates how much of the work that arrives is served in time by a number of servers.
+"""Estimates the share of arriving work that a number of servers serves in time.
 
-The model is the textbook's queue with random arrivals, random service times and a bounded
-number of waiting places (M/M/c/K): as many may wait as are served within the time for
-which a wait is no loss. What finds all of them taken is late or refused.
+The model is the standard queue with random arrivals, random service times and a bounded length
+(M/M/c/K). The bound is the number of requests that are served within the time that a request
+may wait and still be in time. A request that finds the queue full is late or rejected.
 """
 
 from functools import lru_cache
 
 __all__ = ["in_time_share"]
 
-# A share of arrivals too small to count.
-_NOTHING = 1e-12
+# Share of late or rejected arrivals that is small enough to ignore.
+_NEGLIGIBLE_SHARE = 1e-12
 
 
 @lru_cache(maxsize=4096)
@@ -19,22 +19,23 @@
 
     Args:
         rate: Arrivals a second.
-        service_s: Seconds of service that one of them takes.
-        servers: How many are served at once.
-        slack_s: Seconds for which one may wait and be in time; negative if it never is.
+        service_s: Mean service time of one request, in seconds.
+        servers: Number of requests that are served at once.
+        slack_s: Time for which a request may wait and still be in time, in seconds; negative if
+            it can't be in time.
     """
-    work = rate * service_s
-    if work <= 0:
+    offered_load = rate * service_s
+    if offered_load <= 0:
         return 1.0
     if servers <= 0 or slack_s < 0:
         return 0.0
-    lost = 1.0
-    for busy in range(1, servers + 1):
-        lost = work * lost / (busy + work * lost)
-    load = work / servers
+    lost_share = 1.0
+    for busy_servers in range(1, servers + 1):
+        lost_share = offered_load * lost_share / (busy_servers + offered_load * lost_share)
+    load_per_server = offered_load / servers
     for _ in range(round(slack_s * servers / service_s)):
-        # The shorter the service, the more steps there are, and the sooner nothing is lost.
-        if lost < _NOTHING:
+        # A short service time needs many steps, but then the lost share becomes negligible soon.
+        if lost_share < _NEGLIGIBLE_SHARE:
             break
-        lost = load * lost / (1 + load * lost)
-    return 1.0 - lost
+        lost_share = load_per_server * lost_share / (1 + load_per_server * lost_share)
+    return 1.0 - lost_share
--- a/cleatlink/routing/relay_parts_test.py
+++ b/cleatlink/routing/relay_parts_test.py
@@ -1,4 +1,4 @@
-"""The relay's pure parts: routes, capacity, placement, budgets, records."""
+"""Tests the relay's parts without I/O: routes, capacity, placement, budgets, records."""
 
 import math
 import random
@@ -39,51 +39,55 @@
 SEGMENTS = st.lists(st.sampled_from(["a", "b", "c"]), max_size=4)
 
 
-def route(prefix: str, host: str = "h", shares: tuple[ServiceShare, ...] = ()) -> Route:
+def make_route(prefix: str, host: str = "h", shares: tuple[ServiceShare, ...] = ()) -> Route:
     return Route(prefix, host, prefix, RouteKind.SAFE, 1.0, 0.3, 1, shares)
 
 
-def table(revision: int, *prefixes: str) -> RouteTable:
-    return RouteTable(revision, tuple(route(item) for item in prefixes), {}, CallerLimits())
+def make_table(revision: int, *prefixes: str) -> RouteTable:
+    return RouteTable(revision, tuple(make_route(item) for item in prefixes), {}, CallerLimits())
 
 
-def endpoint(name: str, role: Role = Role.DECODE, data_centre: str = "a") -> RoutedEndpoint:
+def make_endpoint(name: str, role: Role = Role.DECODE, data_centre: str = "a") -> RoutedEndpoint:
     return RoutedEndpoint(name, "127.0.0.1:1", data_centre, "s", role, 4)
 
 
-def size(prompt: int, output: int = 0, duration_s: float = 1.0) -> StreamSize:
+def make_size(prompt: int, output: int = 0, duration_s: float = 1.0) -> StreamSize:
     return StreamSize(prompt, output, duration_s)
 
 
-def seeker(now: float = 0.0, excluded: frozenset[str] = frozenset()) -> Seeker:
+def make_seeker(now: float = 0.0, excluded: frozenset[str] = frozenset()) -> Seeker:
     return Seeker("a", excluded, now, random.Random(1))
 
 
 @given(st.lists(SEGMENTS, max_size=8), SEGMENTS, st.sampled_from(["", "x", "x/"]))
-def test_longest_prefix_wins_like_a_naive_search(
+def test_route_with_the_longest_prefix_wins_as_in_a_naive_search(
     prefixes: list[list[str]], path: list[str], rest: str
 ) -> None:
     texts = sorted({"/" + "".join(f"{part}/" for part in prefix) for prefix in prefixes})
-    asked = "/" + "".join(f"{part}/" for part in path) + rest
-    fitting = [text for text in texts if asked.startswith(text)]
-    found = RouteIndex(table(1, *texts)).find("H", asked)
-    assert (found.path_prefix if found else None) == max(fitting, key=len, default=None)
+    requested = "/" + "".join(f"{part}/" for part in path) + rest
+    matching = [text for text in texts if requested.startswith(text)]
+    found = RouteIndex(make_table(1, *texts)).find("H", requested)
+    assert (found.path_prefix if found else None) == max(matching, key=len, default=None)
 
 
-def test_shares_follow_their_weights() -> None:
-    split = route("/", shares=(ServiceShare("x", 90), ServiceShare("y", 10), ServiceShare("z", 0)))
+def test_services_are_chosen_by_their_weights() -> None:
+    split = make_route(
+        "/", shares=(ServiceShare("x", 90), ServiceShare("y", 10), ServiceShare("z", 0))
+    )
     assert choose_service(split, 0.0) == "x"
     assert choose_service(split, 0.899) == "x"
     assert choose_service(split, 0.901) == "y"
     assert choose_service(split, 0.999) == "y"
-    assert choose_service(route("/"), 0.5) is None
+    assert choose_service(make_route("/"), 0.5) is None
 
 
 @given(st.lists(st.tuples(st.integers(1, 9), st.booleans()), max_size=20))
-def test_records_end_alike_in_any_order(changes: list[tuple[int, bool]]) -> None:
+def test_records_are_equal_after_updates_in_any_order(changes: list[tuple[int, bool]]) -> None:
     records = {
-        revision: EndpointRecord("e", StoreRevision(0, revision), endpoint("e") if there else None)
-        for revision, there in changes
+        revision: EndpointRecord(
+            "e", StoreRevision(0, revision), make_endpoint("e") if is_present else None
+        )
+        for revision, is_present in changes
     }
     forward, backward = FleetRecords(), FleetRecords()
     for revision in sorted(records):
@@ -93,85 +97,85 @@
     assert forward.records == backward.records
 
 
-def test_tables_go_upwards_only() -> None:
+def test_older_or_equal_route_table_is_ignored() -> None:
     records = FleetRecords()
-    assert records.offer_table(table(5))
-    assert not records.offer_table(table(5))
-    assert not records.offer_table(table(4))
+    assert records.offer_table(make_table(5))
+    assert not records.offer_table(make_table(5))
+    assert not records.offer_table(make_table(4))
     assert records.table_revision == 5
 
 
-def test_whole_list_names_what_left_but_not_what_is_newer() -> None:
+def test_complete_list_removes_missing_records_but_no_newer_ones() -> None:
     records = FleetRecords()
-    records.offer_record(EndpointRecord("old", StoreRevision(0, 3), endpoint("old")))
-    records.offer_record(EndpointRecord("new", StoreRevision(0, 9), endpoint("new")))
+    records.offer_record(EndpointRecord("old", StoreRevision(0, 3), make_endpoint("old")))
+    records.offer_record(EndpointRecord("new", StoreRevision(0, 9), make_endpoint("new")))
     assert [item.name for item in records.missing_since(set(), StoreRevision(0, 7))] == ["old"]
 
 
-def test_decode_goes_where_memory_is_left() -> None:
+def test_decode_is_placed_where_memory_is_free() -> None:
     capacity = Capacity()
-    capacity.set_endpoint(endpoint("x"))
-    capacity.set_endpoint(endpoint("y"))
+    capacity.set_endpoint(make_endpoint("x"))
+    capacity.set_endpoint(make_endpoint("y"))
     capacity.reserve("1", Reservation("x", Role.DECODE, 700, 5.0))
     capacity.peer_reserve("p", "2", Reservation("y", Role.DECODE, 400, 6.0))
-    found = place_decode("s", size(400), TRAITS, capacity, seeker())
+    found = place_decode("s", make_size(400), TRAITS, capacity, make_seeker())
     assert found is not None
     assert found.name == "y"
     capacity.peer_reserve("p", "3", Reservation("y", Role.DECODE, 400, 7.0))
-    assert place_decode("s", size(600), TRAITS, capacity, seeker()) is None
+    assert place_decode("s", make_size(600), TRAITS, capacity, make_seeker()) is None
     capacity.forget_peer("p")
-    found = place_decode("s", size(600), TRAITS, capacity, seeker())
+    found = place_decode("s", make_size(600), TRAITS, capacity, make_seeker())
     assert found is not None
     assert found.name == "y"
 
 
-def test_slots_bound_a_decode_too() -> None:
+def test_decode_is_not_placed_without_a_free_slot() -> None:
     capacity = Capacity()
-    capacity.set_endpoint(endpoint("x"))
+    capacity.set_endpoint(make_endpoint("x"))
     for number in range(4):
         capacity.reserve(str(number), Reservation("x", Role.DECODE, 1, 5.0))
-    assert place_decode("s", size(1), TRAITS, capacity, seeker()) is None
+    assert place_decode("s", make_size(1), TRAITS, capacity, make_seeker()) is None
 
 
-def test_prefill_goes_to_the_shortest_queue_and_near_when_equal() -> None:
+def test_prefill_is_placed_at_the_shortest_queue_and_nearby_among_equals() -> None:
     capacity = Capacity()
-    capacity.set_endpoint(endpoint("far", Role.PREFILL, "b"))
-    capacity.set_endpoint(endpoint("near", Role.PREFILL, "a"))
-    found = place_prefill("s", capacity, seeker(), "a")
+    capacity.set_endpoint(make_endpoint("far", Role.PREFILL, "b"))
+    capacity.set_endpoint(make_endpoint("near", Role.PREFILL, "a"))
+    found = place_prefill("s", capacity, make_seeker(), "a")
     assert found is not None
     assert found.name == "near"
     capacity.reserve("1", Reservation("near", Role.PREFILL, 5000, 1.0))
-    found = place_prefill("s", capacity, seeker(), "a")
+    found = place_prefill("s", capacity, make_seeker(), "a")
     assert found is not None
     assert found.name == "far"
 
 
-def test_queue_of_a_prefill_does_not_grow_by_prompts_that_are_late() -> None:
+def test_overdue_prompts_do_not_lengthen_the_estimated_queue_of_a_prefill() -> None:
     capacity = Capacity()
-    capacity.set_endpoint(endpoint("p", Role.PREFILL))
+    capacity.set_endpoint(make_endpoint("p", Role.PREFILL))
     pace = capacity.pace("s")
     for _ in range(9):
         pace.note_prompt(1000, 0.0, 0.1)
     assert capacity.queue_s("p") == 0.0
     now = 0.0
     for number in range(20):
-        # Each takes longer than was expected of it and of those before it.
+        # Each prompt takes longer than expected for it and the prompts queued ahead of it.
         expected_s = capacity.queue_s("p") + pace.prompt_s(1000)
-        work = Reservation("p", Role.PREFILL, 1000, now + expected_s, expected_s)
-        capacity.reserve(str(number), work)
+        reservation = Reservation("p", Role.PREFILL, 1000, now + expected_s, expected_s)
+        capacity.reserve(str(number), reservation)
         now += 0.2
         if number >= 3:
             capacity.release(str(number - 3))
         assert capacity.queue_s("p") <= 0.4
 
 
-def test_endpoint_that_fails_is_avoided_longer_each_time_and_used_if_alone() -> None:
+def test_failing_endpoint_is_avoided_longer_each_time_but_used_if_it_is_the_only_one() -> None:
     capacity = Capacity()
     for name in ("x", "y"):
-        capacity.set_endpoint(endpoint(name, Role.PLAIN))
+        capacity.set_endpoint(make_endpoint(name, Role.PLAIN))
     capacity.note_failure("x", 0.0)
-    assert {place_plain("s", capacity, seeker(0.1)) for _ in range(9)} == {
-        endpoint("y", Role.PLAIN)
+    assert {place_plain("s", capacity, make_seeker(0.1)) for _ in range(9)} == {
+        make_endpoint("y", Role.PLAIN)
     }
     assert len(capacity.candidates("s", Role.PLAIN, 0.6)) == 2
     capacity.note_failure("x", 0.6)
@@ -180,7 +184,7 @@
     assert [item.name for item in capacity.candidates("s", Role.PLAIN, 1.5)] == ["x"]
     capacity.note_success("x", 2.0)
     capacity.remove_endpoint("x")
-    assert place_plain("s", capacity, seeker(9.0)) is None
+    assert place_plain("s", capacity, make_seeker(9.0)) is None
 
 
 @given(
@@ -188,7 +192,7 @@
         st.tuples(st.sampled_from("abc"), st.sampled_from("xy"), st.integers(1, 9)), max_size=30
     )
 )
-def test_usage_is_the_sum_of_what_is_reserved(steps: list[tuple[str, str, int]]) -> None:
+def test_usage_is_the_sum_of_the_reservations(steps: list[tuple[str, str, int]]) -> None:
     capacity = Capacity()
     expected: dict[str, tuple[str, int]] = {}
     for key, name, tokens in steps:
@@ -199,11 +203,11 @@
             capacity.reserve(key, Reservation(name, Role.DECODE, tokens, 0.0))
             expected[key] = (name, tokens)
     for name in "xy":
-        sizes = [size for place, size in expected.values() if place == name]
+        sizes = [size for reserved_at, size in expected.values() if reserved_at == name]
         assert capacity.usage(name, Role.DECODE) == (len(sizes), sum(sizes))
 
 
-def test_hint_bounds_the_answer_of_a_stream() -> None:
+def test_output_hint_limits_the_estimated_output_of_a_stream() -> None:
     inbound = Inbound("r", b"POST", b"/", "h", (), b"", 0.0, prompt_tokens=100)
     assert estimate_output(inbound._replace(max_output_tokens=1000), ServicePace()) == 1000
     hinted = estimate_output(
@@ -216,38 +220,38 @@
     )
 
 
-def test_longest_stream_is_unknown_without_a_pace_and_then_beyond_what_is_expected() -> None:
+def test_longest_stream_is_infinite_without_a_measured_pace_and_then_above_the_estimate() -> None:
     pace = ServicePace()
     inbound = Inbound("r", b"POST", b"/", "h", (), b"", 0.0, 9.0, 1000, 500, 100)
     assert longest_stream_s(inbound, pace) == math.inf
     for _ in range(20):
         pace.note_tokens(100, 0.2)
-    # The prior of lengths: two deviations of a half beyond the hint of 100.
+    # The prior of output lengths: two standard deviations of a half above the hint of 100.
     assert longest_stream_s(inbound, pace) == pytest.approx(2 * pace.start_s + 200 * 0.002)
     assert longest_stream_s(inbound, pace, 0.5) == pytest.approx(
         1.0 + longest_stream_s(inbound, pace)
     )
-    # Never beyond the most that was asked for.
-    most = inbound._replace(max_output_tokens=120)
-    assert longest_stream_s(most, pace) == pytest.approx(2 * pace.start_s + 120 * 0.002)
+    # Never above the requested maximum.
+    limited = inbound._replace(max_output_tokens=120)
+    assert longest_stream_s(limited, pace) == pytest.approx(2 * pace.start_s + 120 * 0.002)
     unhinted = inbound._replace(output_hint=0)
     assert longest_stream_s(unhinted, pace) == pytest.approx(2 * pace.start_s + 500 * 0.002)
 
 
 def test_streams_that_end_at_different_times_share_memory() -> None:
     capacity = Capacity()
-    capacity.set_endpoint(endpoint("x"))
-    # One is nearly over when the other begins: 600 and 500 never stand together.
+    capacity.set_endpoint(make_endpoint("x"))
+    # One has nearly ended when the other begins: 600 and 500 are never in use together.
     capacity.reserve("1", Reservation("x", Role.DECODE, 600, 1.0, 10.0, 400))
-    assert capacity.peak_memory("x", [size(100, 400, 10.0).reserve("x", 0.0)], 0.0) < 760
-    assert place_decode("s", size(100, 400, 10.0), TRAITS, capacity, seeker()) is not None
-    # Begun together they do.
+    assert capacity.peak_memory("x", [make_size(100, 400, 10.0).reserve("x", 0.0)], 0.0) < 760
+    assert place_decode("s", make_size(100, 400, 10.0), TRAITS, capacity, make_seeker()) is not None
+    # If both begin together, they are.
     capacity.reserve("1", Reservation("x", Role.DECODE, 600, 10.0, 10.0, 400))
-    assert capacity.peak_memory("x", [size(100, 400, 10.0).reserve("x", 0.0)], 0.0) == 1100
-    assert place_decode("s", size(100, 400, 10.0), TRAITS, capacity, seeker()) is None
-    # What is overdue still holds its memory.
+    assert capacity.peak_memory("x", [make_size(100, 400, 10.0).reserve("x", 0.0)], 0.0) == 1100
+    assert place_decode("s", make_size(100, 400, 10.0), TRAITS, capacity, make_seeker()) is None
+    # An overdue stream still holds its memory.
     capacity.reserve("1", Reservation("x", Role.DECODE, 950, -1.0, 10.0, 400))
-    assert place_decode("s", size(100, 0, 1.0), TRAITS, capacity, seeker()) is None
+    assert place_decode("s", make_size(100, 0, 1.0), TRAITS, capacity, make_seeker()) is None
 
 
 STREAMS = st.lists(
@@ -258,29 +262,36 @@
 
 
 @given(STREAMS)
-def test_peak_is_that_of_a_naive_simulation(streams: list[tuple[int, int, float, float]]) -> None:
+def test_peak_memory_equals_that_of_a_naive_simulation(
+    streams: list[tuple[int, int, float, float]],
+) -> None:
     capacity = Capacity()
-    works = []
+    reservations = []
     for number, (prompt, output, duration_s, age_s) in enumerate(streams):
         ends_at = duration_s - min(age_s, 0.9 * duration_s)
-        work = Reservation("x", Role.DECODE, prompt + output, ends_at, duration_s, output)
-        works.append(work)
+        reservation = Reservation("x", Role.DECODE, prompt + output, ends_at, duration_s, output)
+        reservations.append(reservation)
         if number:
-            capacity.reserve(str(number), work)
-    times = [step * 0.01 for step in range(901)] + [work.ends_at for work in works]
+            capacity.reserve(str(number), reservation)
+    times = [step * 0.01 for step in range(901)] + [
+        reservation.ends_at for reservation in reservations
+    ]
     naive = max(
         sum(
-            work.tokens - work.grows * (work.ends_at - time) / work.duration_s
-            for work in works
-            if time <= work.ends_at
+            reservation.tokens
+            - reservation.grows * (reservation.ends_at - time) / reservation.duration_s
+            for reservation in reservations
+            if time <= reservation.ends_at
         )
         for time in times
     )
-    assert abs(capacity.peak_memory("x", works[:1], 0.0) - naive) < 1e-6
+    assert abs(capacity.peak_memory("x", reservations[:1], 0.0) - naive) < 1e-6
 
 
 @given(st.integers(1, 20), st.lists(st.floats(0, 30), max_size=60))
-def test_all_members_together_stay_within_the_budget(members: int, times: list[float]) -> None:
+def test_all_instances_together_stay_within_the_retry_budget(
+    members: int, times: list[float]
+) -> None:
     budgets = [SharedRetryBudget(0.2, 50.0, 10.0) for _ in range(members)]
     taken = []
     requests = []
@@ -291,6 +302,6 @@
         while budget.take(members, now):
             taken.append(now)
     for end in taken:
-        window = sum(end - 10.0 < at <= end for at in taken)
-        asked = sum(end - 10.0 < at <= end for at in requests)
-        assert window <= 0.2 * asked + 50.0
+        taken_count = sum(end - 10.0 < at <= end for at in taken)
+        request_count = sum(end - 10.0 < at <= end for at in requests)
+        assert taken_count <= 0.2 * request_count + 50.0
--- a/cleatlink/routing/shared_hints.py
+++ b/cleatlink/routing/shared_hints.py
@@ -1,39 +1,40 @@
-"""What several instances report of an endpoint, so that others need not find out.
+"""Collects reports on an endpoint from several instances and checks whether enough agree.
 
-One instance alone may have lost its own link, or met a single slow answer: two
-have to agree. Instances of one data centre share its links, so what they can't
-reach is told there alone.
+Other instances then avoid the endpoint without having to detect its fault themselves. A single
+instance may have lost its own network link or received one slow answer, so two instances have
+to agree. Instances of one data centre share its network links, so they report unreachable
+endpoints only to each other.
 """
 
 __all__ = ["SharedHints"]
 
-# One instance may be wrong by itself.
-_REPORTERS = 2
+# Number of instances that have to agree, since a single one may be wrong.
+_MIN_REPORTERS = 2
 
 
 class SharedHints:
-    """Reports of one kind that came lately."""
+    """Recent reports of one kind."""
 
     def __init__(self, window_s: float) -> None:
         """Start without reports.
 
         Args:
-            window_s: Reports within so many seconds of each other count together.
+            window_s: Time within which reports count together, in seconds.
         """
         self._window_s = window_s
-        self._reports: dict[str, dict[str, float]] = {}
+        self._reports_by_endpoint: dict[str, dict[str, float]] = {}
 
     def note(self, endpoint: str, instance: str, now: float) -> bool:
-        """Take a report; tells whether enough instances agree on it."""
-        self._forget(now)
-        reports = self._reports.setdefault(endpoint, {})
+        """Store a report and return whether enough instances agree on it."""
+        self._remove_expired(now)
+        reports = self._reports_by_endpoint.setdefault(endpoint, {})
         reports[instance] = now
-        return len(reports) >= _REPORTERS
+        return len(reports) >= _MIN_REPORTERS
 
-    def _forget(self, now: float) -> None:
-        for endpoint, reports in list(self._reports.items()):
-            for name, at in list(reports.items()):
-                if now - at > self._window_s:
+    def _remove_expired(self, now: float) -> None:
+        for endpoint, reports in list(self._reports_by_endpoint.items()):
+            for name, reported_at in list(reports.items()):
+                if now - reported_at > self._window_s:
                     del reports[name]
             if not reports:
-                del self._reports[endpoint]
+                del self._reports_by_endpoint[endpoint]
--- a/cleatlink/routing/view.py
+++ b/cleatlink/routing/view.py
@@ -20,7 +20,7 @@
 # without notice.
 MAX_REPORT_AGE_S = 4.0
 # Time for which an endpoint counts as leaving after a report that says so, in seconds. Reports may
-# be outdated, so one that does not say so has no effect before.
+# be outdated, so one that no longer says so has no effect until then.
 LEAVING_EXPIRY_S = 10.0
 # Time for which an endpoint counts as leaving after it refused work for this reason, in seconds.
 # A refusal is more recent than the reports, so they have no effect until one says that the
@@ -95,7 +95,7 @@
         self._reservations: dict[str, Reservation] = {}
         self._reservations_by_endpoint: dict[str, dict[str, Reservation]] = {}
         self._own_work: dict[str, WorkInProgress] = {}
-        # Latest time at which an endpoint can have begun the own prefill that it computes now.
+        # Latest time at which an endpoint can have begun this instance's prefill that it computes now.
         self._prefill_began_at: dict[str, float] = {}
         self._other_work: dict[str, WorkInProgress] = {}
         self._prefixes_by_endpoint: dict[str, set[int]] = {}
@@ -110,7 +110,7 @@
 
     @property
     def reservations(self) -> Mapping[str, Reservation]:
-        """The own reservations in progress, by request and role."""
+        """This instance's reservations in progress, by request and role."""
         return self._reservations
 
     def endpoint(self, name: str) -> Endpoint | None:
@@ -277,7 +277,7 @@
         """Return the work of other instances: a report less this instance's work in progress.
 
         A slightly outdated report may not include all of this instance's work. Then the work of
-        other instances is underestimated a little. Counting own work twice instead costs far
+        other instances is underestimated a little. Counting this instance's work twice costs far
         more (docs/design/policy.md).
         """
         running, waiting = report.running, report.waiting_tokens
@@ -324,7 +324,7 @@
         return self._reports[endpoint.name][0]
 
     def load(self, endpoint: Endpoint, now: float) -> EndpointLoad:
-        """Estimate an endpoint's load from its last report and the current own reservations."""
+        """Estimate an endpoint's load from its last report and this instance's reservations."""
         name = endpoint.name
         report, other_work = self._reports[name][0], self._other_work[name]
         own_work = self._own_work.get(name, _NO_WORK)
@@ -342,7 +342,7 @@
         )
 
     def _computed_tokens(self, name: str, rate: float, now: float) -> int:
-        """Estimate how many tokens of the own prefill in progress have been computed."""
+        """Estimate how many tokens of this instance's prefill in progress are computed."""
         sizes = (item.prefill_tokens for item in self._reservations_by_endpoint[name].values())
         oldest = next((size for size in sizes if size), 0)
         return min(oldest, int((now - self._prefill_began_at[name]) * rate))
--- a/cleatlink/routing/view_test.py
+++ b/cleatlink/routing/view_test.py
@@ -141,7 +141,7 @@
 
 
 def estimated_load(view: FleetView, endpoint: Endpoint) -> tuple[int, int, int]:
-    # At the time of the placement, when no token of the own prefill has been computed.
+    # At the time of the placement, when no token of the prefill has been computed.
     load = view.load(endpoint, 100.5)
     return load.running, load.waiting_tokens, load.free_tokens
 
--- a/cleatlink/routing/windows.py
+++ b/cleatlink/routing/windows.py
@@ -1,4 +1,4 @@
-"""Sums over the last moments, by key."""
+"""Sums over a sliding window of time, by key."""
 
 from collections import deque
 from collections.abc import Hashable
@@ -8,12 +8,12 @@
 
 Key = TypeVar("Key", bound=Hashable)
 
-# Parts of a window that are forgotten at a time.
+# Number of parts of a window; values expire one part at a time.
 _PARTS = 4
 
 
 class _Part(Generic[Key]):
-    """What was added in one part of the window, by key."""
+    """Sums of the amounts that were added in one part of the window, by key."""
 
     __slots__ = ("number", "sums")
 
@@ -23,25 +23,25 @@
 
 
 class RecentSums(Generic[Key]):
-    """What was added lately; every method takes the time as an argument."""
+    """Sums of recent amounts; methods take the current time as an argument."""
 
     def __init__(self, window_s: float, now: float) -> None:
-        """Start empty.
+        """Start without amounts.
 
         Args:
-            window_s: Seconds for which something counts.
-            now: The time.
+            window_s: Length of the window, in seconds.
+            now: The current time.
         """
         self._part_s = window_s / _PARTS
-        self._begun_at = now
+        self._started_at = now
         self._parts: deque[_Part[Key]] = deque()
         self._sums: dict[Key, float] = {}
 
     def add(self, key: Key, amount: float, now: float) -> None:
-        """Count an amount."""
-        number = self._number(now)
+        """Add an amount to the sum of a key."""
+        number = self._part_number(now)
         if not self._parts or self._parts[-1].number < number:
-            # What is too old was forgotten when the part that runs began.
+            # Old parts only need to be removed when a new part begins.
             self._expire(now)
             self._parts.append(_Part(number))
         sums = self._parts[-1].sums
@@ -49,36 +49,36 @@
         self._sums[key] = self._sums.get(key, 0.0) + amount
 
     def sum(self, key: Key, now: float) -> float:
-        """Give the sum of a key over the window."""
+        """Return the sum of a key over the window."""
         self._expire(now)
         return self._sums.get(key, 0.0)
 
     def rate(self, key: Key, now: float) -> float:
-        """Give the mean of a key over the window, a second."""
+        """Return the mean amount of a key per second over the window."""
         return self.sum(key, now) / self._covered_s(now)
 
     def rates(self, now: float) -> dict[Key, float]:
-        """Give the mean of each key over the window, a second."""
+        """Return the mean amount of each key per second over the window."""
         self._expire(now)
         covered_s = self._covered_s(now)
         return {key: amount / covered_s for key, amount in self._sums.items()}
 
     def _covered_s(self, now: float) -> float:
-        """Give the seconds that the window covers now; right after the start, one part."""
-        oldest = (self._number(now) - _PARTS + 1) * self._part_s
-        return max(self._part_s, now - max(oldest, self._begun_at))
+        """Return the seconds that the window covers now; at least the length of one part."""
+        oldest_at = (self._part_number(now) - _PARTS + 1) * self._part_s
+        return max(self._part_s, now - max(oldest_at, self._started_at))
 
-    def _number(self, now: float) -> int:
+    def _part_number(self, now: float) -> int:
         return int(now // self._part_s)
 
     def _expire(self, now: float) -> int:
-        """Forget what is older than the window; gives the number of the part that runs."""
-        number = self._number(now)
+        """Remove parts that are older than the window and return the current part's number."""
+        number = self._part_number(now)
         while self._parts and self._parts[0].number <= number - _PARTS:
             for key, amount in self._parts.popleft().sums.items():
-                left = self._sums[key] - amount
+                remaining = self._sums[key] - amount
                 if any(key in part.sums for part in self._parts):
-                    self._sums[key] = left
+                    self._sums[key] = remaining
                 else:
                     del self._sums[key]
         return number
