--- a/cleatlink/routing/view.py
+++ b/cleatlink/routing/view.py
@@ -95,7 +95,7 @@
         self._reservations: dict[str, Reservation] = {}
         self._reservations_by_endpoint: dict[str, dict[str, Reservation]] = {}
         self._own_work: dict[str, WorkInProgress] = {}
-        # Latest time at which an endpoint can have begun this instance's prefill that it computes now.
+        # Latest time at which an endpoint can have begun its current prefill for this instance.
         self._prefill_began_at: dict[str, float] = {}
         self._other_work: dict[str, WorkInProgress] = {}
         self._prefixes_by_endpoint: dict[str, set[int]] = {}
