--- a/cleatlink/routing/role_planner.py
+++ b/cleatlink/routing/role_planner.py
@@ -1,19 +1,19 @@
-"""Decides which endpoint changes its role as demand moves between prefill and decode.
-
-A change costs seconds of an engine, which serves neither role meanwhile. It is planned
-only on what was seen: learned paces, and the arrivals of some seconds at the least. From
-them follows how many streams are late, for their prompt or for a place at a decode, with so
-many engines in each role. A change has to win back within some time what it costs, and the
-same estimate takes it back when what is seen later contradicts it. A service without any
-prefill gets one: decodes that compute prompts themselves hold up the tokens of
-every stream they run.
-
-An endpoint that fell silent is often back soon. Nothing is planned around it until it
-has been away for as long as a change takes: whoever waits so long before paying a
-price loses at most twice what the best choice would have cost.
-
-Each data centre keeps a decode where it can, since a cut may leave it alone: a
-decode serves without a prefill, a prefill not without a decode.
+"""Plans role changes of endpoints as demand moves between prefill and decode.
+
+An engine that changes its role serves neither role for some seconds. A change is therefore
+planned only from measurements: learned paces, and arrivals over several seconds. From these
+the planner estimates the share of streams that would be late, because of their prompt or of a
+missing slot at a decode, for a given number of engines in each role. A change must save more
+late streams within a fixed time than it causes; the same estimate reverses the change when
+later measurements contradict it. A service without any prefill gets one, because decodes that
+compute prompts themselves delay the tokens of every stream that they run.
+
+An endpoint that stops responding often returns soon. No change is planned to replace it until
+it has been away for as long as a change takes. Waiting for that time before paying the cost of
+a change loses at most twice what the best choice would have cost.
+
+Each data centre keeps at least one decode where possible, because a network cut may isolate it:
+a decode can serve without a prefill, but a prefill cannot serve without a decode.
 """
 
 import math
@@ -31,113 +31,124 @@
     "RoleShift",
     "choose_prefills",
     "most_changing",
-    "plan_shift",
+    "plan_role_change",
     "plan_shifts",
 ]
 
-# Streams that a plan rests on at the least.
+# Fewest streams on which a plan may be based.
 _MIN_REQUESTS = 12
-# Seconds of arrivals that a plan rests on at the least: a burst's edge is no demand yet.
+# Shortest period of arrivals, in seconds, on which a plan may be based: the start of a burst alone
+# says nothing about lasting demand.
 _MIN_SECONDS = 3
-# A change has to spare at least this share of the streams from being late: what is estimated
-# of short queues is off by about as much.
-_MIN_GAIN = 0.02
-# A smaller share is enough for a change that costs next to nothing, so that little is lost if the
-# estimate is wrong: otherwise a calm day has no order until its peak is there.
-_MIN_CHEAP_GAIN = 0.002
-# By how many times what such a change wins back has to pass what it costs.
-_CHEAP_FACTOR = 10.0
-# A change wins back its cost within the time for which demand has been seen.
-_WIN_BACK_S = MEMORY_S
-# One endpoint in so many may change its role at a time.
-_ENDPOINTS_A_CHANGE = 6
+# Smallest decrease of the share of late streams that justifies a change: estimates for short
+# queues have an error of about this size.
+_MIN_DECREASE = 0.02
+# A smaller decrease justifies a change that costs almost nothing, because little is lost if the
+# estimate is wrong. Without this rule, no change is ordered on a calm day before its peak begins.
+_MIN_CHEAP_DECREASE = 0.002
+# Smallest ratio of benefit to cost of a change with such a small decrease.
+_MIN_CHEAP_PAYBACK_FACTOR = 10.0
+# Time within which a change must save more late streams than it causes, in seconds: the period
+# for which arrivals are remembered.
+_PAYBACK_S = MEMORY_S
+# One endpoint of this many may change its role at a time.
+_ENDPOINTS_PER_CHANGE = 6
 
 
 class RoleShift(NamedTuple):
-    """An endpoint that is to take another role."""
+    """A planned change of an endpoint to another role.
+
+    Attributes:
+        endpoint: The endpoint.
+        role: The role that it takes.
+    """
 
     endpoint: RoutedEndpoint
     role: Role
 
 
 class PresenceWatch:
-    """Tells whether an endpoint fell away so lately that it may be back soon."""
+    """Records when an endpoint was last lost, since a lost endpoint may return soon."""
 
     def __init__(self) -> None:
         self._present: Set[str] = frozenset()
-        self._lost_at = -math.inf
+        self._last_loss_at = -math.inf
 
     def note(self, present: Set[str], leaving: Set[str], now: float) -> None:
-        """Take which endpoints are there.
+        """Update the set of present endpoints.
 
         Args:
-            present: Those that are reached.
-            leaving: Those that said that they go; they won't be back.
-            now: The time.
+            present: Names of the reachable endpoints.
+            leaving: Names of the endpoints that announced their shutdown; they do not return.
+            now: The current time.
         """
         if self._present - present - leaving:
-            self._lost_at = now
+            self._last_loss_at = now
         self._present = present
 
     def settled(self, patience_s: float, now: float) -> bool:
-        """Tell whether the last loss was at least so long ago."""
-        return now - self._lost_at >= patience_s
+        """Check whether the last loss was at least ``patience_s`` seconds ago."""
+        return now - self._last_loss_at >= patience_s
 
 
 def most_changing(count: int) -> int:
-    """Give how many of ``count`` endpoints may change their role at a time."""
-    return max(1, count // _ENDPOINTS_A_CHANGE)
+    """Return how many of ``count`` endpoints may change their role at a time."""
+    return max(1, count // _ENDPOINTS_PER_CHANGE)
 
 
 def choose_prefills(prefills: int, count: int, demand: RoleDemand) -> int:
-    """Give how many of ``count`` endpoints of one speed best serve prefill, at most one from now.
+    """Return the best number of prefills among ``count`` endpoints of equal speed.
+
+    Only the current number and its two neighbours are considered.
 
     Args:
-        prefills: How many serve it now.
-        count: All endpoints.
-        demand: Demand on them.
+        prefills: Current number of prefills.
+        count: Number of all endpoints.
+        demand: Demand on the endpoints.
     """
-    numbers = [number for number in (prefills, prefills - 1, prefills + 1) if 1 <= number < count]
-    return min(numbers, key=lambda number: demand.late_share(number, count - number))
+    candidates = [
+        number for number in (prefills, prefills - 1, prefills + 1) if 1 <= number < count
+    ]
+    return min(candidates, key=lambda number: demand.late_share(number, count - number))
 
 
-class _Roles(NamedTuple):
-    """Speeds of a service's endpoints in each role, beside its usual one."""
+class _RoleSpeeds(NamedTuple):
+    """Speeds of a service's endpoints by role, relative to the usual speed of the service."""
 
     prefills: tuple[float, ...]
     decodes: tuple[float, ...]
 
     def late_share(self, demand: RoleDemand) -> float:
-        """Estimate the share of streams that are late with these roles."""
+        """Estimate the share of late streams with these roles."""
         return demand.late_share(
             len(self.prefills), len(self.decodes), _mean(self.prefills), _mean(self.decodes)
         )
 
-    def without(self, speed: float, role: Role) -> "_Roles":
-        """Give the roles while an endpoint changes to another: it serves neither."""
+    def during_change(self, speed: float, role: Role) -> "_RoleSpeeds":
+        """Return the roles while an endpoint changes to ``role``: it serves in neither role."""
         if role is Role.DECODE:
-            return _Roles(_less(self.prefills, speed), self.decodes)
-        return _Roles(self.prefills, _less(self.decodes, speed))
+            return _RoleSpeeds(_remove_speed(self.prefills, speed), self.decodes)
+        return _RoleSpeeds(self.prefills, _remove_speed(self.decodes, speed))
 
-    def after(self, speed: float, role: Role) -> "_Roles":
-        """Give the roles once an endpoint has changed."""
-        during = self.without(speed, role)
+    def after_change(self, speed: float, role: Role) -> "_RoleSpeeds":
+        """Return the roles after an endpoint has changed to ``role``."""
+        during = self.during_change(speed, role)
         if role is Role.DECODE:
-            return _Roles(during.prefills, (*during.decodes, speed))
-        return _Roles((*during.prefills, speed), during.decodes)
+            return _RoleSpeeds(during.prefills, (*during.decodes, speed))
+        return _RoleSpeeds((*during.prefills, speed), during.decodes)
 
 
 def _mean(speeds: Sequence[float]) -> float:
     return sum(speeds) / len(speeds) if speeds else 1.0
 
 
-def _less(speeds: tuple[float, ...], speed: float) -> tuple[float, ...]:
-    """Give some speeds without one of them, or without the first if it is not there."""
-    at = speeds.index(speed) if speed in speeds else 0
-    return speeds[:at] + speeds[at + 1 :]
+def _remove_speed(speeds: tuple[float, ...], speed: float) -> tuple[float, ...]:
+    """Return ``speeds`` without one item of the given speed, else without the first item."""
+    position = speeds.index(speed) if speed in speeds else 0
+    return speeds[:position] + speeds[position + 1 :]
 
 
-def plan_shift(
+def plan_role_change(
     prefills: Sequence[RoutedEndpoint],
     decodes: Sequence[RoutedEndpoint],
     demand: RoleDemand | None,
@@ -148,33 +159,33 @@
     settled: bool = True,
     speeds: Mapping[str, float] = MappingProxyType({}),
 ) -> RoleShift | None:
-    """Give the endpoint that is to change its role now, if any.
+    """Return the role change to make now; None if no change is justified.
 
     Args:
-        prefills: Endpoints in the role of prefill.
-        decodes: Endpoints in the role of decode.
-        demand: Demand on their service; None while its paces are not known.
-        work: Seconds until its work is over by the name of an endpoint; the one that
-            is free first changes.
-        targets: The roles of those that are changing by the names of the endpoints;
-            they count there and are left alone.
-        change_s: Seconds that a change takes once an endpoint is free.
-        settled: Whether no endpoint is away that may be back soon; without any
-            decode a change does not wait for that.
-        speeds: Speeds of endpoints beside their service's usual one, where known.
+        prefills: Endpoints with the prefill role.
+        decodes: Endpoints with the decode role.
+        demand: Demand on the service; None while its paces are unknown.
+        work: Seconds until an endpoint has finished its current work, by endpoint name;
+            endpoints that finish sooner are preferred.
+        targets: New roles of the endpoints that are changing already, by endpoint name; these
+            endpoints count in their new roles and are not changed again.
+        change_s: Seconds that a change takes after an endpoint has finished its work.
+        settled: Whether no endpoint was lost recently, since a lost endpoint may return soon;
+            a service without any decode does not wait for this.
+        speeds: Speeds of endpoints relative to the usual speed of the service, where known.
     """
     endpoints = [*prefills, *decodes]
     if decodes and not settled:
         return None
-    shifts = {
-        role: _candidate(endpoints, decodes, role, work=work, targets=targets, speeds=speeds)
+    changes = {
+        role: _candidate_change(endpoints, decodes, role, work=work, targets=targets, speeds=speeds)
         for role in (Role.DECODE, Role.PREFILL)
     }
-    roles = _Roles(
+    roles = _RoleSpeeds(
         _speeds_in(Role.PREFILL, endpoints, targets, speeds),
         _speeds_in(Role.DECODE, endpoints, targets, speeds),
     )
-    return _wanted_change(roles, shifts, demand, change_s, speeds)
+    return _choose_change(roles, changes, demand, change_s, speeds)
 
 
 def _speeds_in(
@@ -183,7 +194,7 @@
     targets: Mapping[str, Role],
     speeds: Mapping[str, float],
 ) -> tuple[float, ...]:
-    """Give the speeds of the endpoints that have a role, or will have it."""
+    """Return the speeds of the endpoints that have a role, or are changing to it."""
     return tuple(
         speeds.get(endpoint.name, 1.0)
         for endpoint in endpoints
@@ -191,7 +202,7 @@
     )
 
 
-def _candidate(
+def _candidate_change(
     endpoints: Sequence[RoutedEndpoint],
     decodes: Sequence[RoutedEndpoint],
     role: Role,
@@ -200,16 +211,16 @@
     targets: Mapping[str, Role],
     speeds: Mapping[str, float],
 ) -> RoleShift | None:
-    """Give the endpoint that would best take a role; None if none can."""
-    free = [
+    """Return the best change to a role; None if no endpoint can take it."""
+    eligible = [
         endpoint
         for endpoint in endpoints
         if endpoint.role is not role and endpoint.name not in targets
     ]
-    if not free:
+    if not eligible:
         return None
-    kept = Counter(endpoint.data_centre for endpoint in decodes)
-    return RoleShift(_best_to_change(free, role, kept, work, speeds), role)
+    decode_counts = Counter(endpoint.data_centre for endpoint in decodes)
+    return RoleShift(_best_endpoint(eligible, role, decode_counts, work, speeds), role)
 
 
 def plan_shifts(
@@ -224,117 +235,119 @@
     settled: bool = True,
     speeds: Mapping[str, float] = MappingProxyType({}),
 ) -> list[RoleShift]:
-    """Give the endpoints that are to change their role now, all to the same one.
+    """Return the role changes to make now, all to the same role.
 
-    Each has to be worth its change by itself once those before it have changed. Ordered one
-    after the other, ten changes would come a change's time and several seconds after they
-    were seen to be needed.
+    Each change must be justified by itself, given that the changes before it are made. Changes
+    that were ordered one after another would come too late: ten of them would take the time of a
+    change and several seconds more after the need was detected.
 
     Args:
-        prefills: Endpoints in the role of prefill.
-        decodes: Endpoints in the role of decode.
-        demand: Demand on their service; None while its paces are not known.
-        work: Seconds until its work is over by the name of an endpoint.
-        targets: The roles of those that are changing by the names of the endpoints.
-        most: How many may begin to change.
-        change_s: Seconds that a change takes once an endpoint is free.
-        settled: Whether no endpoint is away that may be back soon.
-        speeds: Speeds of endpoints beside their service's usual one, where known.
+        prefills: Endpoints with the prefill role.
+        decodes: Endpoints with the decode role.
+        demand: Demand on the service; None while its paces are unknown.
+        work: Seconds until an endpoint has finished its current work, by endpoint name.
+        targets: New roles of the endpoints that are changing already, by endpoint name.
+        most: Maximum number of changes that may begin now.
+        change_s: Seconds that a change takes after an endpoint has finished its work.
+        settled: Whether no endpoint was lost recently, since a lost endpoint may return soon.
+        speeds: Speeds of endpoints relative to the usual speed of the service, where known.
     """
-    shifts: list[RoleShift] = []
-    expected = dict(targets)
-    while len(shifts) < most:
-        shift = plan_shift(
+    changes: list[RoleShift] = []
+    planned_targets = dict(targets)
+    while len(changes) < most:
+        change = plan_role_change(
             prefills,
             decodes,
             demand,
             work,
-            expected,
+            planned_targets,
             change_s=change_s,
             settled=settled,
             speeds=speeds,
         )
-        if shift is None or (shifts and shift.role is not shifts[0].role):
+        if change is None or (changes and change.role is not changes[0].role):
             break
-        shifts.append(shift)
-        expected[shift.endpoint.name] = shift.role
-    return shifts
+        changes.append(change)
+        planned_targets[change.endpoint.name] = change.role
+    return changes
 
 
-def _wanted_change(
-    roles: _Roles,
-    shifts: Mapping[Role, RoleShift | None],
+def _choose_change(
+    roles: _RoleSpeeds,
+    changes: Mapping[Role, RoleShift | None],
     demand: RoleDemand | None,
     change_s: float,
     speeds: Mapping[str, float],
 ) -> RoleShift | None:
-    """Give the one of some changes that is to be made, if any."""
+    """Return the best of the candidate changes; None if none is justified."""
     if len(roles.prefills) + len(roles.decodes) < 2:
-        return shifts[Role.DECODE] if roles.prefills else None
+        return changes[Role.DECODE] if roles.prefills else None
     if not roles.decodes:
-        return shifts[Role.DECODE]
+        return changes[Role.DECODE]
     if not roles.prefills:
-        return shifts[Role.PREFILL]
+        return changes[Role.PREFILL]
     if demand is None or demand.requests < _MIN_REQUESTS or demand.seconds < _MIN_SECONDS:
         return None
-    late = roles.late_share(demand)
+    lowest_late = roles.late_share(demand)
     best: RoleShift | None = None
-    for role, shift in shifts.items():
-        # A role that nobody is free to take may be the one that is short all the same.
-        speed = 1.0 if shift is None else speeds.get(shift.endpoint.name, 1.0)
-        after = roles.after(speed, role)
-        if not after.prefills or not after.decodes:
+    for role, change in changes.items():
+        # A role may need another endpoint even if no endpoint can take it now: then the best
+        # choice is to make no change, rather than to change to the other role.
+        speed = 1.0 if change is None else speeds.get(change.endpoint.name, 1.0)
+        after_change = roles.after_change(speed, role)
+        if not after_change.prefills or not after_change.decodes:
             continue
-        found = after.late_share(demand)
-        if found < late:
-            best, late = shift, found
-    if best is None or not _wins_back(roles, best, demand, change_s, speeds):
+        late_after = after_change.late_share(demand)
+        if late_after < lowest_late:
+            best, lowest_late = change, late_after
+    if best is None or not _pays_back(roles, best, demand, change_s, speeds):
         return None
     return best
 
 
-def _wins_back(
-    roles: _Roles,
-    shift: RoleShift,
+def _pays_back(
+    roles: _RoleSpeeds,
+    change: RoleShift,
     demand: RoleDemand,
     change_s: float,
     speeds: Mapping[str, float],
 ) -> bool:
-    """Tell whether a change spares more streams from being late than it costs while it lasts."""
-    speed = speeds.get(shift.endpoint.name, 1.0)
+    """Check whether a change saves more late streams than it causes while it is in progress."""
+    speed = speeds.get(change.endpoint.name, 1.0)
     before = roles.late_share(demand)
-    gain = before - roles.after(speed, shift.role).late_share(demand)
-    during = roles.without(speed, shift.role).late_share(demand)
-    won, cost = gain * _WIN_BACK_S, (during - before) * change_s
-    if gain < _MIN_GAIN:
-        return gain >= _MIN_CHEAP_GAIN and won > _CHEAP_FACTOR * cost
-    return won > cost
+    decrease = before - roles.after_change(speed, change.role).late_share(demand)
+    during = roles.during_change(speed, change.role).late_share(demand)
+    benefit, cost = decrease * _PAYBACK_S, (during - before) * change_s
+    if decrease < _MIN_DECREASE:
+        return decrease >= _MIN_CHEAP_DECREASE and benefit > _MIN_CHEAP_PAYBACK_FACTOR * cost
+    return benefit > cost
 
 
-def _best_to_change(
+def _best_endpoint(
     endpoints: list[RoutedEndpoint],
     role: Role,
     decodes: Mapping[str, int],
     work: Mapping[str, float],
     speeds: Mapping[str, float],
 ) -> RoutedEndpoint:
-    """Give the endpoint that best takes a role.
+    """Return the endpoint that is best suited to change to a role.
 
     Args:
-        endpoints: Those that may.
-        role: The role.
+        endpoints: Endpoints that may change.
+        role: The new role.
         decodes: Number of decodes by data centre.
-        work: Seconds until its work is over by the name of an endpoint.
-        speeds: Speeds of endpoints beside their service's usual one, where known.
+        work: Seconds until an endpoint has finished its current work, by endpoint name.
+        speeds: Speeds of endpoints relative to the usual speed of the service, where known.
     """
 
-    def cost(endpoint: RoutedEndpoint) -> tuple[bool, float, float, str]:
-        here = decodes.get(endpoint.data_centre, 0)
-        # A new decode is worth most where there is none; a last one is kept.
-        uncovers = here > 0 if role is Role.DECODE else here < 2
+    def sort_key(endpoint: RoutedEndpoint) -> tuple[bool, float, float, str]:
+        local_decodes = decodes.get(endpoint.data_centre, 0)
+        # A new decode is preferred in a data centre without one; the last decode of a data
+        # centre is the last choice for a change to prefill.
+        is_unfavourable = local_decodes > 0 if role is Role.DECODE else local_decodes < 2
         left_s = work.get(endpoint.name, 0.0)
-        # What it would get done in the new role, in the time that a change has to win.
-        done = speeds.get(endpoint.name, 1.0) * (_WIN_BACK_S - left_s)
-        return uncovers, -done, left_s, endpoint.name
+        # Work that the endpoint would do in the new role within the payback time.
+        capacity = speeds.get(endpoint.name, 1.0) * (_PAYBACK_S - left_s)
+        return is_unfavourable, -capacity, left_s, endpoint.name
 
-    return min(endpoints, key=cost)
+    return min(endpoints, key=sort_key)
