--- a/cleatlink/routing/__init__.py
+++ b/cleatlink/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Routing: the fleet as believed, and placements on it; no I/O."""
+"""Routing: estimated state of the fleet, and placement of requests on it; no I/O."""
 
 from cleatlink.routing.place import (
     Context,
--- a/cleatlink/routing/fleet_sizes.py
+++ b/cleatlink/routing/fleet_sizes.py
@@ -1,7 +1,8 @@
-"""From how many instances on they share their work among each other in place of all doing alike."""
+"""Fleet size from which instances divide work among each other instead of each doing all of it."""
 
 __all__ = ["FEW_PEERS"]
 
-# Up to so many other instances each is told everything at once and does everything itself: a
-# datagram to each costs less than what an old view does.
+# Largest number of peers to which an instance sends every update directly and at once, and with
+# which it does all work itself: a datagram to each peer costs less than decisions based on an
+# outdated view.
 FEW_PEERS = 16
--- a/cleatlink/routing/mechanisms.py
+++ b/cleatlink/routing/mechanisms.py
@@ -1,7 +1,7 @@
-"""Mechanisms that can be switched off, to measure what each one is worth.
+"""Routing mechanisms that can be switched off to measure their benefit.
 
-This is for experiments: an instance that runs without one of them keeps every
-promise, but decides worse somewhere.
+This is meant for experiments. An instance without one of the mechanisms still meets all its
+guarantees, but makes worse decisions in some situations.
 """
 
 from collections.abc import Set
@@ -11,61 +11,62 @@
 
 
 class Mechanism(StrEnum):
-    """What can be switched off."""
+    """A mechanism that can be switched off; the value is its name on the command line."""
 
-    # Engines' paces and answers' lengths as measured; off: as routes promise.
+    # Use measured paces of engines and lengths of answers. Off: estimate them from the routes.
     LEARNED_PACE = "learned-pace"
-    # Endpoints' own speeds as all instances measured them; off: all as their service.
+    # Use the speed of each endpoint, as measured by all instances. Off: use its service's speed.
     ENDPOINT_PACE = "endpoint-pace"
-    # Room kept for answers that get longer than estimated.
+    # Reserve memory at decodes for answers that become longer than estimated.
     SPREAD_ROOM = "spread-room"
-    # Refusals as soon as it is known that a stream would be late; off: all wait.
+    # Refuse a stream as soon as the forecast says that it would be late. Off: all streams wait.
     FORECAST = "forecast"
-    # Refused callers known when they are back, and room kept for them.
+    # Recognise the retries of refused callers, and reserve capacity for them.
     RETURNS = "returns"
-    # Prompts computed by decodes when every prefill is too busy.
+    # Let decodes compute prompts when every prefill is too busy.
     SHARED_PROMPTS = "shared-prompts"
-    # Engines that change between prefill and decode as demand moves.
+    # Change the roles of engines between prefill and decode as demand moves.
     ROLE_SHIFTS = "role-shifts"
-    # Changes of role that wait for their time: an endpoint may be back, others busy.
+    # Delay role changes while a lost endpoint may return.
     SHIFT_PATIENCE = "shift-patience"
-    # Room held at the decode before a prompt is computed.
+    # Reserve capacity at the decode before the prompt is computed.
     HOLDS = "holds"
-    # Endpoints that peers found slow or out of reach.
+    # Avoid endpoints that peers reported as slow or unreachable.
     HINTS = "hints"
-    # Decodes of this data centre before others.
+    # Prefer decodes of the own data centre.
     LOCALITY = "locality"
-    # Refusals of engines for want of room, which all instances go by until some work ends there.
+    # After an engine refuses a stream for lack of capacity, send no stream of that size to it from
+    # any instance until some work ends there.
     SHED_LIMITS = "shed-limits"
-    # A few instances of a data centre that watch the configuration service for all.
+    # Let a few instances of a data centre watch the configuration service for all its instances.
     SHARED_WATCH = "shared-watch"
-    # Messages among many instances passed on by some of them; off: told to each one.
+    # In large fleets, let some instances forward messages. Off: send messages to each instance.
     REFLECTORS = "reflectors"
-    # Safe calls that leave a silent endpoint for another one.
+    # Send a safe call to another endpoint when the first one does not respond in time.
     PATIENCE = "patience"
-    # Room left for streams that wait at other instances and go before.
+    # Leave capacity for streams that wait at other instances and are ahead in the order.
     SHARED_WAITING = "shared-waiting"
-    # The better one of two places picked by chance, in place of the one that looks best.
+    # In large fleets, choose the better of two random endpoints instead of the apparent best.
     TWO_CHOICES = "two-choices"
-    # Priorities told to engines, which let urgent streams in first.
+    # Send priorities to engines, which then start urgent streams first.
     ENDPOINT_PRIORITY = "endpoint-priority"
-    # Streams that go to another data centre before their own is full.
+    # Send some streams to another data centre before the own one is full.
     SPILL_OVER = "spill-over"
-    # Plain calls spread and admitted by what all instances send; off: each goes by its own.
+    # Spread and admit plain calls by the totals of all instances. Off: use only the own calls.
     PLAIN_ADMISSION = "plain-admission"
 
 
 class Switches:
-    """Tells which mechanisms are in use."""
+    """Records which mechanisms are switched off."""
 
-    def __init__(self, without: Set[Mechanism] = frozenset()) -> None:
-        self._without = without
+    def __init__(self, disabled: Set[Mechanism] = frozenset()) -> None:
+        self._disabled = disabled
 
     @property
     def without(self) -> list[str]:
-        """Names of those that are switched off."""
-        return sorted(self._without)
+        """Names of the mechanisms that are switched off, sorted."""
+        return sorted(self._disabled)
 
     def uses(self, mechanism: Mechanism) -> bool:
-        """Tell whether a mechanism is in use."""
-        return mechanism not in self._without
+        """Check whether a mechanism is in use."""
+        return mechanism not in self._disabled
--- a/cleatlink/routing/mechanisms_test.py
+++ b/cleatlink/routing/mechanisms_test.py
@@ -1,4 +1,4 @@
-"""Each mechanism that can be switched off is in use by default, and off when it is named."""
+"""Tests that each mechanism is in use by default and can be switched off by name."""
 
 import random
 from collections.abc import Set
@@ -27,35 +27,35 @@
 SEEKER = Seeker("a", frozenset(), 0.0, random.Random(1))
 
 
-def fleet(without: Set[Mechanism]) -> Capacity:
-    """Give a busy decode here, an idle one elsewhere and a prefill that is busy for long."""
+def make_fleet(without: Set[Mechanism]) -> Capacity:
+    """Return a busy local decode, an idle remote decode, and a prefill with a long queue."""
     capacity = Capacity(Switches(without))
-    for name, place, role in (("d1", "a", Role.DECODE), ("d2", "b", Role.DECODE)):
-        capacity.set_endpoint(RoutedEndpoint(name, "127.0.0.1:1", place, "s", role, 64))
+    for name, data_centre, role in (("d1", "a", Role.DECODE), ("d2", "b", Role.DECODE)):
+        capacity.set_endpoint(RoutedEndpoint(name, "127.0.0.1:1", data_centre, "s", role, 64))
     capacity.set_endpoint(RoutedEndpoint("p1", "127.0.0.1:1", "a", "s", Role.PREFILL, 64))
     capacity.reserve("1", Reservation("d1", Role.DECODE, 20_000, 5.0, 5.0, 1_000))
     capacity.reserve("2", Reservation("p1", Role.PREFILL, 90_000, 3.0, 3.0))
     return capacity
 
 
-def test_all_are_in_use_unless_named() -> None:
+def test_all_mechanisms_are_in_use_by_default() -> None:
     assert all(Switches().uses(mechanism) for mechanism in Mechanism)
-    off = Switches(frozenset({Mechanism.HOLDS, Mechanism.RETURNS}))
-    assert off.without == ["holds", "returns"]
-    assert [item for item in Mechanism if not off.uses(item)] == ["returns", "holds"]
+    switches = Switches(frozenset({Mechanism.HOLDS, Mechanism.RETURNS}))
+    assert switches.without == ["holds", "returns"]
+    assert [item for item in Mechanism if not switches.uses(item)] == ["returns", "holds"]
 
 
 @pytest.mark.parametrize("off", [False, True])
-def test_locality(off: bool) -> None:
-    capacity = fleet({Mechanism.LOCALITY} if off else set())
+def test_locality_prefers_the_local_decode(off: bool) -> None:
+    capacity = make_fleet({Mechanism.LOCALITY} if off else set())
     found = place_decode("s", StreamSize(2_000, 500, 3.0), TRAITS, capacity, SEEKER)
     assert found is not None
     assert found.name == ("d2" if off else "d1")
 
 
 @pytest.mark.parametrize("off", [False, True])
-def test_shared_prompts(off: bool) -> None:
-    capacity = fleet({Mechanism.SHARED_PROMPTS} if off else set())
+def test_shared_prompts_let_decodes_compute_prompts(off: bool) -> None:
+    capacity = make_fleet({Mechanism.SHARED_PROMPTS} if off else set())
     route = Route("r", "h", "/", RouteKind.STREAMING, 14.0, 0.9, 1, (), event_gap_s=1.0)
     inbound = Inbound("r", b"POST", b"/", "h", (), b"", 0.0, prompt_tokens=2000)
     plan = plan_prompt(inbound, route, RoutedService("s", 9, TRAITS), capacity, SEEKER)
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.parametrize("off", [False, True])
-def test_learned_pace_and_room_for_the_spread_of_lengths(off: bool) -> None:
+def test_pace_and_spread_of_answer_lengths_are_learned(off: bool) -> None:
     without = {Mechanism.LEARNED_PACE, Mechanism.SPREAD_ROOM} if off else set()
     pace = Capacity(Switches(without)).pace("s")
     before_s = pace.token_s
@@ -73,8 +73,8 @@
 
 
 @pytest.mark.parametrize("off", [False, True])
-def test_hints(off: bool) -> None:
-    capacity = fleet({Mechanism.HINTS} if off else set())
+def test_hints_of_peers_exclude_an_endpoint(off: bool) -> None:
+    capacity = make_fleet({Mechanism.HINTS} if off else set())
     capacity.note_slow("d1", 1.0)
     capacity.note_unreached_by_peers("d1", 1.0)
     avoided = "d1" not in [item.name for item in capacity.candidates("s", Role.DECODE, 1.1)]
@@ -82,21 +82,21 @@
 
 
 @pytest.mark.parametrize("off", [False, True])
-def test_plain_admission(off: bool) -> None:
-    """The endpoint of this data centre is full of peers' calls, another one is idle."""
+def test_plain_admission_avoids_an_endpoint_full_of_peers_calls(off: bool) -> None:
+    """The local endpoint is full of calls from peers, and a remote endpoint is idle."""
     capacity = Capacity(Switches({Mechanism.PLAIN_ADMISSION} if off else set()))
-    for name, place in (("w1", "a"), ("w2", "b")):
-        capacity.set_endpoint(RoutedEndpoint(name, "127.0.0.1:1", place, "s", Role.PLAIN, 6))
+    for name, data_centre in (("w1", "a"), ("w2", "b")):
+        capacity.set_endpoint(RoutedEndpoint(name, "127.0.0.1:1", data_centre, "s", Role.PLAIN, 6))
     for step in range(1, 6):
-        told = {"w1": EndpointTotals(20 * step, 0.9 * step, 0)}
-        capacity.plain.take(CallTotals("p", 1, 0.1 * step, {}, told), 0.1 * step)
+        totals = {"w1": EndpointTotals(20 * step, 0.9 * step, 0)}
+        capacity.plain.take(CallTotals("p", 1, 0.1 * step, {}, totals), 0.1 * step)
     seeker = SEEKER._replace(now=0.5)
     found = [place_plain("s", capacity, seeker) for _ in range(50)]
     assert all(item is not None and item.name == "w1" for item in found) is off
 
 
-def test_command_names_what_can_be_switched_off_and_refuses_the_rest() -> None:
-    ran = CliRunner().invoke(main, ["entry", "--without", "no-such"])
-    assert ran.exit_code == 2
-    assert "'no-such' is not one of" in ran.output
-    assert all(mechanism.value in ran.output for mechanism in Mechanism)
+def test_command_line_lists_the_mechanisms_and_rejects_unknown_names() -> None:
+    result = CliRunner().invoke(main, ["entry", "--without", "no-such"])
+    assert result.exit_code == 2
+    assert "'no-such' is not one of" in result.output
+    assert all(mechanism.value in result.output for mechanism in Mechanism)
--- a/cleatlink/routing/plain_admission.py
+++ b/cleatlink/routing/plain_admission.py
@@ -1,10 +1,11 @@
-"""Decides which plain calls a service takes when it can't serve all in time.
-
-The load that it answers: calls on a service exceed what its endpoints bear, as in a burst or
-once some of them are gone. Endpoints queue what they get, so that all who are served are late.
-Here as many go out as are borne, the most urgent first; the rest is refused early, while the
-caller can still be served in time at another try. All instances go by the same totals, and
-each lets the same share of its own callers pass: none has to ask another one.
+"""Admission control for plain calls when a service cannot serve all of them in time.
+
+Overload arises when the rate of calls exceeds what the endpoints of a service can sustain, as in
+a burst or after the loss of some endpoints. Endpoints queue the calls that they accept, so that
+without admission control every served call is late. Here the instances send only as many calls as
+the endpoints can sustain, the most urgent first, and refuse the rest early, while a retry can
+still be served in time. All instances use the same totals, and each admits the same share of its
+own callers' calls, so no instance has to ask another.
 """
 
 import math
@@ -17,47 +18,49 @@
 
 __all__ = [
     "AdmissionQueue",
-    "Bearing",
+    "ServiceLoad",
     "Ticket",
-    "bears",
-    "find_bearing",
-    "rank_of",
+    "sustainable_rate",
+    "measure_service_load",
+    "admission_rank",
     "retry_after_s",
-    "shares",
+    "admitted_shares",
 ]
 
-# Below this share of the places no call is refused.
-_FREE_SHARE = 0.5
-# A queue is short while a call waits in it for no longer than it takes itself.
-_SHORT_QUEUE_FILL = 2.0
-# An endpoint with a longer queue gets less than it serves until the queue is gone, but at least
-# this share of it: a queue that is measured may be gone already.
-_LEAST_DRAIN = 0.6
-# Of each rank this share passes, so that nobody starves and a wrong estimate is found out.
-_LEAST_SHARE = 0.05
-# A call waits for at most this share of its target: refused later than that, its caller could
-# hardly be served in time at another try.
+# Share of the slots in use below which no call is refused.
+_NO_REFUSAL_FILL = 0.5
+# Calls at an endpoint, relative to its slots, up to which its queue counts as short: a call waits
+# no longer than its own service takes.
+_MAX_SHORT_QUEUE_FILL = 2.0
+# An endpoint with a longer queue gets less than its service rate until the queue is empty, but at
+# least this share of it, because the measured queue may already be empty.
+_MIN_DRAIN_SHARE = 0.6
+# Smallest admitted share of each rank: prevents starvation, and reveals a wrong estimate.
+_MIN_ADMITTED_SHARE = 0.05
+# Longest wait of a call for admission, as a share of its target latency: after a later refusal, a
+# retry could hardly be served in time.
 WAIT_SHARE = 0.25
-# Bounds what calls that wait hold, whatever their rate.
-_MOST_WAITING = 64
-# Unused shares add up to this many calls.
-_MOST_CREDIT = 2.0
-# Shares are summed up with errors below this.
-_ROUNDING = 1e-9
-# Priorities that are told apart; the rest counts as the least urgent of these.
-_PRIORITIES = 8
-# Callers come back no sooner than a queue takes to go, in seconds.
+# Longest admission queue of a service, in calls: bounds the memory of waiting calls at any rate.
+_MAX_QUEUE_LENGTH = 64
+# Upper limit of the admission credit that may accumulate, in calls.
+_MAX_CREDIT = 2.0
+# Upper bound of the rounding error of a sum of shares.
+_ROUNDING_ERROR = 1e-9
+# Number of distinct priorities; a less urgent call gets the least urgent of these.
+_PRIORITY_COUNT = 8
+# Shortest retry delay, in seconds: the time that a queue takes to empty.
 _MIN_RETRY_S = 0.25
-# Where a caller names no deadline: longer than most loads of this kind last, in seconds.
-_MOST_RETRY_S = 3.0
+# Longest retry delay, also for callers without a deadline, in seconds: longer than most overloads
+# of this kind last.
+_MAX_RETRY_S = 3.0
 
 
-class Bearing(NamedTuple):
-    """How a service stands.
+class ServiceLoad(NamedTuple):
+    """Load of a service and the call rate that it can sustain.
 
     Attributes:
-        per_s: Calls a second that its endpoints bear; infinite if that is not known.
-        fill: Calls in progress and in endpoints' queues, as a share of all places.
+        per_s: Calls per second that its endpoints can sustain; infinite if unknown.
+        fill: Calls in progress and in the endpoints' queues, relative to all slots.
     """
 
     per_s: float
@@ -65,106 +68,109 @@
 
     @property
     def is_free(self) -> bool:
-        """Whether so many places are free that nothing may be refused."""
-        return self.fill < _FREE_SHARE or not math.isfinite(self.per_s)
+        """Whether enough slots are free that no call may be refused."""
+        return self.fill < _NO_REFUSAL_FILL or not math.isfinite(self.per_s)
 
 
-def rank_of(priority: int, *, has_waited: bool = False, repeats: bool = False) -> int:
-    """Give the rank of a call; smaller goes first.
+def admission_rank(priority: int, *, retried_in_time: bool = False, repeated: bool = False) -> int:
+    """Return the admission rank of a call; calls of a smaller rank are admitted first.
 
     Args:
-        priority: From 0, the most urgent.
-        has_waited: Whether it was refused before and is back at the time that it was given.
-        repeats: Whether it was sent before, or is back before its time; it yields to others.
+        priority: Priority of the call; 0 is the most urgent.
+        retried_in_time: Whether the call was refused before and is retried at the time that the
+            refusal named.
+        repeated: Whether the call was sent to an endpoint before, or is retried too early; such
+            a call ranks behind all others.
     """
-    priority = min(max(priority, 0), _PRIORITIES - 1)
-    if repeats:
-        return 2 * (_PRIORITIES + priority)
-    return 2 * priority + (not has_waited)
+    priority = min(max(priority, 0), _PRIORITY_COUNT - 1)
+    if repeated:
+        return 2 * (_PRIORITY_COUNT + priority)
+    return 2 * priority + (not retried_in_time)
 
 
-def bears(endpoint: RoutedEndpoint, load: EndpointLoad, usual_s: float) -> float:
-    """Give the calls a second that an endpoint bears without a queue.
+def sustainable_rate(endpoint: RoutedEndpoint, load: EndpointLoad, typical_s: float) -> float:
+    """Return the calls per second that an endpoint can sustain without a queue.
 
-    A full one bears what it serves. Of others, what they serve tells how long a call takes. One
-    that refuses calls bears no more than it serves, but is tried now and then.
+    A full endpoint sustains the rate at which it completes calls. For an endpoint with free
+    slots, that rate is divided by the share of the slots in use. An endpoint that refuses calls
+    sustains no more than it completes, but still gets a few calls to test it.
 
     Args:
         endpoint: The endpoint.
-        load: What it had to do lately.
-        usual_s: Seconds that a call takes there as a rule; 0 if that is not known.
+        load: Its recent load.
+        typical_s: Typical duration of a call there, in seconds; 0 if unknown.
 
     Returns:
-        The rate; infinite if nothing is known.
+        The rate; infinite if unknown.
     """
     slots = max(1, endpoint.slots)
     fill = load.running / slots
     if load.refused:
-        usual = _LEAST_SHARE * slots / usual_s if usual_s else 0.0
-        return max(load.ended_per_s * _LEAST_DRAIN, usual, _LEAST_SHARE)
-    if load.is_known and fill > 0:
+        test_rate = _MIN_ADMITTED_SHARE * slots / typical_s if typical_s else 0.0
+        return max(load.ended_per_s * _MIN_DRAIN_SHARE, test_rate, _MIN_ADMITTED_SHARE)
+    if load.rate_is_known and fill > 0:
         rate = load.ended_per_s / min(1.0, fill)
-        return rate * max(_LEAST_DRAIN, min(1.0, _SHORT_QUEUE_FILL / fill))
-    return slots / usual_s if usual_s else math.inf
+        return rate * max(_MIN_DRAIN_SHARE, min(1.0, _MAX_SHORT_QUEUE_FILL / fill))
+    return slots / typical_s if typical_s else math.inf
 
 
-def find_bearing(
+def measure_service_load(
     endpoints: Iterable[RoutedEndpoint],
     loads: Mapping[str, EndpointLoad],
-    usual_s: Mapping[str, float],
-) -> Bearing:
-    """Give how a service stands.
+    typical_s: Mapping[str, float],
+) -> ServiceLoad:
+    """Return the load of a service.
 
     Args:
-        endpoints: Its endpoints that are in reach.
-        loads: What each of them had to do lately, by name.
-        usual_s: Seconds that a call takes there as a rule, by name; 0 if that is not known.
+        endpoints: Its reachable endpoints.
+        loads: Recent load of each endpoint, by endpoint name.
+        typical_s: Typical duration of a call, in seconds, by endpoint name; 0 if unknown.
     """
     per_s = running = 0.0
     slots = 0
     for endpoint in endpoints:
         load = loads[endpoint.name]
-        per_s += bears(endpoint, load, usual_s[endpoint.name])
+        per_s += sustainable_rate(endpoint, load, typical_s[endpoint.name])
         slots += max(1, endpoint.slots)
-        # One that refuses calls has no place left, whatever is known of them.
+        # An endpoint that refuses calls has no free slot, even if fewer calls are known.
         running += max(load.running, endpoint.slots) if load.refused else load.running
-    return Bearing(per_s, running / slots if slots else 0.0)
+    return ServiceLoad(per_s, running / slots if slots else 0.0)
 
 
-def shares(demand: Mapping[int, float], per_s: float) -> dict[int, float]:
-    """Give the share of each rank's calls that passes: the first ranks' calls before others'.
+def admitted_shares(demand: Mapping[int, float], per_s: float) -> dict[int, float]:
+    """Return the admitted share of calls by rank; smaller ranks are admitted first.
 
     Args:
-        demand: Calls a second, by rank.
-        per_s: Calls a second that the service bears.
+        demand: Calls per second, by rank.
+        per_s: Calls per second that the service can sustain.
     """
-    left = per_s
-    found = {}
+    remaining_per_s = per_s
+    result = {}
     for rank in sorted(demand):
         rate = demand[rank]
-        share = min(1.0, left / rate) if rate > 0 else 1.0
-        found[rank] = max(_LEAST_SHARE, share)
-        left = max(0.0, left - rate * found[rank])
-    return found
+        share = min(1.0, remaining_per_s / rate) if rate > 0 else 1.0
+        result[rank] = max(_MIN_ADMITTED_SHARE, share)
+        remaining_per_s = max(0.0, remaining_per_s - rate * result[rank])
+    return result
 
 
-def retry_after_s(spare_s: float, draw: float) -> float:
-    """Give when a refused caller is to come back: each at another moment, within its time.
+def retry_after_s(slack_s: float, random_fraction: float) -> float:
+    """Return the retry delay of a refused caller, randomised to spread retries over its slack.
 
     Args:
-        spare_s: Seconds for which the caller would wait; may be infinite.
-        draw: A number from 0 to 1, drawn anew for each caller.
+        slack_s: Seconds for which the caller would wait; may be infinite.
+        random_fraction: A random number from 0 to 1, a new one for each caller.
     """
-    latest_s = max(_MIN_RETRY_S, min(spare_s, _MOST_RETRY_S))
-    return _MIN_RETRY_S + draw * (latest_s - _MIN_RETRY_S)
+    latest_s = max(_MIN_RETRY_S, min(slack_s, _MAX_RETRY_S))
+    return _MIN_RETRY_S + random_fraction * (latest_s - _MIN_RETRY_S)
 
 
 class Ticket(NamedTuple):
-    """One call that wants to pass; tickets sort in the order in which they pass.
+    """A call in an admission queue; tickets sort in the order of admission.
 
     Attributes:
-        rank: Its rank.
-        number: Breaks ties in the order of arrival.
+        rank: Admission rank of the call; see ``admission_rank``.
+        number: Sequence number of its arrival; breaks ties.
     """
 
     rank: int
@@ -172,65 +178,65 @@
 
 
 class AdmissionQueue:
-    """The calls of one instance on one service that wait to pass.
+    """Calls of one instance on one service that wait for admission.
 
-    Each call that arrives adds the share of it that may pass; whole ones are given to the
-    first in order, who need not be the one that arrived.
+    Each call that arrives adds its admitted share to a credit. A credit of one call admits the
+    first call in order, which need not be the one that arrived.
     """
 
     def __init__(self, credit: float) -> None:
-        """Start empty.
+        """Create an empty queue.
 
         Args:
-            credit: A number from 0 to 1, another one at each instance: else all instances
-                would refuse their first caller, or none of them.
+            credit: Initial credit, a random number from 0 to 1 that differs between instances:
+                otherwise all instances would refuse their first caller, or none would.
         """
         self._credit = credit
         self._waiting: list[Ticket] = []
-        self._count = 0
+        self._arrivals = 0
 
     def __len__(self) -> int:
         return len(self._waiting)
 
     def arrive(self, rank: int, share: float) -> Ticket:
-        """Let a call wait, and add the share of it that may pass."""
-        self._count += 1
-        ticket = Ticket(rank, self._count)
-        self._credit = min(_MOST_CREDIT, self._credit + share)
+        """Add a call to the queue, and its admitted share to the credit."""
+        self._arrivals += 1
+        ticket = Ticket(rank, self._arrivals)
+        self._credit = min(_MAX_CREDIT, self._credit + share)
         insort(self._waiting, ticket)
         return ticket
 
     def pass_next(self) -> Ticket | None:
-        """Give the next call that passes now, if one does; it waits no more."""
-        if not self._waiting or self._credit < 1.0 - _ROUNDING:
+        """Remove and return the next call to admit; None if the credit admits none."""
+        if not self._waiting or self._credit < 1.0 - _ROUNDING_ERROR:
             return None
         self._credit = max(0.0, self._credit - 1.0)
         return self._waiting.pop(0)
 
     def clear(self) -> list[Ticket]:
-        """Let all pass: the service has room."""
-        found, self._waiting = self._waiting, []
-        return found
+        """Remove and return all calls, to admit them when the service has free capacity."""
+        admitted, self._waiting = self._waiting, []
+        return admitted
 
     def drop_last(self) -> Ticket | None:
-        """Give the last in order if too many wait; it waits no more."""
-        if len(self._waiting) <= _MOST_WAITING:
+        """Remove and return the last call if the queue is too long; else return None."""
+        if len(self._waiting) <= _MAX_QUEUE_LENGTH:
             return None
         return self._waiting.pop()
 
     def remove(self, ticket: Ticket) -> bool:
-        """Let a call wait no more; tells whether it still did."""
+        """Remove a call from the queue; return whether it was still there."""
         if ticket not in self._waiting:
             return False
         self._waiting.remove(ticket)
         return True
 
     def may_pass_within(self, ticket: Ticket, expected: float) -> bool:
-        """Tell whether a call that waits should pass soon.
+        """Check whether a queued call is likely to be admitted in time.
 
         Args:
             ticket: The call.
-            expected: Calls that should pass within the time for which it can wait.
+            expected: Expected number of admissions within the time for which the call can wait.
         """
-        ahead = self._waiting.index(ticket)
-        return self._credit + expected >= ahead + 1.0
+        queued_ahead = self._waiting.index(ticket)
+        return self._credit + expected >= queued_ahead + 1.0
--- a/cleatlink/routing/plain_load.py
+++ b/cleatlink/routing/plain_load.py
@@ -1,8 +1,8 @@
-"""What plain services have to do, by the calls of all instances.
+"""Load of plain services, from the calls of all instances.
 
-Each instance counts its own calls exactly and tells its totals; what a peer's totals grew by
-since it told before counts as of now. A lost message is made up for by the next one, and one
-that comes twice or late changes nothing.
+Each instance counts its own calls exactly and announces its totals to its peers. The increase of
+a peer's totals since its previous message counts as load at the time of receipt. After a lost
+message, the next one contains the missing calls; a duplicated or delayed message has no effect.
 """
 
 import math
@@ -14,41 +14,43 @@
 
 __all__ = ["CallEnd", "CallTotals", "Demand", "EndpointLoad", "EndpointTotals", "PlainLoad"]
 
-# Some tens of calls that endpoints of a few places serve: older ones tell of a queue that is gone.
+# Window of recent calls, in seconds. An endpoint with a few slots serves some tens of calls in this
+# time; older calls describe a queue that no longer exists.
 _WINDOW_S = 0.5
-# Totals of a peer that started so lately began at zero within the window; of others, only what
-# they grow by is known to be new.
-_YOUNG_S = 1.5
-# What a peer told before a silence of so long is no base for what it tells after it.
-_SILENCE_S = 4.0
-# After signs of a full endpoint, calls are told of more often for so long.
-_BUSY_S = 2.0
-# Peers that have been silent for so long are forgotten.
-_FORGET_S = 60.0
-# Totals at an endpoint that is gone are kept for so long: it may only have been out of sight, and
-# what peers know of them never falls.
-_KEPT_S = 600.0
-# Fewer calls that came to their end tell too little of an endpoint's pace.
-_FEW_CALLS = 8
+# Longest uptime, in seconds, at which the first totals of a peer count as recent calls: they began
+# at zero shortly before. Of other peers, only later increases are known to be recent.
+_NEW_PEER_UPTIME_S = 1.5
+# Longest gap between two messages of a peer, in seconds, after which the increase of its totals
+# still counts as recent.
+_MAX_MESSAGE_GAP_S = 4.0
+# Time for which totals are announced more often after a sign of a full endpoint, in seconds.
+_NEARLY_FULL_S = 2.0
+# Time after the last message of a peer until its totals are removed, in seconds.
+_PEER_RETENTION_S = 60.0
+# Time for which totals of an unregistered endpoint are kept, in seconds: it may only have been out
+# of reach, and peers ignore totals that are smaller than those they know.
+_ENDPOINT_RETENTION_S = 600.0
+# Number of ended calls below which an endpoint's service rate is unknown.
+_MIN_ENDED_CALLS = 8
 
 
 class CallEnd(Enum):
-    """What a call that was sent to an endpoint came to there."""
+    """Outcome of a call that was sent to an endpoint."""
 
-    # It was served, or failed by the endpoint.
+    # The endpoint ran the call, with or without success.
     RAN = auto()
-    # The endpoint did not run it.
+    # The endpoint did not run the call.
     REFUSED = auto()
-    # No answer was waited for, or came.
+    # No answer arrived, or the wait for it was abandoned.
     LOST = auto()
 
 
 class Demand(NamedTuple):
-    """Calls of one rank on a service.
+    """Identifies the calls of one rank on a service.
 
     Attributes:
-        service: The service.
-        rank: Smaller is served first.
+        service: Name of the service.
+        rank: Admission rank; calls of a smaller rank are admitted first.
     """
 
     service: str
@@ -56,12 +58,12 @@
 
 
 class EndpointTotals(NamedTuple):
-    """What an instance had at an endpoint since the instance's start.
+    """Totals of one instance's calls at an endpoint since the start of the instance.
 
     Attributes:
-        ended: Calls that came to their end.
-        busy_s: Seconds of calls in progress, summed over the calls.
-        refused: Calls that it did not run.
+        ended: Number of calls that the endpoint ran to their end.
+        busy_s: Total time of calls in progress, in seconds, summed over the calls.
+        refused: Number of calls that the endpoint did not run.
     """
 
     ended: int = 0
@@ -70,14 +72,16 @@
 
 
 class CallTotals(NamedTuple):
-    """What a peer told of its plain calls.
+    """Totals of plain calls that a peer announced.
 
     Attributes:
-        name: The peer.
-        incarnation: Grows with each start of it.
-        age_s: Seconds since its start.
-        arrived: Calls that it got, by service and rank; all, or those that changed.
-        endpoints: What it had at endpoints, by life; all, or those that changed.
+        name: Name of the peer.
+        incarnation: Incarnation number of the peer; increases with each start.
+        age_s: Seconds since the start of the peer.
+        arrived: Number of calls that it received, by service and rank; all totals, or only
+            those that changed.
+        endpoints: Its totals at endpoints, by name of the endpoint's incarnation; all totals,
+            or only those that changed.
     """
 
     name: str
@@ -88,212 +92,224 @@
 
 
 class EndpointLoad(NamedTuple):
-    """What one endpoint had to do lately, for all instances.
+    """Recent load of one endpoint from all instances.
 
     Attributes:
-        running: Calls in progress, on the average; those that it queues count.
-        ended_per_s: Calls that came to their end, a second.
-        refused: Whether it refused any.
-        is_known: Whether enough calls ended to tell its pace.
+        running: Average number of calls in progress, including those that the endpoint queues.
+        ended_per_s: Calls that the endpoint ran to their end, per second.
+        refused: Whether the endpoint refused any call.
+        rate_is_known: Whether enough calls ended to determine its service rate.
     """
 
     running: float
     ended_per_s: float
     refused: bool
-    is_known: bool
+    rate_is_known: bool
 
 
 class _OwnCalls:
-    """This instance's calls at one endpoint."""
+    """This instance's calls at one endpoint since the start of this instance."""
 
-    __slots__ = ("busy_s", "ended", "refused", "running", "since")
+    __slots__ = ("busy_s", "ended", "refused", "running", "updated_at")
 
     def __init__(self, now: float) -> None:
         self.running = 0
-        self.since = now
+        self.updated_at = now
         self.ended = 0
         self.busy_s = 0.0
         self.refused = 0
 
     def totals(self) -> EndpointTotals:
-        """Give the totals as of the last step."""
+        """Return the totals up to the last update."""
         return EndpointTotals(self.ended, self.busy_s, self.refused)
 
 
-class _Peer:
-    """The newest totals of one peer."""
+class _PeerTotals:
+    """The newest totals that one peer announced."""
 
-    __slots__ = ("arrived", "endpoints", "heard_at", "incarnation", "is_whole")
+    __slots__ = ("arrived", "endpoints", "incarnation", "received_at", "starts_at_zero")
 
-    def __init__(self, incarnation: int, now: float, *, is_whole: bool) -> None:
+    def __init__(self, incarnation: int, now: float, *, starts_at_zero: bool) -> None:
         self.incarnation = incarnation
-        self.heard_at = now
-        # Whether what it did not tell yet is zero.
-        self.is_whole = is_whole
+        self.received_at = now
+        # Whether totals that the peer has not announced yet are zero.
+        self.starts_at_zero = starts_at_zero
         self.arrived: dict[Demand, int] = {}
         self.endpoints: dict[str, EndpointTotals] = {}
 
 
 class PlainLoad:
-    """The plain calls of all instances; every method takes the time as an argument."""
+    """Plain calls of all instances; methods take the current time as an argument."""
 
     def __init__(self, now: float) -> None:
-        """Start without any."""
-        self._begun_at = now
+        """Create a record without calls."""
+        self._started_at = now
         self._arrived: RecentSums[Demand] = RecentSums(_WINDOW_S, now)
         self._own_arrived: RecentSums[str] = RecentSums(_WINDOW_S, now)
         self._ended: RecentSums[str] = RecentSums(_WINDOW_S, now)
-        self._busy: RecentSums[str] = RecentSums(_WINDOW_S, now)
-        self._own_busy: RecentSums[str] = RecentSums(_WINDOW_S, now)
+        self._call_s: RecentSums[str] = RecentSums(_WINDOW_S, now)
+        self._own_call_s: RecentSums[str] = RecentSums(_WINDOW_S, now)
         self._refused: RecentSums[str] = RecentSums(_WINDOW_S, now)
-        self._totals: dict[Demand, int] = {}
-        self._own: dict[str, _OwnCalls] = {}
-        self._peers: dict[str, _Peer] = {}
-        self._busy_until = -math.inf
-        self._heard_at = -math.inf
+        self._arrival_totals: dict[Demand, int] = {}
+        self._own_calls: dict[str, _OwnCalls] = {}
+        self._peers: dict[str, _PeerTotals] = {}
+        self._nearly_full_until = -math.inf
+        self._newest_message_at = -math.inf
 
-    def note_busy(self, now: float) -> None:
-        """Note a sign that a service is nearly full."""
-        self._busy_until = now + _BUSY_S
+    def note_nearly_full(self, now: float) -> None:
+        """Record a sign that a service is nearly full."""
+        self._nearly_full_until = now + _NEARLY_FULL_S
 
     def is_busy(self, now: float) -> bool:
-        """Tell whether there was a sign of a full service just now."""
-        return now < self._busy_until
+        """Check whether there was a recent sign of a nearly full service."""
+        return now < self._nearly_full_until
 
     def heard_ago_s(self, now: float) -> float | None:
-        """Give the age of the newest word of a peer; None before the first."""
-        return now - self._heard_at if math.isfinite(self._heard_at) else None
+        """Return the seconds since the newest message of any peer; None before the first."""
+        return now - self._newest_message_at if math.isfinite(self._newest_message_at) else None
 
     def note_arrival(self, service: str, rank: int, now: float) -> None:
-        """Count a call of a caller."""
+        """Count the arrival of a call from a caller."""
         key = Demand(service, rank)
-        self._totals[key] = self._totals.get(key, 0) + 1
+        self._arrival_totals[key] = self._arrival_totals.get(key, 0) + 1
         self._arrived.add(key, 1.0, now)
         self._own_arrived.add(service, 1.0, now)
 
-    def begin(self, life: str, now: float) -> None:
-        """Count a call that is sent to an endpoint."""
-        own = self._own.setdefault(life, _OwnCalls(now))
-        self._accrue(life, own, now)
+    def begin(self, endpoint_name: str, now: float) -> None:
+        """Count the start of a call that is sent to an endpoint."""
+        own = self._own_calls.setdefault(endpoint_name, _OwnCalls(now))
+        self._add_running_time(endpoint_name, own, now)
         own.running += 1
 
-    def end(self, life: str, outcome: CallEnd, now: float) -> None:
+    def end(self, endpoint_name: str, outcome: CallEnd, now: float) -> None:
         """Count the end of a call that was sent to an endpoint."""
-        own = self._own.setdefault(life, _OwnCalls(now))
-        self._accrue(life, own, now)
+        own = self._own_calls.setdefault(endpoint_name, _OwnCalls(now))
+        self._add_running_time(endpoint_name, own, now)
         own.running = max(0, own.running - 1)
         if outcome is CallEnd.REFUSED:
             own.refused += 1
-            self._refused.add(life, 1.0, now)
-            self.note_busy(now)
+            self._refused.add(endpoint_name, 1.0, now)
+            self.note_nearly_full(now)
         elif outcome is CallEnd.RAN:
             own.ended += 1
-            self._ended.add(life, 1.0, now)
+            self._ended.add(endpoint_name, 1.0, now)
 
-    def _accrue(self, life: str, own: _OwnCalls, now: float) -> None:
-        """Count the time of calls in progress up to now."""
-        busy_s = own.running * max(0.0, now - own.since)
-        own.since = now
+    def _add_running_time(self, endpoint_name: str, own: _OwnCalls, now: float) -> None:
+        """Add the time of calls in progress since the last update."""
+        busy_s = own.running * max(0.0, now - own.updated_at)
+        own.updated_at = now
         if busy_s:
             own.busy_s += busy_s
             recent_s = min(busy_s, own.running * _WINDOW_S)
-            self._busy.add(life, recent_s, now)
-            self._own_busy.add(life, recent_s, now)
+            self._call_s.add(endpoint_name, recent_s, now)
+            self._own_call_s.add(endpoint_name, recent_s, now)
 
     def totals(self, now: float) -> dict[str, EndpointTotals]:
-        """Give what this instance had at endpoints since its start."""
-        for life, own in self._own.items():
+        """Return this instance's totals at endpoints since its start."""
+        for endpoint_name, own in self._own_calls.items():
             if own.running:
-                self._accrue(life, own, now)
-        return {life: own.totals() for life, own in self._own.items()}
+                self._add_running_time(endpoint_name, own, now)
+        return {endpoint_name: own.totals() for endpoint_name, own in self._own_calls.items()}
 
     @property
     def arrivals(self) -> dict[Demand, int]:
-        """Calls that this instance got since its start."""
-        return self._totals
+        """Number of calls that this instance received since its start, by service and rank."""
+        return self._arrival_totals
 
     def age_s(self, now: float) -> float:
-        """Give the seconds since this instance's start."""
-        return now - self._begun_at
-
-    def take(self, told: CallTotals, now: float) -> None:
-        """Take the totals of a peer."""
-        peer = self._peers.get(told.name)
-        if peer is None or peer.incarnation < told.incarnation:
-            is_whole = told.age_s <= _YOUNG_S
-            peer = self._peers[told.name] = _Peer(told.incarnation, now, is_whole=is_whole)
-        if peer.incarnation > told.incarnation:
+        """Return the seconds since the start of this instance."""
+        return now - self._started_at
+
+    def take(self, announced: CallTotals, now: float) -> None:
+        """Update the totals of a peer from its message."""
+        peer = self._peers.get(announced.name)
+        if peer is None or peer.incarnation < announced.incarnation:
+            starts_at_zero = announced.age_s <= _NEW_PEER_UPTIME_S
+            peer = self._peers[announced.name] = _PeerTotals(
+                announced.incarnation, now, starts_at_zero=starts_at_zero
+            )
+        if peer.incarnation > announced.incarnation:
             return
-        self._heard_at = now
-        is_news = now - peer.heard_at <= _SILENCE_S
-        peer.heard_at = now
-        for key, count in told.arrived.items():
-            known = peer.arrived.get(key, 0 if peer.is_whole else count)
-            peer.arrived[key] = max(known, count)
-            if is_news and count > known:
-                self._arrived.add(key, count - known, now)
-        for life, totals in told.endpoints.items():
-            self._take_endpoint(peer, life, totals, now if is_news else None)
-
-    def _take_endpoint(
-        self, peer: _Peer, life: str, totals: EndpointTotals, now: float | None
+        self._newest_message_at = now
+        is_recent = now - peer.received_at <= _MAX_MESSAGE_GAP_S
+        peer.received_at = now
+        for key, count in announced.arrived.items():
+            previous = peer.arrived.get(key, 0 if peer.starts_at_zero else count)
+            peer.arrived[key] = max(previous, count)
+            if is_recent and count > previous:
+                self._arrived.add(key, count - previous, now)
+        for endpoint_name, totals in announced.endpoints.items():
+            self._update_endpoint(peer, endpoint_name, totals, now if is_recent else None)
+
+    def _update_endpoint(
+        self, peer: _PeerTotals, endpoint_name: str, totals: EndpointTotals, now: float | None
     ) -> None:
-        """Take a peer's totals at one endpoint; without a time, only as a base for later ones."""
-        known = peer.endpoints.get(life, EndpointTotals() if peer.is_whole else totals)
-        if totals.ended < known.ended or totals.busy_s < known.busy_s:
+        """Update a peer's totals at one endpoint; if ``now`` is None, only as a later baseline."""
+        previous = peer.endpoints.get(
+            endpoint_name, EndpointTotals() if peer.starts_at_zero else totals
+        )
+        if totals.ended < previous.ended or totals.busy_s < previous.busy_s:
             return
-        peer.endpoints[life] = totals
+        peer.endpoints[endpoint_name] = totals
         if now is None:
             return
-        self._ended.add(life, totals.ended - known.ended, now)
-        self._busy.add(life, totals.busy_s - known.busy_s, now)
-        if totals.refused > known.refused:
-            self._refused.add(life, totals.refused - known.refused, now)
-
-    def endpoint(self, life: str, now: float) -> EndpointLoad:
-        """Give what an endpoint had to do lately."""
-        own = self._own.get(life)
+        self._ended.add(endpoint_name, totals.ended - previous.ended, now)
+        self._call_s.add(endpoint_name, totals.busy_s - previous.busy_s, now)
+        if totals.refused > previous.refused:
+            self._refused.add(endpoint_name, totals.refused - previous.refused, now)
+
+    def endpoint(self, endpoint_name: str, now: float) -> EndpointLoad:
+        """Return the recent load of an endpoint."""
+        own = self._own_calls.get(endpoint_name)
         if own is not None and own.running:
-            self._accrue(life, own, now)
+            self._add_running_time(endpoint_name, own, now)
         return EndpointLoad(
-            self._busy.rate(life, now),
-            self._ended.rate(life, now),
-            self._refused.sum(life, now) > 0,
-            self._ended.sum(life, now) >= _FEW_CALLS,
+            self._call_s.rate(endpoint_name, now),
+            self._ended.rate(endpoint_name, now),
+            self._refused.sum(endpoint_name, now) > 0,
+            self._ended.sum(endpoint_name, now) >= _MIN_ENDED_CALLS,
         )
 
-    def others_running(self, life: str, now: float) -> float:
-        """Give the calls that peers had in progress at an endpoint lately, on the average."""
-        return max(0.0, self._busy.rate(life, now) - self._own_busy.rate(life, now))
+    def peers_running(self, endpoint_name: str, now: float) -> float:
+        """Return the recent average number of peers' calls in progress at an endpoint."""
+        return max(
+            0.0, self._call_s.rate(endpoint_name, now) - self._own_call_s.rate(endpoint_name, now)
+        )
 
-    def demand(self, service: str, now: float) -> dict[int, float]:
-        """Give the calls on a service a second, by rank, from all instances."""
+    def arrival_rates(self, service: str, now: float) -> dict[int, float]:
+        """Return the recent calls per second on a service from all instances, by rank."""
         rates = self._arrived.rates(now)
         return {key.rank: rate for key, rate in rates.items() if key.service == service}
 
-    def own_rate(self, service: str, now: float) -> float:
-        """Give the calls on a service a second that this instance gets."""
+    def own_arrival_rate(self, service: str, now: float) -> float:
+        """Return the recent calls per second on a service at this instance."""
         return self._own_arrived.rate(service, now)
 
-    def forget(self, lives: Set[str], now: float) -> None:
-        """Forget endpoints that are gone, and peers that have been silent for long.
+    def forget(self, registered: Set[str], now: float) -> None:
+        """Remove totals of endpoints that are gone and of peers that stopped sending.
 
         Args:
-            lives: Lives that are registered.
-            now: The time.
+            registered: Names of the registered incarnations of endpoints.
+            now: The current time.
         """
-        gone = [
-            life
-            for life, own in self._own.items()
-            if life not in lives and not own.running and now - own.since > _KEPT_S
+        obsolete = [
+            endpoint_name
+            for endpoint_name, own in self._own_calls.items()
+            if endpoint_name not in registered
+            and not own.running
+            and now - own.updated_at > _ENDPOINT_RETENTION_S
+        ]
+        for endpoint_name in obsolete:
+            del self._own_calls[endpoint_name]
+        stopped = [
+            name for name, peer in self._peers.items() if now - peer.received_at > _PEER_RETENTION_S
         ]
-        for life in gone:
-            del self._own[life]
-        silent = [name for name, peer in self._peers.items() if now - peer.heard_at > _FORGET_S]
-        for name in silent:
+        for name in stopped:
             del self._peers[name]
         for peer in self._peers.values():
-            if not peer.endpoints.keys() <= lives:
+            if not peer.endpoints.keys() <= registered:
                 peer.endpoints = {
-                    life: totals for life, totals in peer.endpoints.items() if life in lives
+                    endpoint_name: totals
+                    for endpoint_name, totals in peer.endpoints.items()
+                    if endpoint_name in registered
                 }
--- a/cleatlink/routing/plain_replay_test.py
+++ b/cleatlink/routing/plain_replay_test.py
@@ -1,11 +1,11 @@
-"""Loads at their worst, replayed on the decisions about plain calls of many instances.
+"""Simulations of overload with the decisions of many instances about plain calls.
 
-Workers of plain calls queue what they get. While each instance knew its own calls alone, a
-burst, or the loss of half of the workers, made nearly all who were served late: the queues
-stayed full, and what one worker refused was tried at the next.
+Workers queue the plain calls that they accept. When each instance knew only its own calls, a
+burst or the loss of half of the workers made nearly all served calls late: the queues stayed
+full, and a call that one worker refused was tried at the next.
 
-Arrivals and outcomes are fed to the decisions; what instances tell each other is a part of a
-second old, and one message in ten is lost.
+The simulation feeds arrivals and outcomes to the admission and placement code. Messages between
+instances arrive after a fraction of a second, and one in ten is lost.
 """
 
 import heapq
@@ -27,24 +27,25 @@
 from cleatlink.routing.relay_place import Seeker, place_plain
 from cleatlink.routing.reservation import Reservation
 
-SLOTS, QUEUED = 6, 24
+SLOTS, QUEUE_LENGTH = 6, 24
 WORK_S, TARGET_S = 0.045, 0.2
 WORKERS, DATA_CENTRES = 4, 3
-# Calls a second that all workers serve.
-BORNE = WORKERS * SLOTS / WORK_S
-TOLD_S, DELAY_S, LOST = 0.25, 0.05, 0.1
+# Calls per second that all workers together can serve.
+SUSTAINABLE_PER_S = WORKERS * SLOTS / WORK_S
+MESSAGE_INTERVAL_S, MESSAGE_DELAY_S, LOST_SHARE = 0.25, 0.05, 0.1
 
 
 class Load(NamedTuple):
-    """A pattern of load.
+    """A load pattern over time.
 
     Attributes:
-        rate: Calls a second at a time, of all callers.
-        workers: How many workers there are at a time.
-        urgent: Share of the calls whose priority is 0; the others' is 1.
-        abusive: Share of the callers who come back at once, three times.
-        flood: Calls a second at a time that one organisation adds, of priority 2.
-        lasts_s: Seconds for which callers come.
+        rate: Returns the calls per second of all callers at a given time.
+        workers: Returns the number of running workers at a given time.
+        urgent: Share of the calls with priority 0; the others have priority 1.
+        abusive: Share of the callers that retry up to three times, without the required delay.
+        flood: Returns the additional calls per second of one organisation at a given time; they
+            have priority 2.
+        lasts_s: Time during which calls arrive, in seconds.
     """
 
     rate: Callable[[float], float]
@@ -56,26 +57,26 @@
 
 
 class Caller(NamedTuple):
-    """One call of a caller."""
+    """A caller with one call and its remaining retries."""
 
     number: int
     priority: int
-    came_at: float
-    tries_left: int
+    arrived_at: float
+    retries_left: int
     abusive: bool
     instance: int
 
 
 class Worker:
-    """Serves calls in their order, some at a time."""
+    """Serves calls in order of arrival, several at a time."""
 
     def __init__(self) -> None:
         self.ends: list[float] = []
 
-    def take(self, now: float, work_s: float) -> float | None:
-        """Give when a call ends; None if the queue is full."""
+    def accept(self, now: float, work_s: float) -> float | None:
+        """Return the time at which a call ends; None if the queue is full."""
         self.ends = sorted(end for end in self.ends if end > now)
-        if len(self.ends) >= SLOTS + QUEUED:
+        if len(self.ends) >= SLOTS + QUEUE_LENGTH:
             return None
         free_at = now if len(self.ends) < SLOTS else self.ends[-SLOTS]
         self.ends.append(free_at + work_s)
@@ -83,21 +84,21 @@
 
 
 class Node:
-    """One instance's decisions."""
+    """Admission and placement state of one instance."""
 
-    def __init__(self, number: int, without: set[Mechanism]) -> None:
+    def __init__(self, number: int, disabled: set[Mechanism]) -> None:
         self.rng = random.Random(number)
         self.data_centre = f"dc{number % DATA_CENTRES}"
-        self.capacity = Capacity(Switches(without), 0.0)
-        self.judge = PlainJudge(self.capacity, self.rng)
-        self.waits: dict[Ticket, Caller] = {}
+        self.capacity = Capacity(Switches(disabled), 0.0)
+        self.policy = PlainJudge(self.capacity, self.rng)
+        self.waiting: dict[Ticket, Caller] = {}
         self.name = str(number)
-        self.told_arrived: dict[Demand, int] = {}
-        self.told_endpoints: dict[str, EndpointTotals] = {}
+        self.announced_arrived: dict[Demand, int] = {}
+        self.announced_endpoints: dict[str, EndpointTotals] = {}
         for worker in range(WORKERS):
-            place = f"dc{worker % DATA_CENTRES}"
+            location = f"dc{worker % DATA_CENTRES}"
             self.capacity.set_endpoint(
-                RoutedEndpoint(f"w{worker}", "127.0.0.1:1", place, "s", Role.PLAIN, SLOTS)
+                RoutedEndpoint(f"w{worker}", "127.0.0.1:1", location, "s", Role.PLAIN, SLOTS)
             )
 
     def place(self, excluded: frozenset[str], now: float) -> str | None:
@@ -107,32 +108,35 @@
 
 
 class Replay:
-    """Plays a load with or without admission; counts what callers' calls came to."""
+    """Simulates a load with or without admission control and counts the outcomes of calls."""
 
-    def __init__(self, load: Load, instances: int, *, admits: bool, seed: int = 1) -> None:
-        off = set() if admits else {Mechanism.PLAIN_ADMISSION}
-        self.admits = admits
+    def __init__(self, load: Load, instances: int, *, has_admission: bool, seed: int = 1) -> None:
+        disabled = set() if has_admission else {Mechanism.PLAIN_ADMISSION}
+        self.has_admission = has_admission
         self.load = load
         self.rng = random.Random(seed)
-        self.nodes = [Node(number, off) for number in range(instances)]
+        self.nodes = [Node(number, disabled) for number in range(instances)]
         self.workers = [Worker() for _ in range(WORKERS)]
         self.events: list[tuple[float, int, Callable[[float], None]]] = []
-        self.numbers = itertools.count()
+        self.sequence = itertools.count()
         self.served: Counter[int] = Counter()
         self.counts: Counter[tuple[str, int]] = Counter()
 
-    def at(self, time: float, act: Callable[[float], None]) -> None:
-        heapq.heappush(self.events, (time, next(self.numbers), act))
+    def schedule(self, time: float, action: Callable[[float], None]) -> None:
+        heapq.heappush(self.events, (time, next(self.sequence), action))
 
     def run(self) -> "Replay":
         for caller in self._callers():
-            self.at(caller.came_at, lambda now, caller=caller: self.arrive(caller, now))
+            self.schedule(caller.arrived_at, lambda now, caller=caller: self.arrive(caller, now))
         for node in self.nodes:
-            if self.admits:
-                self.at(self.rng.random() * TOLD_S, lambda now, node=node: self.tell(node, now))
+            if self.has_admission:
+                self.schedule(
+                    self.rng.random() * MESSAGE_INTERVAL_S,
+                    lambda now, node=node: self.announce(node, now),
+                )
         while self.events:
-            now, _, act = heapq.heappop(self.events)
-            act(now)
+            now, _, action = heapq.heappop(self.events)
+            action(now)
         return self
 
     def _callers(self) -> Iterator[Caller]:
@@ -148,172 +152,183 @@
             instance = self.rng.randrange(len(self.nodes))
             yield Caller(number, priority, now, 3 if abusive else 1, abusive, instance)
 
-    def tell(self, node: Node, now: float) -> None:
+    def announce(self, node: Node, now: float) -> None:
         plain = node.capacity.plain
-        arrived = dict(plain.arrivals.items() - node.told_arrived.items())
-        endpoints = dict(plain.totals(now).items() - node.told_endpoints.items())
-        node.told_arrived |= arrived
-        node.told_endpoints |= endpoints
-        told = CallTotals(node.name, 1, now, arrived, endpoints)
-        returns = node.capacity.plain_returns.untold(6, now)
+        arrived = dict(plain.arrivals.items() - node.announced_arrived.items())
+        endpoints = dict(plain.totals(now).items() - node.announced_endpoints.items())
+        node.announced_arrived |= arrived
+        node.announced_endpoints |= endpoints
+        message = CallTotals(node.name, 1, now, arrived, endpoints)
+        refusals = node.capacity.plain_returns.untold(6, now)
         if arrived or endpoints:
-            self.at(now + DELAY_S, lambda later: self.hear(node, told, returns, later))
+            self.schedule(
+                now + MESSAGE_DELAY_S, lambda later: self.receive(node, message, refusals, later)
+            )
         if now < self.load.lasts_s:
-            self.at(now + TOLD_S, lambda later: self.tell(node, later))
+            self.schedule(now + MESSAGE_INTERVAL_S, lambda later: self.announce(node, later))
 
-    def hear(
-        self, sender: Node, told: CallTotals, returns: list[tuple[bytes, float]], now: float
+    def receive(
+        self, sender: Node, message: CallTotals, refusals: list[tuple[bytes, float]], now: float
     ) -> None:
         for node in self.nodes:
-            if node is not sender and self.rng.random() >= LOST:
-                node.capacity.plain.take(told, now)
-                for identity, left_s in returns:
+            if node is not sender and self.rng.random() >= LOST_SHARE:
+                node.capacity.plain.take(message, now)
+                for identity, left_s in refusals:
                     node.capacity.plain_returns.expect_told(identity, now + left_s)
 
     def arrive(self, caller: Caller, now: float) -> None:
         node = self.nodes[caller.instance]
-        if not self.admits:
+        if not self.has_admission:
             self.send(node, caller, frozenset(), now)
             return
-        judged = node.judge.judge(Applicant("s", caller.priority, b"%d" % caller.number), now)
-        queue = node.judge.queue("s")
-        if judged.bearing.is_free:
-            passing = queue.clear()
+        assessed = node.policy.judge(Applicant("s", caller.priority, b"%d" % caller.number), now)
+        queue = node.policy.queue("s")
+        if assessed.bearing.is_free:
+            admitted = queue.clear()
         else:
-            ticket = queue.arrive(judged.rank, judged.share)
-            node.waits[ticket] = caller
-            passing = list(iter(queue.pass_next, None))
-            if ticket not in passing:
-                self.wait(node, ticket, node.judge.expected(judged, "s", 0.05, now), now)
-        for other in passing:
-            self.send(node, node.waits.pop(other), frozenset(), now)
-        if judged.bearing.is_free:
+            ticket = queue.arrive(assessed.rank, assessed.share)
+            node.waiting[ticket] = caller
+            admitted = list(iter(queue.pass_next, None))
+            if ticket not in admitted:
+                self.wait(node, ticket, node.policy.expected(assessed, "s", 0.05, now), now)
+        for other in admitted:
+            self.send(node, node.waiting.pop(other), frozenset(), now)
+        if assessed.bearing.is_free:
             self.send(node, caller, frozenset(), now)
 
     def wait(self, node: Node, ticket: Ticket, expected: float, now: float) -> None:
-        soon = node.judge.queue("s").may_pass_within(ticket, expected)
-        until = now + WAIT_SHARE * TARGET_S if soon else now
-        self.at(until, lambda later: self.give_up(node, ticket, later))
+        is_soon = node.policy.queue("s").may_pass_within(ticket, expected)
+        until = now + WAIT_SHARE * TARGET_S if is_soon else now
+        self.schedule(until, lambda later: self.give_up(node, ticket, later))
 
     def give_up(self, node: Node, ticket: Ticket, now: float) -> None:
-        if node.judge.queue("s").remove(ticket):
-            self.refuse(node, node.waits.pop(ticket), now)
+        if node.policy.queue("s").remove(ticket):
+            self.refuse(node, node.waiting.pop(ticket), now)
 
     def send(self, node: Node, caller: Caller, excluded: frozenset[str], now: float) -> None:
-        life = node.place(excluded, now)
-        if life is None:
+        worker = node.place(excluded, now)
+        if worker is None:
             self.refuse(node, caller, now)
             return
-        key = str(next(self.numbers))
-        node.capacity.reserve(key, Reservation(life, Role.PLAIN, 0, now + 1))
-        node.capacity.plain.begin(life, now)
-        number = int(life[1:])
+        key = str(next(self.sequence))
+        node.capacity.reserve(key, Reservation(worker, Role.PLAIN, 0, now + 1))
+        node.capacity.plain.begin(worker, now)
+        number = int(worker[1:])
         end = None
         if number < self.load.workers(now):
-            end = self.workers[number].take(now, self.rng.expovariate(1 / WORK_S))
+            end = self.workers[number].accept(now, self.rng.expovariate(1 / WORK_S))
         if end is None:
             node.capacity.release(key)
-            node.capacity.plain.end(life, CallEnd.REFUSED, now)
-            node.capacity.note_full(life, now)
+            node.capacity.plain.end(worker, CallEnd.REFUSED, now)
+            node.capacity.note_full(worker, now)
             if len(excluded) < WORKERS - 1:
-                self.send(node, caller, excluded | {life}, now)
+                self.send(node, caller, excluded | {worker}, now)
             else:
                 self.refuse(node, caller, now)
             return
-        self.at(end, lambda later: self.finish(node, caller, key, life, later))
+        self.schedule(end, lambda later: self.finish(node, caller, key, worker, later))
 
-    def finish(self, node: Node, caller: Caller, key: str, life: str, now: float) -> None:
+    def finish(self, node: Node, caller: Caller, key: str, worker: str, now: float) -> None:
         node.capacity.release(key)
-        node.capacity.plain.end(life, CallEnd.RAN, now)
-        node.capacity.note_room(life)
-        node.capacity.pace("s").note_plain(now - caller.came_at)
+        node.capacity.plain.end(worker, CallEnd.RAN, now)
+        node.capacity.note_room(worker)
+        node.capacity.pace("s").note_plain(now - caller.arrived_at)
         self.served[caller.number] += 1
-        in_time = now - caller.came_at <= TARGET_S
-        self.counts["in time" if in_time else "late", caller.priority] += 1
+        is_in_time = now - caller.arrived_at <= TARGET_S
+        self.counts["in time" if is_in_time else "late", caller.priority] += 1
 
     def refuse(self, node: Node, caller: Caller, now: float) -> None:
-        if not caller.tries_left:
+        if not caller.retries_left:
             self.counts["refused", caller.priority] += 1
             return
         wait_s = 0.5
-        if self.admits:
+        if self.has_admission:
             wait_s = retry_after_s(0.8, node.rng.random())
             node.capacity.plain_returns.expect(b"%d" % caller.number, now + wait_s)
-        back_at = now + (0.01 if caller.abusive else wait_s)
+        retry_at = now + (0.01 if caller.abusive else wait_s)
         instance = self.rng.randrange(len(self.nodes))
-        again = caller._replace(
-            came_at=back_at, tries_left=caller.tries_left - 1, instance=instance
+        retried = caller._replace(
+            arrived_at=retry_at, retries_left=caller.retries_left - 1, instance=instance
         )
-        self.at(back_at, lambda later: self.arrive(again, later))
+        self.schedule(retry_at, lambda later: self.arrive(retried, later))
 
     def share(self, outcome: str, priority: int | None = None) -> float:
-        """Give the share of callers with an outcome."""
-        wanted = [(key, count) for key, count in self.counts.items() if priority in (None, key[1])]
-        total = sum(count for _, count in wanted)
-        return sum(count for key, count in wanted if key[0] == outcome) / max(1, total)
+        """Return the share of callers with an outcome, of one priority or of all."""
+        selected = [
+            (key, count) for key, count in self.counts.items() if priority in (None, key[1])
+        ]
+        total = sum(count for _, count in selected)
+        return sum(count for key, count in selected if key[0] == outcome) / max(1, total)
 
 
 def burst(now: float) -> float:
-    return BORNE * (1.2 if 1.0 < now < 3.0 else 0.5)
+    return SUSTAINABLE_PER_S * (1.2 if 1.0 < now < 3.0 else 0.5)
 
 
-def hot(now: float) -> float:
-    return BORNE * (0.1 * 8 if now > 1.0 else 0.1)
+def eightfold_flood(now: float) -> float:
+    return SUSTAINABLE_PER_S * (0.1 * 8 if now > 1.0 else 0.1)
 
 
 LOADS = {
     "burst": Load(burst),
-    "half of the workers gone": Load(
-        lambda _: 0.65 * BORNE, lambda now: WORKERS if now < 1.0 else WORKERS // 2
+    "half of the workers lost": Load(
+        lambda _: 0.65 * SUSTAINABLE_PER_S, lambda now: WORKERS if now < 1.0 else WORKERS // 2
+    ),
+    "one organisation at eight times its usual rate": Load(
+        lambda _: 0.5 * SUSTAINABLE_PER_S, flood=eightfold_flood
     ),
-    "one organisation at eight times its usual": Load(lambda _: 0.5 * BORNE, flood=hot),
-    "callers who repeat at once": Load(burst, abusive=1 / 3),
-    "restarted at once": Load(lambda _: 1.2 * BORNE),
-    "calm": Load(lambda _: 0.45 * BORNE),
+    "callers that retry at once": Load(burst, abusive=1 / 3),
+    "overload from the start": Load(lambda _: 1.2 * SUSTAINABLE_PER_S),
+    "calm": Load(lambda _: 0.45 * SUSTAINABLE_PER_S),
 }
 
 
-def both(name: str, instances: int) -> tuple[Replay, Replay]:
-    """Play a load with the decisions as they were, and as they are."""
+def simulate_both(name: str, instances: int) -> tuple[Replay, Replay]:
+    """Simulate a load without and with admission control."""
     load = LOADS[name]
-    before = Replay(load, instances, admits=False).run()
-    after = Replay(load, instances, admits=True).run()
-    for replay in (before, after):
+    without_admission = Replay(load, instances, has_admission=False).run()
+    with_admission = Replay(load, instances, has_admission=True).run()
+    for replay in (without_admission, with_admission):
         assert max(replay.served.values()) == 1, "a call was served twice"
-    return before, after
+    return without_admission, with_admission
 
 
-def tell(name: str, instances: int, *replays: Replay) -> None:
-    """Print what a load came to, for who looks into it."""
+def print_shares(name: str, instances: int, *replays: Replay) -> None:
+    """Print the shares of outcomes, to help with failures."""
     for replay in replays:
-        found = {item: round(replay.share(item), 3) for item in ("in time", "late", "refused")}
-        print(name, instances, "admits" if replay.admits else "as before", found)
+        shares = {item: round(replay.share(item), 3) for item in ("in time", "late", "refused")}
+        print(
+            name,
+            instances,
+            "admission" if replay.has_admission else "no-admission",
+            shares,
+        )
 
 
 @pytest.mark.parametrize("instances", [8, 60, 90])
 @pytest.mark.parametrize("name", [name for name in LOADS if name != "calm"])
-def test_overload_makes_few_late(name: str, instances: int) -> None:
-    """The most urgent are served in time; as many as before are served in time in all."""
-    before, after = both(name, instances)
-    tell(name, instances, before, after)
-    assert after.share("late") < 0.6 * before.share("late")
-    assert after.share("in time") > before.share("in time")
-    assert after.share("in time", 0) > before.share("in time", 0) + 0.1
-    least = max(priority for _, priority in after.counts)
-    assert after.share("in time", least) > 0.05, "the least urgent starved"
-
-
-def test_360_instances_that_start_into_an_overload() -> None:
-    load = LOADS["restarted at once"]._replace(lasts_s=2.5)
-    before = Replay(load, 360, admits=False).run()
-    after = Replay(load, 360, admits=True).run()
-    tell("restarted at once", 360, before, after)
-    assert after.share("late") < 0.5 * before.share("late")
-    assert after.share("in time", 0) > before.share("in time", 0) + 0.2
+def test_admission_lowers_the_share_of_late_calls_under_overload(name: str, instances: int) -> None:
+    """More calls are served in time, also of the most urgent, and no priority starves."""
+    without_admission, with_admission = simulate_both(name, instances)
+    print_shares(name, instances, without_admission, with_admission)
+    assert with_admission.share("late") < 0.6 * without_admission.share("late")
+    assert with_admission.share("in time") > without_admission.share("in time")
+    assert with_admission.share("in time", 0) > without_admission.share("in time", 0) + 0.1
+    least_urgent = max(priority for _, priority in with_admission.counts)
+    assert with_admission.share("in time", least_urgent) > 0.05, "the least urgent calls starved"
+
+
+def test_360_instances_that_start_during_an_overload() -> None:
+    load = LOADS["overload from the start"]._replace(lasts_s=2.5)
+    without_admission = Replay(load, 360, has_admission=False).run()
+    with_admission = Replay(load, 360, has_admission=True).run()
+    print_shares("overload from the start", 360, without_admission, with_admission)
+    assert with_admission.share("late") < 0.5 * without_admission.share("late")
+    assert with_admission.share("in time", 0) > without_admission.share("in time", 0) + 0.2
 
 
 @pytest.mark.parametrize("instances", [1, 8, 60])
-def test_calm_service_refuses_nobody(instances: int) -> None:
-    before, after = both("calm", instances)
-    assert after.share("refused") == 0.0
-    assert after.share("in time") > before.share("in time") - 0.01
+def test_service_with_low_load_refuses_no_call(instances: int) -> None:
+    without_admission, with_admission = simulate_both("calm", instances)
+    assert with_admission.share("refused") == 0.0
+    assert with_admission.share("in time") > without_admission.share("in time") - 0.01
--- a/cleatlink/routing/plain_returns.py
+++ b/cleatlink/routing/plain_returns.py
@@ -1,40 +1,47 @@
-"""Plain calls that were refused, and the moments at which their callers may be back.
+"""Refused plain calls and the times at which their callers may retry.
 
-Who is back in time goes before those who come first; who does not wait goes behind them. Both
-hold only while the service is nearly full: where there is room, everybody is served.
+A call that is retried on time is admitted before new calls; a call that is retried too early is
+admitted after them. Both rules apply only while the service is nearly full: with free capacity,
+every call is served.
 """
 
 from enum import Enum, auto
 from typing import NamedTuple
 
-__all__ = ["PlainReturns", "Return"]
-
-# A caller that is not back so long after its time has gone elsewhere.
-_GRACE_S = 0.5
-# Callers' clocks and ways differ by so much.
-_EARLY_S = 0.02
-# More callers than this who ask for the same are no single one who repeats.
-_MOST_EARLY = 4
-# Refused calls that are remembered; the oldest are forgotten first.
-_MOST = 1024
-# Refused calls that wait to be told to peers; what is not told in time is of no use.
-_MOST_UNTOLD = 32
-
-
-class Return(Enum):
-    """What is known of a call that arrives."""
-
-    FIRST = auto()
-    IN_TIME = auto()
+__all__ = ["PlainReturns", "RetryTiming"]
+
+# Time after its due time from which a retry counts as a new call, in seconds: the caller has
+# probably gone elsewhere.
+_LATE_TOLERANCE_S = 0.5
+# Tolerance for retries before they are due, in seconds: callers' clocks and network paths differ.
+_EARLY_TOLERANCE_S = 0.02
+# Number of early retries of one request that are treated as such: more of them come from several
+# callers with the same request rather than from one caller that repeats it.
+_MAX_EARLY_RETRIES = 4
+# Number of refused calls that are remembered; the oldest are dropped first.
+_MAX_REMEMBERED = 1024
+# Number of refused calls that wait to be announced to peers; an announcement after the retry is
+# useless.
+_MAX_UNANNOUNCED = 32
+
+
+class RetryTiming(Enum):
+    """How the arrival of a call relates to an earlier refusal."""
+
+    # No retry was expected, or the call is treated as new.
+    NEW_CALL = auto()
+    # It was refused before, and its caller waited as asked.
+    ON_TIME = auto()
+    # It was refused before, and its caller did not wait as asked.
     EARLY = auto()
 
 
-class _Expected(NamedTuple):
-    """A call that was refused.
+class _ExpectedRetry(NamedTuple):
+    """An expected retry of a refused call.
 
     Attributes:
-        due: When its caller may be back.
-        early: How many with the same request came before that.
+        due: Time at which the caller may retry.
+        early: Number of calls with the same request that arrived before that time.
     """
 
     due: float
@@ -42,48 +49,54 @@
 
 
 class PlainReturns:
-    """The refused calls that this instance knows of, its own and peers'."""
+    """Refused calls that this instance knows of, its own and those that peers announced."""
 
     def __init__(self) -> None:
-        self._expected: dict[bytes, _Expected] = {}
-        self._untold: dict[bytes, float] = {}
+        self._expected: dict[bytes, _ExpectedRetry] = {}
+        self._unannounced: dict[bytes, float] = {}
 
     def __len__(self) -> int:
         return len(self._expected)
 
     def expect(self, identity: bytes, due: float) -> None:
-        """Note that this instance refused a call."""
+        """Record a call that this instance refused, to announce it to peers."""
         self.expect_told(identity, due)
-        self._untold[identity] = due
-        if len(self._untold) > _MOST_UNTOLD:
-            del self._untold[next(iter(self._untold))]
+        self._unannounced[identity] = due
+        if len(self._unannounced) > _MAX_UNANNOUNCED:
+            del self._unannounced[next(iter(self._unannounced))]
 
     def expect_told(self, identity: bytes, due: float) -> None:
-        """Note that some instance refused a call."""
-        before = self._expected.pop(identity, None)
-        self._expected[identity] = _Expected(due, before.early if before is not None else 0)
-        if len(self._expected) > _MOST:
+        """Record a call that this instance or a peer refused."""
+        previous = self._expected.pop(identity, None)
+        self._expected[identity] = _ExpectedRetry(
+            due, previous.early if previous is not None else 0
+        )
+        if len(self._expected) > _MAX_REMEMBERED:
             del self._expected[next(iter(self._expected))]
 
-    def take(self, identity: bytes, now: float) -> Return:
-        """Tell what is known of a call that arrives; one refusal counts for one return."""
+    def take(self, identity: bytes, now: float) -> RetryTiming:
+        """Match an arriving call with an earlier refusal; one refusal matches one retry on time."""
         expected = self._expected.get(identity)
-        if expected is None or now > expected.due + _GRACE_S:
-            return Return.FIRST
-        if now < expected.due - _EARLY_S:
+        if expected is None or now > expected.due + _LATE_TOLERANCE_S:
+            return RetryTiming.NEW_CALL
+        if now < expected.due - _EARLY_TOLERANCE_S:
             self._expected[identity] = expected._replace(early=expected.early + 1)
-            return Return.EARLY if expected.early < _MOST_EARLY else Return.FIRST
+            return (
+                RetryTiming.EARLY if expected.early < _MAX_EARLY_RETRIES else RetryTiming.NEW_CALL
+            )
         del self._expected[identity]
-        return Return.FIRST if expected.early else Return.IN_TIME
+        return RetryTiming.NEW_CALL if expected.early else RetryTiming.ON_TIME
 
-    def untold(self, most: int, now: float) -> list[tuple[bytes, float]]:
-        """Give refused calls to tell of, with the seconds until they may be back."""
-        found = [(name, due - now) for name, due in self._untold.items() if due > now]
-        self._untold = dict(list(self._untold.items())[most:])
-        return found[:most]
+    def untold(self, max_count: int, now: float) -> list[tuple[bytes, float]]:
+        """Remove and return refused calls to announce, with seconds until retries are due."""
+        announced = [(name, due - now) for name, due in self._unannounced.items() if due > now]
+        self._unannounced = dict(list(self._unannounced.items())[max_count:])
+        return announced[:max_count]
 
     def forget(self, now: float) -> None:
-        """Forget those that did not come."""
-        over = [name for name, item in self._expected.items() if item.due + _GRACE_S < now]
-        for name in over:
+        """Remove refused calls that were not retried in time."""
+        expired = [
+            name for name, item in self._expected.items() if item.due + _LATE_TOLERANCE_S < now
+        ]
+        for name in expired:
             del self._expected[name]
--- a/cleatlink/routing/plain_spread.py
+++ b/cleatlink/routing/plain_spread.py
@@ -1,7 +1,7 @@
-"""Spreads plain calls over endpoints that are busy with peers' calls.
+"""Spreads plain calls randomly over endpoints that are busy with calls of peers.
 
-The load that it answers: many instances that each see few calls. Each of them sees idle
-endpoints, its own data centre's first, and all take the same one at the same moment.
+Without this, many instances with few calls each would overload one endpoint: every instance sees
+idle endpoints, prefers those of its own data centre, and all choose the same one at once.
 """
 
 import math
@@ -9,48 +9,52 @@
 
 from cleatlink.core.routes import RoutedEndpoint
 from cleatlink.routing.capacity import Capacity
-from cleatlink.routing.plain_admission import bears
+from cleatlink.routing.plain_admission import sustainable_rate
 from cleatlink.routing.plain_load import PlainLoad
 
 __all__ = ["plain_weights", "spread_share"]
 
-# Calls begin to queue at an endpoint of few places once it is busier than this.
-_BUSY_FILL = 0.4
-# From here on nothing but the draw decides.
-_FULL_FILL = 0.8
+# Share of the slots in use above which calls begin to queue at an endpoint with few slots.
+_QUEUEING_FILL = 0.4
+# Share of the slots in use from which on all calls are assigned at random.
+_RANDOM_FILL = 0.8
 
 
 def spread_share(endpoint: RoutedEndpoint, load: PlainLoad, now: float) -> float:
-    """Give the share of calls that are drawn, rather than sent to the endpoint that seems best.
+    """Return the share of calls to assign at random instead of to the best endpoint.
 
-    Calls of this instance are known exactly and need no draw.
+    Load from this instance's own calls is known exactly, so it needs no random assignment.
 
     Args:
-        endpoint: The endpoint that seems best.
-        load: The plain calls of all instances.
-        now: The time.
+        endpoint: The endpoint that would otherwise be chosen.
+        load: Load of plain calls from all instances.
+        now: The current time.
     """
-    lately = load.endpoint(endpoint.name, now)
-    running = max(lately.running, float(endpoint.slots)) if lately.refused else lately.running
+    endpoint_load = load.endpoint(endpoint.name, now)
+    running = (
+        max(endpoint_load.running, float(endpoint.slots))
+        if endpoint_load.refused
+        else endpoint_load.running
+    )
     if running <= 0:
         return 0.0
     fill = running / max(1, endpoint.slots)
-    share = min(1.0, max(0.0, (fill - _BUSY_FILL) / (_FULL_FILL - _BUSY_FILL)))
-    return share * min(1.0, load.others_running(endpoint.name, now) / running)
+    share = min(1.0, max(0.0, (fill - _QUEUEING_FILL) / (_RANDOM_FILL - _QUEUEING_FILL)))
+    return share * min(1.0, load.peers_running(endpoint.name, now) / running)
 
 
 def plain_weights(
     endpoints: Sequence[RoutedEndpoint], capacity: Capacity, now: float
 ) -> list[float]:
-    """Give the weights by which calls are drawn to endpoints: what each of them bears.
+    """Return the weights for random assignment: the call rate that each endpoint can sustain.
 
     Args:
         endpoints: The endpoints.
-        capacity: What is believed of them.
-        now: The time.
+        capacity: Estimated state of the endpoints.
+        now: The current time.
     """
     weights = [
-        bears(
+        sustainable_rate(
             endpoint, capacity.plain.endpoint(endpoint.name, now), capacity.plain_s(endpoint, now)
         )
         for endpoint in endpoints
--- a/cleatlink/routing/role_planner.py
+++ b/cleatlink/routing/role_planner.py
@@ -86,9 +86,9 @@
             self._last_loss_at = now
         self._present = present
 
-    def settled(self, patience_s: float, now: float) -> bool:
-        """Check whether the last loss was at least ``patience_s`` seconds ago."""
-        return now - self._last_loss_at >= patience_s
+    def settled(self, min_stable_s: float, now: float) -> bool:
+        """Check whether the last loss was at least ``min_stable_s`` seconds ago."""
+        return now - self._last_loss_at >= min_stable_s
 
 
 def most_changing(count: int) -> int:
@@ -152,8 +152,8 @@
     prefills: Sequence[RoutedEndpoint],
     decodes: Sequence[RoutedEndpoint],
     demand: RoleDemand | None,
-    work: Mapping[str, float],
-    targets: Mapping[str, Role] = MappingProxyType({}),
+    remaining_work_s: Mapping[str, float],
+    target_roles: Mapping[str, Role] = MappingProxyType({}),
     *,
     change_s: float = 0.0,
     settled: bool = True,
@@ -165,9 +165,9 @@
         prefills: Endpoints with the prefill role.
         decodes: Endpoints with the decode role.
         demand: Demand on the service; None while its paces are unknown.
-        work: Seconds until an endpoint has finished its current work, by endpoint name;
+        remaining_work_s: Seconds until an endpoint has finished its work, by endpoint name;
             endpoints that finish sooner are preferred.
-        targets: New roles of the endpoints that are changing already, by endpoint name; these
+        target_roles: New roles of the endpoints that are changing already, by endpoint name; these
             endpoints count in their new roles and are not changed again.
         change_s: Seconds that a change takes after an endpoint has finished its work.
         settled: Whether no endpoint was lost recently, since a lost endpoint may return soon;
@@ -178,12 +178,19 @@
     if decodes and not settled:
         return None
     changes = {
-        role: _candidate_change(endpoints, decodes, role, work=work, targets=targets, speeds=speeds)
+        role: _candidate_change(
+            endpoints,
+            decodes,
+            role,
+            remaining_work_s=remaining_work_s,
+            target_roles=target_roles,
+            speeds=speeds,
+        )
         for role in (Role.DECODE, Role.PREFILL)
     }
     roles = _RoleSpeeds(
-        _speeds_in(Role.PREFILL, endpoints, targets, speeds),
-        _speeds_in(Role.DECODE, endpoints, targets, speeds),
+        _speeds_in(Role.PREFILL, endpoints, target_roles, speeds),
+        _speeds_in(Role.DECODE, endpoints, target_roles, speeds),
     )
     return _choose_change(roles, changes, demand, change_s, speeds)
 
@@ -191,14 +198,14 @@
 def _speeds_in(
     role: Role,
     endpoints: Sequence[RoutedEndpoint],
-    targets: Mapping[str, Role],
+    target_roles: Mapping[str, Role],
     speeds: Mapping[str, float],
 ) -> tuple[float, ...]:
     """Return the speeds of the endpoints that have a role, or are changing to it."""
     return tuple(
         speeds.get(endpoint.name, 1.0)
         for endpoint in endpoints
-        if targets.get(endpoint.name, endpoint.role) is role
+        if target_roles.get(endpoint.name, endpoint.role) is role
     )
 
 
@@ -207,28 +214,28 @@
     decodes: Sequence[RoutedEndpoint],
     role: Role,
     *,
-    work: Mapping[str, float],
-    targets: Mapping[str, Role],
+    remaining_work_s: Mapping[str, float],
+    target_roles: Mapping[str, Role],
     speeds: Mapping[str, float],
 ) -> RoleShift | None:
     """Return the best change to a role; None if no endpoint can take it."""
     eligible = [
         endpoint
         for endpoint in endpoints
-        if endpoint.role is not role and endpoint.name not in targets
+        if endpoint.role is not role and endpoint.name not in target_roles
     ]
     if not eligible:
         return None
     decode_counts = Counter(endpoint.data_centre for endpoint in decodes)
-    return RoleShift(_best_endpoint(eligible, role, decode_counts, work, speeds), role)
+    return RoleShift(_best_endpoint(eligible, role, decode_counts, remaining_work_s, speeds), role)
 
 
 def plan_shifts(
     prefills: Sequence[RoutedEndpoint],
     decodes: Sequence[RoutedEndpoint],
     demand: RoleDemand | None,
-    work: Mapping[str, float],
-    targets: Mapping[str, Role] = MappingProxyType({}),
+    remaining_work_s: Mapping[str, float],
+    target_roles: Mapping[str, Role] = MappingProxyType({}),
     *,
     most: int,
     change_s: float = 0.0,
@@ -245,21 +252,21 @@
         prefills: Endpoints with the prefill role.
         decodes: Endpoints with the decode role.
         demand: Demand on the service; None while its paces are unknown.
-        work: Seconds until an endpoint has finished its current work, by endpoint name.
-        targets: New roles of the endpoints that are changing already, by endpoint name.
+        remaining_work_s: Seconds until an endpoint has finished its current work, by endpoint name.
+        target_roles: New roles of the endpoints that are changing already, by endpoint name.
         most: Maximum number of changes that may begin now.
         change_s: Seconds that a change takes after an endpoint has finished its work.
         settled: Whether no endpoint was lost recently, since a lost endpoint may return soon.
         speeds: Speeds of endpoints relative to the usual speed of the service, where known.
     """
     changes: list[RoleShift] = []
-    planned_targets = dict(targets)
+    planned_targets = dict(target_roles)
     while len(changes) < most:
         change = plan_role_change(
             prefills,
             decodes,
             demand,
-            work,
+            remaining_work_s,
             planned_targets,
             change_s=change_s,
             settled=settled,
@@ -327,7 +334,7 @@
     endpoints: list[RoutedEndpoint],
     role: Role,
     decodes: Mapping[str, int],
-    work: Mapping[str, float],
+    remaining_work_s: Mapping[str, float],
     speeds: Mapping[str, float],
 ) -> RoutedEndpoint:
     """Return the endpoint that is best suited to change to a role.
@@ -336,7 +343,7 @@
         endpoints: Endpoints that may change.
         role: The new role.
         decodes: Number of decodes by data centre.
-        work: Seconds until an endpoint has finished its current work, by endpoint name.
+        remaining_work_s: Seconds until an endpoint has finished its current work, by endpoint name.
         speeds: Speeds of endpoints relative to the usual speed of the service, where known.
     """
 
@@ -345,7 +352,7 @@
         # A new decode is preferred in a data centre without one; the last decode of a data
         # centre is the last choice for a change to prefill.
         is_unfavourable = local_decodes > 0 if role is Role.DECODE else local_decodes < 2
-        left_s = work.get(endpoint.name, 0.0)
+        left_s = remaining_work_s.get(endpoint.name, 0.0)
         # Work that the endpoint would do in the new role within the payback time.
         capacity = speeds.get(endpoint.name, 1.0) * (_PAYBACK_S - left_s)
         return is_unfavourable, -capacity, left_s, endpoint.name
