--- a/cleatlink/routing/plain_admission_test.py
+++ b/cleatlink/routing/plain_admission_test.py
@@ -159,29 +159,29 @@
 
 def test_same_request_from_many_callers_does_not_count_as_repeated() -> None:
     """Otherwise a popular request would rank behind all others while it is refused."""
-    returns = PlainReturns()
-    returns.expect(b"a", 1.0)
+    retries = PlainReturns()
+    retries.expect(b"a", 1.0)
     timings = []
     for number in range(40):
-        timings.append(returns.take(b"a", 0.01 * number))
-        returns.expect(b"a", 1.0)
+        timings.append(retries.take(b"a", 0.01 * number))
+        retries.expect(b"a", 1.0)
     assert timings.count(RetryTiming.EARLY) == 4
     assert set(timings[4:]) == {RetryTiming.NEW_CALL}
 
 
 def test_early_retries_are_recognised_and_refused_calls_are_dropped() -> None:
-    returns = PlainReturns()
-    returns.expect(b"a", 1.0)
-    returns.expect(b"b", 1.0)
-    assert returns.take(b"c", 0.5) is RetryTiming.NEW_CALL
-    assert returns.take(b"a", 0.5) is RetryTiming.EARLY
-    assert returns.take(b"a", 1.1) is RetryTiming.NEW_CALL
-    assert returns.take(b"b", 1.1) is RetryTiming.ON_TIME
-    assert returns.take(b"b", 1.1) is RetryTiming.NEW_CALL
-    assert [name for name, _ in returns.untold(1, 0.5)] == [b"a"]
-    assert [name for name, _ in returns.untold(9, 0.5)] == [b"b"]
+    retries = PlainReturns()
+    retries.expect(b"a", 1.0)
+    retries.expect(b"b", 1.0)
+    assert retries.take(b"c", 0.5) is RetryTiming.NEW_CALL
+    assert retries.take(b"a", 0.5) is RetryTiming.EARLY
+    assert retries.take(b"a", 1.1) is RetryTiming.NEW_CALL
+    assert retries.take(b"b", 1.1) is RetryTiming.ON_TIME
+    assert retries.take(b"b", 1.1) is RetryTiming.NEW_CALL
+    assert [name for name, _ in retries.untold(1, 0.5)] == [b"a"]
+    assert [name for name, _ in retries.untold(9, 0.5)] == [b"b"]
     for number in range(3000):
-        returns.expect_told(b"%d" % number, 9.0)
-    assert len(returns) <= 1024
-    returns.forget(10.0)
-    assert len(returns) == 0
+        retries.expect_told(b"%d" % number, 9.0)
+    assert len(retries) <= 1024
+    retries.forget(10.0)
+    assert len(retries) == 0
--- a/cleatlink/routing/plain_replay_test.py
+++ b/cleatlink/routing/plain_replay_test.py
@@ -101,7 +101,7 @@
                 RoutedEndpoint(f"w{worker}", "127.0.0.1:1", location, "s", Role.PLAIN, SLOTS)
             )
 
-    def place(self, excluded: frozenset[str], now: float) -> str | None:
+    def choose_worker(self, excluded: frozenset[str], now: float) -> str | None:
         seeker = Seeker(self.data_centre, excluded, now, self.rng)
         found = place_plain("s", self.capacity, seeker)
         return None if found is None else found.name
@@ -206,7 +206,7 @@
             self.refuse(node, node.waiting.pop(ticket), now)
 
     def send(self, node: Node, caller: Caller, excluded: frozenset[str], now: float) -> None:
-        worker = node.place(excluded, now)
+        worker = node.choose_worker(excluded, now)
         if worker is None:
             self.refuse(node, caller, now)
             return
--- a/cleatlink/routing/role_planner_test.py
+++ b/cleatlink/routing/role_planner_test.py
@@ -39,11 +39,11 @@
 
 def make_demand(prefill: float, decode: float, rate: float = 5.0, seconds: int = 30) -> RoleDemand:
     """Return demand that keeps ``prefill`` prefills and all slots of ``decode`` decodes busy."""
-    places = 10.0
+    slots = 10.0
     rates = (rate,) * (seconds * STEPS_A_SECOND)
     requests = int(rate * seconds)
     return RoleDemand(
-        rates, rates, prefill / rate, decode * places / rate, places, 0.5, True, requests
+        rates, rates, prefill / rate, decode * slots / rate, slots, 0.5, True, requests
     )
 
 
