--- a/cleatlink/routing/capacity.py
+++ b/cleatlink/routing/capacity.py
@@ -1,9 +1,9 @@
-"""What an instance believes of endpoints' capacity: registrations, work, outcomes.
+"""An instance's estimate of endpoints' capacity, from registrations, reservations and outcomes.
 
-Work is counted by reservations: this instance's own, exact and at once, and
-those that peers tell. An engine runs out of memory before slots, so a decode
-reserves the tokens that it will hold when it ends. Outcomes of calls, not
-health checks, decide whether an endpoint is avoided for a while.
+Work is counted by reservations: this instance's own, which are exact and immediate, and those
+that peers report. An engine runs out of memory before it runs out of slots, so a decode reserves
+the tokens that it will hold when it ends. Outcomes of calls, not health checks, decide whether an
+endpoint is avoided for a while.
 """
 
 import math
@@ -31,14 +31,17 @@
 
 
 class Capacity(Workload):
-    """The mutable view on top of the work; every method takes the time as an argument."""
+    """Estimated state of all endpoints, including their reservations.
+
+    Methods take the current time as an argument.
+    """
 
     def __init__(self, switches: Switches | None = None, now: float = 0.0) -> None:
-        """Start without anything known.
+        """Start without any endpoint.
 
         Args:
-            switches: Mechanisms that are switched off.
-            now: The time.
+            switches: Which mechanisms are in use; all if it is not given.
+            now: The current time, in seconds.
         """
         self.notices = EndpointNotices()
         self.limits = EndpointLimits(now)
@@ -53,35 +56,36 @@
         self.waiting = SharedWaiting(is_on=self.switches.uses(Mechanism.SHARED_WAITING))
         self._endpoints: dict[str, RoutedEndpoint] = {}
         self._by_service: dict[str, list[RoutedEndpoint]] = {}
-        # The newest life of each registration that is known.
-        self._lives: dict[str, str] = {}
+        # Newest incarnation by registered name.
+        self._incarnations: dict[str, str] = {}
         self._outcomes = EndpointOutcomes()
         self._shed_limits = ShedLimits()
-        # Registrations that another endpoint's answer at the same address has refuted.
+        # Registrations refuted by an answer of another endpoint at their address.
         self._refuted: dict[str, RoutedEndpoint] = {}
-        self._switching: dict[str, float] = {}
+        # Time at which the role change of an endpoint ends.
+        self._role_change_ends: dict[str, float] = {}
         self._meters: dict[str, DemandMeter] = {}
         self._paces: dict[str, ServicePace] = {}
 
     def pace(self, service: str) -> ServicePace:
-        """Give what was learned of a service's pace."""
+        """Return the measured times of a service."""
         pace = self._paces.get(service)
         if pace is None:
             pace = self._paces[service] = ServicePace(self.switches)
         return pace
 
     def speed(self, name: str, now: float) -> float:
-        """Give how fast an endpoint is beside its service's usual pace; 1.0 if not known."""
+        """Return an endpoint's speed relative to its service's usual speed; 1.0 if unknown."""
         if not self.switches.uses(Mechanism.ENDPOINT_PACE):
             return 1.0
         return self.endpoint_paces.speed(name, now)
 
     def plain_s(self, endpoint: RoutedEndpoint, now: float) -> float:
-        """Give the seconds that an endpoint takes for a plain call; 0 if that is not known."""
+        """Return the seconds that an endpoint takes for a plain call; 0 if unknown."""
         return self.pace(endpoint.service).plain_s / self.speed(endpoint.name, now)
 
     def note_tokens(self, name: str, tokens: int, seconds: float, now: float) -> None:
-        """Learn an endpoint's speed from a stretch of a stream beside others."""
+        """Update an endpoint's speed from the time that it took for some tokens of a stream."""
         endpoint = self._endpoints.get(name)
         if endpoint is None or tokens <= 0:
             return
@@ -91,25 +95,25 @@
     def note_duration(
         self, name: str, kind: PaceKind, seconds: float, usual_s: float, now: float
     ) -> None:
-        """Learn an endpoint's speed from a prompt or a plain call.
+        """Update an endpoint's speed from the duration of a prompt or a plain call.
 
         Args:
-            name: The endpoint.
-            kind: What it did.
-            seconds: How long it took.
-            usual_s: How long it takes on the service's endpoints; 0 if that is not known.
-            now: The time.
+            name: Name of the endpoint.
+            kind: Kind of work that was measured.
+            seconds: Measured duration.
+            usual_s: Usual duration on the service's endpoints; 0 if unknown.
+            now: The current time, in seconds.
         """
         if name in self._endpoints and usual_s > 0:
             self.endpoint_paces.note(name, kind, seconds / usual_s, now)
 
     def pace_summaries(self, now: float) -> dict[str, tuple[PaceSummary, float]]:
-        """Give what peers may take over of services' paces, with its age in seconds."""
-        found = {name: pace.summary(now) for name, pace in self._paces.items()}
-        return {name: item for name, item in found.items() if item is not None}
+        """Return the times of services that peers may adopt, each with its age in seconds."""
+        summaries = {name: pace.summary(now) for name, pace in self._paces.items()}
+        return {name: item for name, item in summaries.items() if item is not None}
 
     def note_demand(self, work: Reservation, now: float) -> None:
-        """Count a stream that was placed at a decode as demand on its service."""
+        """Count a stream that was assigned to a decode as demand on its service."""
         endpoint = self._endpoints.get(work.endpoint)
         if endpoint is not None and work.role is Role.DECODE:
             self._meter(endpoint.service).note(work.tokens - work.grows, work.grows, now)
@@ -117,60 +121,71 @@
     def demand(
         self, service: str, traits: EngineTraits, promise: StreamPromise, now: float
     ) -> RoleDemand | None:
-        """Give the demand on a service's engines; None while their paces are not known.
+        """Return the demand on a service's engines; None while their times are unknown.
 
         Args:
-            service: The service.
-            traits: What its engines have in common.
-            promise: What the service's routes promise.
-            now: The time.
+            service: Name of the service.
+            traits: Properties that its engines share.
+            promise: Latency targets of the service's routes.
+            now: The current time, in seconds.
         """
         pace, meter = self.pace(service), self._meter(service)
         if not pace.is_known:
             return None
         prompt, output = meter.mean_prompt, meter.mean_output
-        # Answers grow, each at its own time: they hold half of their size on the average.
-        held = max(1.0, prompt + output / 2)
-        places = min(float(traits.slots), traits.memory_tokens / held)
+        # Answers grow while they are sent: on average they hold half of their final size.
+        mean_tokens = max(1.0, prompt + output / 2)
+        streams_per_decode = min(float(traits.slots), traits.memory_tokens / mean_tokens)
         prompt_s = pace.prompt_s(int(prompt))
         stream_s = prompt_s + pace.stream_s(int(output))
-        rates, place_rates = meter.rates(now), meter.rates(now, stream_s)
+        rates, mean_rates = meter.rates(now), meter.rates(now, stream_s)
         slack_s = pace.bearable_s(promise.target_s, prompt_s) - prompt_s - pace.start_s
         pause_s = pace.direct_pause_s(prompt_s, traits.event_tokens)
-        shares_prompts = pause_s <= promise.event_gap_s
+        # Whether decodes may compute prompts without pausing their streams for too long.
+        decodes_compute = pause_s <= promise.event_gap_s
         return RoleDemand(
-            rates, place_rates, prompt_s, stream_s, places, slack_s, shares_prompts, meter.requests
+            rates,
+            mean_rates,
+            prompt_s,
+            stream_s,
+            streams_per_decode,
+            slack_s,
+            decodes_compute,
+            meter.requests,
         )
 
     def _meter(self, service: str) -> DemandMeter:
         return self._meters.setdefault(service, DemandMeter())
 
     def note_switching(self, name: str, until: float) -> None:
-        """Note that an endpoint changes its role and serves neither meanwhile."""
-        self._switching[name] = max(until, self._switching.get(name, 0.0))
+        """Record that an endpoint changes its role and takes no work until a given time."""
+        self._role_change_ends[name] = max(until, self._role_change_ends.get(name, 0.0))
 
     def switching(self, now: float) -> dict[str, float]:
-        """Give the endpoints that change their role, with the seconds that are left."""
-        return {name: until - now for name, until in self._switching.items() if until > now}
+        """Return the endpoints that are changing their role, with the seconds that are left."""
+        return {name: until - now for name, until in self._role_change_ends.items() if until > now}
 
     def in_role(self, service: str, role: Role) -> list[RoutedEndpoint]:
-        """Give a service's endpoints in a role that stay, changing ones included."""
+        """Return a service's endpoints in a role that are not leaving.
+
+        Endpoints that are changing to the role are included.
+        """
         return [
             endpoint
             for endpoint in self._by_service.get(service, ())
-            if endpoint.role is role and self._stays(endpoint)
+            if endpoint.role is role and self._accepts_work(endpoint)
         ]
 
     def leaving(self, service: str) -> set[str]:
-        """Give the names of a service's endpoints that take no new work."""
+        """Return the names of a service's endpoints that take no new work."""
         return {
             endpoint.name
             for endpoint in self._by_service.get(service, ())
-            if not self._stays(endpoint)
+            if not self._accepts_work(endpoint)
         }
 
-    def _stays(self, endpoint: RoutedEndpoint) -> bool:
-        """Tell whether an endpoint takes new work, as far as anybody has said."""
+    def _accepts_work(self, endpoint: RoutedEndpoint) -> bool:
+        """Check that an endpoint is not reported to be leaving and not refuted."""
         name = endpoint.name
         if endpoint.leaving or self.notices.is_leaving(name):
             return False
@@ -178,155 +193,165 @@
 
     @property
     def endpoints(self) -> dict[str, RoutedEndpoint]:
-        """Endpoints by name."""
+        """Registered endpoints by name."""
         return self._endpoints
 
     def set_endpoint(self, endpoint: RoutedEndpoint) -> str | None:
-        """Take an endpoint's registration; gives the name of the life that it replaces, if any.
+        """Register an endpoint, and forget its previous incarnation.
 
-        All that is known of the life before ends with it: reservations of streams that hang
-        behind a cut filled the new one's memory, and two of four new ones waited for over 2 s.
+        Reservations on the previous incarnation must not count against the new one: those of
+        streams that hung behind a network partition filled the new incarnation's estimated memory,
+        and two of four new streams waited for over 2 s.
+
+        Returns:
+            The name of the incarnation that is replaced, if any.
         """
-        before = self._lives.get(endpoint.answers_to)
-        replaced = before if before in self._endpoints and before != endpoint.name else None
+        previous = self._incarnations.get(endpoint.answers_to)
+        replaced = previous if previous in self._endpoints and previous != endpoint.name else None
         if replaced is not None:
             self.remove_endpoint(replaced)
-        self._lives[endpoint.answers_to] = endpoint.name
+        self._incarnations[endpoint.answers_to] = endpoint.name
         known = self._endpoints.get(endpoint.name)
         if known is not None and known.role is not endpoint.role:
-            self._switching.pop(endpoint.name, None)
+            self._role_change_ends.pop(endpoint.name, None)
         self._endpoints[endpoint.name] = endpoint
-        self._index()
+        self._rebuild_index()
         return replaced
 
     def life_of(self, registration: str) -> str | None:
-        """Give the name of the life that is registered under a name now."""
-        life = self._lives.get(registration)
-        return life if life in self._endpoints else None
+        """Return the name of the incarnation that is registered under a name now."""
+        incarnation = self._incarnations.get(registration)
+        return incarnation if incarnation in self._endpoints else None
 
     def knows_life(self, endpoint: RoutedEndpoint) -> bool:
-        """Tell whether a life of an endpoint is registered now."""
+        """Check whether this incarnation of an endpoint is registered."""
         return endpoint.name in self._endpoints
 
     def is_over(self, endpoint: RoutedEndpoint) -> bool:
-        """Tell whether a life of an endpoint is known to be over: a newer one has begun."""
-        return self._lives.get(endpoint.answers_to, endpoint.name) != endpoint.name
+        """Check whether a newer incarnation has replaced this incarnation of an endpoint."""
+        return self._incarnations.get(endpoint.answers_to, endpoint.name) != endpoint.name
 
     def remove_endpoint(self, name: str) -> None:
-        """Forget an endpoint."""
+        """Forget an endpoint and all that was measured of it."""
         self._endpoints.pop(name, None)
         self._outcomes.forget(name)
         self.endpoint_paces.forget(name)
         self.upload_paces.forget(name)
         self._shed_limits.forget(name)
         self._refuted.pop(name, None)
-        self._switching.pop(name, None)
-        self._index()
+        self._role_change_ends.pop(name, None)
+        self._rebuild_index()
 
-    def _index(self) -> None:
+    def _rebuild_index(self) -> None:
         self._by_service = {}
         for endpoint in self._endpoints.values():
             self._by_service.setdefault(endpoint.service, []).append(endpoint)
 
     def note_misdirected(self, name: str) -> None:
-        """Note that what is asked at an endpoint's address is not the one that is registered.
+        """Record that another endpoint than the registered one answered at its address.
 
-        It refutes the registration as it stands, until the endpoint writes another one. As the
-        endpoint's own word that it leaves, it kept an engine that had only taken another role
-        from all work until its entry was gone.
+        The endpoint gets no new work until its registration changes. This is not recorded as the
+        endpoint's own notice of leaving: that would keep an engine that only changed its role from
+        all work until its entry was removed.
         """
         endpoint = self._endpoints.get(name)
         if endpoint is not None:
             self._refuted[name] = endpoint
 
     def note_success(self, name: str, now: float) -> None:
-        """Note that an endpoint did what it was asked."""
+        """Record that an endpoint did what it was asked to do."""
         self._outcomes.note_success(name, now)
 
     def note_unreached_by_peers(self, name: str, now: float) -> None:
-        """Note that peers that share this instance's links can't reach an endpoint."""
+        """Record that peers that share this instance's links can't reach an endpoint."""
         if self.switches.uses(Mechanism.HINTS):
             self._outcomes.note_unreached_by_peers(name, now)
 
     def note_failure(self, name: str, now: float) -> None:
-        """Note that an endpoint failed; it is avoided for a while."""
+        """Record that an endpoint failed; it is avoided for a while."""
         self._outcomes.note_failure(name, now)
 
     def note_slow(self, name: str, now: float) -> None:
-        """Note that several instances found an endpoint slow."""
+        """Record that several instances reported an endpoint as slow."""
         if self.switches.uses(Mechanism.HINTS):
             self._outcomes.note_slow(name, now)
 
     def note_full(self, name: str, now: float) -> None:
-        """Note that an endpoint had no room just now."""
+        """Record that an endpoint has no free capacity now."""
         self._outcomes.note_full(name, now)
 
     def note_shed(self, name: str, tokens: int, now: float) -> bool:
-        """Note that a decode had no room for a stream, which is not counted there.
+        """Record that a decode refused a stream for lack of memory.
+
+        The stream must not be counted among the decode's reservations.
 
         Args:
-            name: The decode.
-            tokens: Size of the stream at its end.
-            now: The time.
+            name: Name of the decode.
+            tokens: Memory that the stream would hold at its end, in tokens.
+            now: The current time, in seconds.
 
         Returns:
-            Whether peers gain by hearing of it.
+            Whether the refusal is worth reporting to peers.
         """
         if not self.switches.uses(Mechanism.SHED_LIMITS):
             return False
-        held = self.usage(name, Role.DECODE).tokens
-        return self._shed_limits.note_refused(name, held, tokens, now)
+        held_tokens = self.usage(name, Role.DECODE).tokens
+        return self._shed_limits.note_refused(name, held_tokens, tokens, now)
 
     def note_held(self, name: str) -> None:
-        """Note that a decode took a stream that is counted there."""
+        """Record that a decode accepted a stream, which is counted among its reservations."""
         self._shed_limits.note_held(name, self.usage(name, Role.DECODE).tokens)
 
     def free_tokens(self, name: str, now: float) -> float:
-        """Give what fits on a decode by its latest refusal, in tokens; infinite without one."""
+        """Return the free memory of a decode by its latest refusal, in tokens.
+
+        It is infinite without a refusal.
+        """
         return self._shed_limits.below_tokens(name, now) - self.usage(name, Role.DECODE).tokens
 
     def note_room(self, name: str) -> None:
-        """Note that an endpoint had room just now."""
+        """Record that an endpoint has free capacity again."""
         self._outcomes.note_room(name)
 
     def takes_work(self, name: str) -> bool:
-        """Tell whether an endpoint is registered and does not leave."""
+        """Check whether an endpoint is registered and not leaving."""
         endpoint = self._endpoints.get(name)
-        return endpoint is not None and self._stays(endpoint)
+        return endpoint is not None and self._accepts_work(endpoint)
 
     def rest_left_s(self, name: str, now: float) -> float:
-        """Give for how many seconds an endpoint still wants nothing; 0 for most."""
+        """Return the remaining seconds of the back-off that an endpoint asked for; 0 if none."""
         return max(0.0, self.notices.rests_until(name) - now)
 
     def opens_in_s(self, service: str, role: Role, now: float) -> float | None:
-        """Give in how many seconds the first endpoint that stays takes work again.
+        """Return the seconds until the first of a service's endpoints accepts a new call.
 
         Returns:
-            0 if one does now; None if none stays.
+            0 if one accepts a call now; None if all are leaving or there is none.
         """
-        opens_at = [self.opens_at(endpoint.name, now) for endpoint in self.in_role(service, role)]
-        return max(0.0, min(opens_at) - now) if opens_at else None
+        times = [self.opens_at(endpoint.name, now) for endpoint in self.in_role(service, role)]
+        return max(0.0, min(times) - now) if times else None
 
     def opens_at(self, name: str, now: float) -> float:
-        """Give when an endpoint takes something new: no rest any more, and its limit allows it."""
+        """Return when an endpoint accepts a new call, by its capacity, back-off and rate limit."""
         return max(self.full_until(name), now + self.limits.due_in_s(name, now))
 
     def candidates(self, service: str, role: Role, now: float) -> list[RoutedEndpoint]:
-        """Give a service's endpoints that may get work; avoided ones if there are no others.
+        """Return a service's endpoints that may get work.
 
-        Where all of them rest they are given too, for forecasts: they count as full.
+        Endpoints that are avoided are returned only if there are no others. If all endpoints are
+        in a back-off, they are returned for forecasts; ``is_full`` is true for them.
         """
         present = [
             endpoint
             for endpoint in self.in_role(service, role)
-            if self._switching.get(endpoint.name, 0.0) <= now
+            if self._role_change_ends.get(endpoint.name, 0.0) <= now
         ]
-        awake = [item for item in present if self.notices.rests_until(item.name) <= now]
-        trusted = [endpoint for endpoint in awake if not self._avoided(endpoint.name, now)]
-        return trusted or awake or present
+        available = [item for item in present if self.notices.rests_until(item.name) <= now]
+        preferred = [endpoint for endpoint in available if not self._is_avoided(endpoint.name, now)]
+        return preferred or available or present
 
     def reached(self, service: str, role: Role, now: float) -> list[RoutedEndpoint]:
-        """Give a service's endpoints in a role that stay and are not out of reach."""
+        """Return a service's endpoints in a role that are reachable and not leaving."""
         return [
             endpoint
             for endpoint in self.in_role(service, role)
@@ -334,35 +359,39 @@
         ]
 
     def is_full(self, name: str, now: float) -> bool:
-        """Tell whether an endpoint gets nothing now: no room just now, a rest or tries after it."""
+        """Check whether an endpoint gets no new calls now.
+
+        It gets none after a refusal for lack of capacity, during a back-off, and while the few
+        calls that are allowed after a back-off are in progress.
+        """
         return now < self.full_until(name) or not self.notices.may_begin(name, now)
 
     def full_until(self, name: str) -> float:
-        """Give until when an endpoint gets nothing new because it had no room, or rests."""
+        """Return when an endpoint's lack of capacity or its back-off ends."""
         return max(self._outcomes.full_until(name), self.notices.rests_until(name))
 
-    def _avoided(self, name: str, now: float) -> bool:
+    def _is_avoided(self, name: str, now: float) -> bool:
         return self.notices.is_told_to_rest(name, now) or self._outcomes.is_avoided(name, now)
 
     def begins_in_s(self, name: str, now: float) -> float:
-        """Give in how many seconds a prefill begins a new prompt: its queue, and its limit."""
+        """Return the seconds until a prefill begins a new prompt, by its queue and rate limit."""
         queue_s = self.queue_s(name) / self.speed(name, now)
         return max(queue_s, self.limits.due_in_s(name, now))
 
     def prompt_queues_s(self, service: str, now: float) -> dict[str, float]:
-        """Give in how many seconds a prefill begins a prompt, by its data centre."""
-        found: dict[str, float] = {}
+        """Return the seconds until the first prefill of each data centre begins a new prompt."""
+        shortest_s: dict[str, float] = {}
         for endpoint in self.candidates(service, Role.PREFILL, now):
             begins_in_s = self.begins_in_s(endpoint.name, now)
-            known_s = found.get(endpoint.data_centre, math.inf)
-            found[endpoint.data_centre] = min(known_s, begins_in_s)
-        return found
+            known_s = shortest_s.get(endpoint.data_centre, math.inf)
+            shortest_s[endpoint.data_centre] = min(known_s, begins_in_s)
+        return shortest_s
 
     def queue_s(self, name: str) -> float:
-        """Give how long a prefill of the usual speed would still take for its prompts.
+        """Return the seconds that a prefill of the usual speed still needs for its prompts.
 
-        It follows from their sizes alone: when each one was expected to be computed
-        depends on those before it, and an error there would grow from one to the next.
+        They are computed from the sizes of the prompts alone. The expected end of a prompt
+        depends on the prompts before it, so errors of these ends would add up.
         """
         endpoint = self._endpoints.get(name)
         placed = self.placed(name, Role.PREFILL)
@@ -370,5 +399,5 @@
             return 0.0
         first = min(placed, key=lambda work: work.ends_at)
         pace = self.pace(endpoint.service)
-        # The first one is under way: half of it is done, on the average.
+        # The first prompt is being computed; on average, half of it is done.
         return sum(pace.prompt_s(work.tokens) for work in placed) - pace.prompt_s(first.tokens) / 2
--- a/cleatlink/routing/held_bytes.py
+++ b/cleatlink/routing/held_bytes.py
@@ -1,76 +1,77 @@
-"""How many bytes an instance may hold for those who read or send slowly.
+"""Bound the bytes that an instance buffers for callers that send or read slowly.
 
-An instance has little memory, and what it holds for callers counts. What was not routed yet is
-given up first: its caller is told that it has not run. Answers that endpoints gave are never
-given up; while they take most of the memory, no more is read from anybody.
+An instance has little memory, so buffered request bodies and answers share one limit. Requests
+that are not routed yet are refused first, and their callers learn that they were not executed.
+Answers of endpoints are never dropped; while they use most of the memory, nothing more is read
+from callers or endpoints.
 """
 
 from enum import StrEnum
 
 __all__ = ["HeldBytes", "HeldKind"]
 
-# Share of the limit that bodies may take which are still being read: they wait, and are refused
-# then, while answers still find room.
+# Share of the limit that request bodies may use while they are read. Further bodies wait and are
+# then refused, while there is still memory for answers.
 _BODIES_SHARE = 0.5
-# One caller that reads slowly takes up to this share of what is left, so that the first few do
-# not take it from all others.
+# Share of the remaining memory that the unread answer of one caller may use, so that a few slow
+# readers do not take all of it from the others.
 _CALLER_SHARE = 0.125
 
 
 class HeldKind(StrEnum):
-    """What is held."""
+    """Kind of the buffered bytes."""
 
     REQUEST_BODIES = "request_bodies"
     UNREAD_ANSWERS = "unread_answers"
 
 
 class HeldBytes:
-    """Counts what is held, and tells who may hold more."""
+    """Counts buffered bytes and decides whether more may be buffered."""
 
     def __init__(self, limit_bytes: int) -> None:
-        """Start with nothing held.
+        """Start with nothing buffered.
 
         Args:
-            limit_bytes: What all together should not pass.
+            limit_bytes: Limit of the buffered bytes of all kinds.
         """
         self._limit_bytes = limit_bytes
         self._held = dict.fromkeys(HeldKind, 0)
 
     @property
     def limit_bytes(self) -> int:
-        """What all together should not pass."""
+        """Limit of the buffered bytes of all kinds."""
         return self._limit_bytes
 
     @property
     def total(self) -> int:
-        """Bytes that are held now."""
+        """Number of bytes that are buffered now."""
         return sum(self._held.values())
 
     def held(self, kind: HeldKind) -> int:
-        """Give the bytes of a kind that are held now."""
+        """Return the number of buffered bytes of a kind."""
         return self._held[kind]
 
     def add(self, kind: HeldKind, count: int) -> None:
-        """Count bytes that are held from now on."""
+        """Count bytes that are buffered from now on."""
         self._held[kind] += count
 
     def remove(self, kind: HeldKind, count: int) -> None:
-        """Count bytes that are held no longer."""
+        """Subtract bytes that are no longer buffered."""
         self._held[kind] -= count
 
     def admits_body(self, count: int) -> bool:
-        """Tell whether so many bytes more of a body may be read now."""
+        """Check whether ``count`` more bytes of a request body may be read now."""
         if self.total + count > self._limit_bytes:
             return False
         bodies = self._held[HeldKind.REQUEST_BODIES] + count
         return bodies <= _BODIES_SHARE * self._limit_bytes
 
-    def admits_unread(self, own: int, count: int) -> bool:
-        """Tell whether a caller's answer may be read further though the caller has not read.
+    def admits_unread(self, buffered: int, count: int) -> bool:
+        """Check whether more of an answer may be buffered for a caller that reads slowly.
 
         Args:
-            own: Bytes that are held for the caller already.
-            count: Bytes that come.
+            buffered: Bytes that are already buffered for the caller.
+            count: Bytes that would be added.
         """
-        left = self._limit_bytes - self.total
-        return own + count <= _CALLER_SHARE * max(0, left)
+        remaining = self._limit_bytes - self.total
+        return buffered + count <= _CALLER_SHARE * max(0, remaining)
--- a/cleatlink/routing/held_bytes_test.py
+++ b/cleatlink/routing/held_bytes_test.py
@@ -1,4 +1,4 @@
-"""What an instance holds for slow readers and slow senders."""
+"""Tests the limits of the bytes that are buffered for slow senders and slow readers."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -32,18 +32,18 @@
     assert held.total <= LIMIT
 
 
-def test_no_caller_takes_what_others_need() -> None:
+def test_one_slow_reader_leaves_memory_for_others() -> None:
     held = HeldBytes(LIMIT)
-    own = 0
-    while held.admits_unread(own, 1_000):
-        own += 1_000
+    buffered = 0
+    while held.admits_unread(buffered, 1_000):
+        buffered += 1_000
         held.add(HeldKind.UNREAD_ANSWERS, 1_000)
-    assert 0 < own <= LIMIT // 8
+    assert 0 < buffered <= LIMIT // 8
     assert held.admits_unread(0, 1_000)
 
 
 @given(COUNTS)
-def test_what_is_given_back_is_free_again(counts: list[int]) -> None:
+def test_removed_bytes_are_no_longer_counted(counts: list[int]) -> None:
     held = HeldBytes(LIMIT)
     for count in counts:
         held.add(HeldKind.UNREAD_ANSWERS, count)
--- a/cleatlink/routing/relay_place.py
+++ b/cleatlink/routing/relay_place.py
@@ -70,8 +70,8 @@
 # Lower bound of the speed by which loads are weighted, so that one failing endpoint does not make
 # the loads of all others look alike.
 _MIN_SPEED = 0.5
-# Endpoints whose costs differ by less than this count as equally good, since the loads known to
-# each of many instances are outdated.
+# Endpoints whose costs differ by less than this count as equally good: with many instances, the
+# loads known to each of them are outdated.
 _SIMILAR_COST_MARGIN = 0.5
 # Share of the cost of another data centre by which ties are broken at random.
 _TIE_BREAK_SHARE = 0.01
@@ -262,8 +262,8 @@
     """Return the cheaper of two random endpoints among those that cost about the same.
 
     Loads known to an instance are some tens of ms old. With many instances, the endpoint that
-    looks least loaded is the one whose latest streams they have not been informed of, and all
-    instances would choose it.
+    looks least loaded is the one whose latest streams have not been reported yet, and all of them
+    would choose it.
     """
     similar = [option for option in options if option.cost < best.cost + _SIMILAR_COST_MARGIN]
     if len(similar) < 3:
--- a/cleatlink/routing/spill_over.py
+++ b/cleatlink/routing/spill_over.py
@@ -1,14 +1,14 @@
-"""Decides when a stream goes to another data centre while its own still has some room.
+"""Decide when a stream goes to another data centre although its own still has free capacity.
 
-Demand comes in waves that differ from one data centre to the next. Work that crosses only once
-its own data centre is full comes to engines that turn some of it away, behind queues of
-prompts, while others stand idle. So a stream crosses sooner: when the best place of its own data
-centre is nearly full, or late for its prompt, and another one is better by clearly more than
-what the crossing costs. The prompt and the answer go together, so that the prompt's result
-stays in one data centre.
+Peaks of demand occur at different times in different data centres. If streams went to another
+data centre only once their own is full, engines near their limit would reject some of them and
+others would wait behind queues of prompts, while engines elsewhere are idle. A stream therefore
+crosses earlier: when the best endpoint of its own data centre is nearly full, or would get the
+prompt's result too late, and the load elsewhere is lower by more than the cost of the crossing.
+The prompt and the answer cross together, so that the prompt's result stays in one data centre.
 
-Two data centres can't send each other their load: each would have to be better than the
-other by the cost of the crossing.
+Two data centres can't send each other their load at the same time: each would need a load lower
+than the other's by the cost of the crossing.
 """
 
 import math
@@ -16,24 +16,25 @@
 
 from cleatlink.routing.fleet_sizes import FEW_PEERS
 
-__all__ = ["CROSSING_SHARE", "ONLY_IF_FULL", "SpillOver", "prompt_waits"]
+__all__ = ["CROSSING_SHARE", "CROSS_ONLY_IF_FULL_COST", "SpillOver", "prompt_waits"]
 
-# What a crossing costs where no operator says it, as a share of a stream's target: a round trip
-# and a cut link's risk; a quarter is what callers of urgent streams still bear.
+# Default cost of a crossing, as a share of a stream's target, for the round trip and the risk of
+# a network partition. Callers of urgent streams accept a delay of a quarter of the target.
 CROSSING_SHARE = 0.25
-# A stream goes to another data centre only when none here has room: a cut between the two would
-# break it off, and each of its bytes would cross. Loads that are compared stay below this figure.
-ONLY_IF_FULL = 2.0
-# Load, in shares of an engine's memory and of a target, above which a place counts as nearly
-# full: estimates of lengths are off by more than what is left.
-_NEARLY_FULL = 0.85
+# Cost of a crossing that lets a stream cross only when no endpoint of its own data centre has
+# capacity: a partition would interrupt the stream, and each of its bytes would cross. Loads that
+# are compared stay below this value.
+CROSS_ONLY_IF_FULL_COST = 2.0
+# Load, in shares of an engine's memory and of a target, from which an endpoint counts as nearly
+# full: the error of length estimates is larger than the remaining share.
+_NEARLY_FULL_LOAD = 0.85
 
 
 class SpillOver:
-    """Chooses between the own data centre and the others."""
+    """Chooses between this instance's data centre and the others."""
 
     def __init__(self, *, is_on: bool = True) -> None:
-        """Start with the usual cost of a crossing.
+        """Start with the default cost of a crossing.
 
         Args:
             is_on: Whether streams cross before their own data centre is full.
@@ -48,33 +49,38 @@
         return self._is_on and self._peers > FEW_PEERS
 
     def note_peers(self, peers: int) -> None:
-        """Note how many other instances there are."""
+        """Set the number of other instances."""
         self._peers = peers
 
-    def crosses(self, near_cost: float, far_cost: float) -> bool:
-        """Tell whether a stream goes to another data centre.
+    def crosses(self, local_cost: float, remote_cost: float) -> bool:
+        """Check whether a stream goes to another data centre.
 
         Args:
-            near_cost: Load of the best place of its own data centre, and what else counts
-                against it; infinite without any.
-            far_cost: The same of the others.
+            local_cost: Load and other costs of the best endpoint of its own data centre;
+                infinite if there is none.
+            remote_cost: The same for the other data centres.
         """
-        distance = ONLY_IF_FULL
-        if self.is_in_use and near_cost >= _NEARLY_FULL:
-            distance = min(ONLY_IF_FULL, self.crossing_share)
-        return far_cost + distance < near_cost
+        crossing_cost = CROSS_ONLY_IF_FULL_COST
+        if self.is_in_use and local_cost >= _NEARLY_FULL_LOAD:
+            crossing_cost = min(CROSS_ONLY_IF_FULL_COST, self.crossing_share)
+        return remote_cost + crossing_cost < local_cost
 
 
 def prompt_waits(
     queues_s: Mapping[str, float], data_centres: set[str], target_s: float, crossing_share: float
 ) -> dict[str, float]:
-    """Give what a prompt waits for decodes of each data centre, as a share of the target.
+    """Return the waiting time of a prompt for the decodes of each data centre.
 
     Args:
-        queues_s: Seconds until a prefill of a data centre begins, where there are any.
-        data_centres: Those that have decodes.
+        queues_s: Seconds until a prefill begins a new prompt, by data centre with prefills.
+        data_centres: Data centres that have decodes.
         target_s: Time within which the stream should begin.
-        crossing_share: What it costs if the prompt's result crosses.
+        crossing_share: Cost of transferring the prompt's result to another data centre, as a
+            share of the target.
+
+    Returns:
+        Waiting times as shares of the target, at most 1; none if the target or the queues are
+        unknown.
     """
     if not queues_s or not 0 < target_s < math.inf:
         return {}
--- a/cleatlink/routing/unequal_test.py
+++ b/cleatlink/routing/unequal_test.py
@@ -1,8 +1,9 @@
-"""Engines of one service at 0.7, 0.7 and 1.7 of its usual speed.
+"""Tests placement on engines of one service with 0.7, 0.7 and 1.7 times its usual speed.
 
-Prompts were sent to whichever engine had the fewest tokens before it, so that slow ones were
-late while fast ones stood idle. Arrivals and outcomes are fed to the decisions of many
-instances here, which know each other's work a second late and partly never.
+Prompts were sent to the engine with the fewest queued tokens, so slow engines were late while
+fast ones were idle. The simulation feeds arrivals and outcomes to the placement of many
+instances. Reports of other instances' work reach them up to a second late, and a share of the
+measured speeds never reaches them.
 """
 
 import heapq
@@ -35,15 +36,15 @@
 
 SPEEDS = (0.7, 0.7, 1.7)
 TRAITS = EngineTraits(16, 27_000, 0.5, 6.0, event_tokens=4)
-TOKENS = 3_000
+PROMPT_TOKENS = 3_000
 PACE = PaceSummary(0.002, 0.0, 0.0001, 0.05, 1.0, 0.01)
 USUAL_S = 0.3
-# Seconds until peers hear of work; what is lost they hear with a heartbeat.
-TOLD_S = 0.05
-OFF = frozenset({Mechanism.ENDPOINT_PACE})
+# Delay of reports to peers; a lost report is repeated with a heartbeat.
+REPORT_DELAY_S = 0.05
+WITHOUT_SPEEDS = frozenset({Mechanism.ENDPOINT_PACE})
 
 
-def fleet(role: Role, count: int, without: Set[Mechanism] = frozenset()) -> Capacity:
+def make_capacity(role: Role, count: int, without: Set[Mechanism] = frozenset()) -> Capacity:
     capacity = Capacity(Switches(without))
     for number in range(count):
         endpoint = RoutedEndpoint(f"e{number}", "127.0.0.1:1", "a", "s", role, TRAITS.slots)
@@ -52,159 +53,167 @@
     return capacity
 
 
-def teach(capacity: Capacity, name: str, speed: float, at: float = 0.0) -> None:
+def add_speed_samples(capacity: Capacity, name: str, speed: float, at: float = 0.0) -> None:
     for sender in range(10):
         sample = PaceSample(at, PaceKind.PROMPT, -math.log(speed))
         capacity.endpoint_paces.take(f"i{sender}", name, [sample])
 
 
-class _Done(NamedTuple):
-    """A prompt that is computed, or that peers hear of."""
+class _PromptEvent(NamedTuple):
+    """The end of a prompt, or the moment at which peers receive the report of its start."""
 
     at: float
     number: int
-    is_over: bool
+    is_end: bool
     instance: int
     endpoint: str
-    work: Reservation
+    reservation: Reservation
     seconds: float
 
 
-def late_prompts(
+def count_late_prompts(
     instances: int,
     without: Set[Mechanism],
     seed: int,
     loss: float,
     speeds: Callable[[int, float], float],
 ) -> int:
-    """Give how many of the prompts of 30 s are ready later than a second after they came.
+    """Simulate 30 s, and return how many prompts are ready more than a second after arrival.
 
     Args:
-        instances: How many place them.
+        instances: Number of instances that assign prompts.
         without: Mechanisms that are switched off.
-        seed: Of arrivals, losses and choices.
-        loss: Share of work that peers hear of with a heartbeat only.
-        speeds: Gives the speed of an engine at a time.
+        seed: Seed of arrivals, losses and choices.
+        loss: Share of reports that are lost and reach peers with a heartbeat only.
+        speeds: Returns the speed of an engine at a time.
     """
     rng = random.Random(seed)
-    fleets = [fleet(Role.PREFILL, 6, without) for _ in range(instances)]
+    capacities = [make_capacity(Role.PREFILL, 6, without) for _ in range(instances)]
     free_at = [0.0] * 6
-    events: list[_Done] = []
+    events: list[_PromptEvent] = []
     late, now, number = 0, 0.0, 0
 
-    def happen(event: _Done) -> None:
+    def process(event: _PromptEvent) -> None:
         key = str(event.number)
-        others = [item for at, item in enumerate(fleets) if at != event.instance]
-        if not event.is_over:
+        others = [item for index, item in enumerate(capacities) if index != event.instance]
+        if not event.is_end:
             for other in others:
-                other.peer_reserve("peer", key, event.work)
+                other.peer_reserve("peer", key, event.reservation)
             return
-        own = fleets[event.instance]
+        own = capacities[event.instance]
         own.release(key)
         own.note_duration(event.endpoint, PaceKind.PROMPT, event.seconds, USUAL_S, event.at)
-        told = own.endpoint_paces.own(event.endpoint, event.at)
+        samples = own.endpoint_paces.own(event.endpoint, event.at)
         for other in others:
             other.peer_release("peer", key)
             if rng.random() >= loss:
-                other.endpoint_paces.take(f"i{event.instance}", event.endpoint, told)
+                other.endpoint_paces.take(f"i{event.instance}", event.endpoint, samples)
 
     while now < 30.0:
         now += rng.expovariate(15.0)
         number += 1
         while events and events[0].at <= now:
-            happen(heapq.heappop(events))
+            process(heapq.heappop(events))
         instance = rng.randrange(instances)
-        own = fleets[instance]
-        seeker = Seeker("a", frozenset(), now, random.Random(number))
-        chosen = place_prefill("s", own, seeker, "a", TOKENS)
+        own = capacities[instance]
+        context = Seeker("a", frozenset(), now, random.Random(number))
+        chosen = place_prefill("s", own, context, "a", PROMPT_TOKENS)
         assert chosen is not None
         engine = int(chosen.name[1:])
-        began_at = max(now, free_at[engine])
-        free_at[engine] = began_at + USUAL_S / speeds(engine, now)
+        starts_at = max(now, free_at[engine])
+        free_at[engine] = starts_at + USUAL_S / speeds(engine, now)
         late += free_at[engine] - now > 1.0
         queue_s = own.begins_in_s(chosen.name, now)
         expected_s = queue_s + USUAL_S / own.speed(chosen.name, now)
-        work = Reservation(chosen.name, Role.PREFILL, TOKENS, now + expected_s, expected_s)
-        own.reserve(str(number), work)
-        told_at = now + (TOLD_S if rng.random() >= loss else rng.random())
+        reservation = Reservation(
+            chosen.name, Role.PREFILL, PROMPT_TOKENS, now + expected_s, expected_s
+        )
+        own.reserve(str(number), reservation)
+        reported_at = now + (REPORT_DELAY_S if rng.random() >= loss else rng.random())
         seconds = free_at[engine] - now - queue_s if queue_s < USUAL_S / 2 else 0.0
         for event in (
-            _Done(told_at, number, False, instance, chosen.name, work, 0.0),
-            _Done(
-                max(free_at[engine], told_at), number, True, instance, chosen.name, work, seconds
+            _PromptEvent(reported_at, number, False, instance, chosen.name, reservation, 0.0),
+            _PromptEvent(
+                max(free_at[engine], reported_at),
+                number,
+                True,
+                instance,
+                chosen.name,
+                reservation,
+                seconds,
             ),
         ):
             heapq.heappush(events, event)
     return late
 
 
-def unequal(engine: int, now: float) -> float:
-    """Give the speed of one of six unequal engines."""
+def unequal_speeds(engine: int, now: float) -> float:
+    """Return the speed of one of six unequal engines."""
     return SPEEDS[engine % 3]
 
 
-def one_sick(engine: int, now: float) -> float:
-    """Give the speed of one of six equal engines, the first of which is sick for a while."""
+def one_slow_for_10_s(engine: int, now: float) -> float:
+    """Return the speed of one of six equal engines, of which the first is slow for 10 s."""
     return 0.2 if engine == 0 and 10.0 < now < 20.0 else 1.0
 
 
 @pytest.mark.parametrize("instances", [8, 60])
 @pytest.mark.parametrize("loss", [0.0, 0.4])
-def test_fewer_prompts_are_late_than_by_the_number_of_engines(instances: int, loss: float) -> None:
+def test_measured_speeds_make_fewer_prompts_late(instances: int, loss: float) -> None:
     seeds = range(3)
-    by_number, by_speed = (
-        sum(late_prompts(instances, without, seed, loss, unequal) for seed in seeds)
-        for without in (OFF, frozenset[Mechanism]())
+    late_without, late_with = (
+        sum(count_late_prompts(instances, without, seed, loss, unequal_speeds) for seed in seeds)
+        for without in (WITHOUT_SPEEDS, frozenset[Mechanism]())
     )
-    assert by_speed < 0.7 * by_number, (by_speed, by_number)
+    assert late_with < 0.7 * late_without, (late_with, late_without)
 
 
-def test_an_engine_that_turns_sick_is_left_and_used_again_when_it_is_well() -> None:
-    """One of six engines takes five times as long for ten seconds."""
-    by_number, by_speed = (
-        sum(late_prompts(60, without, seed, 0.2, one_sick) for seed in range(3))
-        for without in (OFF, frozenset[Mechanism]())
+def test_engine_is_avoided_only_while_it_is_slow() -> None:
+    """One of six engines takes five times as long for ten seconds, and then recovers."""
+    late_without, late_with = (
+        sum(count_late_prompts(60, without, seed, 0.2, one_slow_for_10_s) for seed in range(3))
+        for without in (WITHOUT_SPEEDS, frozenset[Mechanism]())
     )
-    assert by_speed < 0.9 * by_number, (by_speed, by_number)
+    assert late_with < 0.9 * late_without, (late_with, late_without)
 
 
-def test_full_to_the_same_share_the_faster_decode_is_chosen() -> None:
-    capacity = fleet(Role.DECODE, 3)
+def test_faster_decode_is_chosen_at_equal_load() -> None:
+    capacity = make_capacity(Role.DECODE, 3)
     for name, speed in zip(("e0", "e1", "e2"), SPEEDS, strict=True):
-        teach(capacity, name, speed)
+        add_speed_samples(capacity, name, speed)
         capacity.reserve(name, Reservation(name, Role.DECODE, 6_000, 3.0, 3.0, 500))
-    seeker = Seeker("a", frozenset(), 0.5, random.Random(1))
-    size = StreamSize(TOKENS, 500, 3.0, 1.0)
-    chosen = place_decode("s", size, TRAITS, capacity, seeker)
+    context = Seeker("a", frozenset(), 0.5, random.Random(1))
+    size = StreamSize(PROMPT_TOKENS, 500, 3.0, 1.0)
+    chosen = place_decode("s", size, TRAITS, capacity, context)
     assert chosen is not None
     assert chosen.name == "e2"
-    # The prompt is computed elsewhere: that part of the time is the same.
-    work = size.reserve("e2", 0.5, capacity.speed("e2", 0.5))
-    assert work.duration_s == pytest.approx(1.0 + 2.0 / 1.7)
+    # Another endpoint computes the prompt, so the decode's speed does not change that time.
+    reservation = size.reserve("e2", 0.5, capacity.speed("e2", 0.5))
+    assert reservation.duration_s == pytest.approx(1.0 + 2.0 / 1.7)
 
 
-def test_room_is_foreseen_sooner_on_a_fast_decode() -> None:
-    found = []
+def test_forecast_expects_free_capacity_sooner_on_a_fast_decode() -> None:
+    forecasts_s = []
     for speed in (1.0, 1.7):
-        capacity = fleet(Role.DECODE, 1)
-        teach(capacity, "e0", speed)
+        capacity = make_capacity(Role.DECODE, 1)
+        add_speed_samples(capacity, "e0", speed)
         stream = StreamDemand(20_000, 3.4)
         forecast = RoomForecast("s", TRAITS, capacity, 0.5)
-        found.append(forecast.room_in_s(stream, [stream]))
-    assert found == [pytest.approx(3.4), pytest.approx(2.0)]
+        forecasts_s.append(forecast.room_in_s(stream, [stream]))
+    assert forecasts_s == [pytest.approx(3.4), pytest.approx(2.0)]
 
 
-def test_prompt_is_in_time_on_a_fast_prefill_alone() -> None:
+def test_prompt_plan_uses_the_fastest_prefill() -> None:
     route = Route("r", "h", "/", RouteKind.STREAMING, 14.0, 0.4, 1, (), event_gap_s=0.01)
-    inbound = Inbound("r", b"POST", b"/", "h", (), b"", 0.0, prompt_tokens=TOKENS)
-    seeker = Seeker("a", frozenset(), 0.0, random.Random(1))
+    inbound = Inbound("r", b"POST", b"/", "h", (), b"", 0.0, prompt_tokens=PROMPT_TOKENS)
+    context = Seeker("a", frozenset(), 0.0, random.Random(1))
     plans = []
-    for without in (frozenset[Mechanism](), OFF):
-        capacity = fleet(Role.PREFILL, 3, without)
+    for without in (frozenset[Mechanism](), WITHOUT_SPEEDS):
+        capacity = make_capacity(Role.PREFILL, 3, without)
         for name, speed in zip(("e0", "e1", "e2"), SPEEDS, strict=True):
-            teach(capacity, name, speed)
+            add_speed_samples(capacity, name, speed)
         service = RoutedService("s", 9, TRAITS)
-        plans.append(plan_prompt(inbound, route, service, capacity, seeker))
+        plans.append(plan_prompt(inbound, route, service, capacity, context))
     assert plans[0].ready_s == pytest.approx(USUAL_S / 1.7)
     assert plans[1].ready_s == pytest.approx(USUAL_S)
 
@@ -215,50 +224,51 @@
 
 
 @given(WORK, st.integers(0, 99))
-def test_with_equal_speeds_each_decision_is_as_before(
+def test_equal_speeds_do_not_change_any_decision(
     work: list[tuple[int, int, float]], seed: int
 ) -> None:
-    decided = []
-    for without in (frozenset[Mechanism](), OFF):
-        made: list[object] = []
+    decisions_by_mode = []
+    for without in (frozenset[Mechanism](), WITHOUT_SPEEDS):
+        decisions: list[object] = []
         for role in (Role.PREFILL, Role.DECODE):
-            capacity = fleet(role, 4, without)
+            capacity = make_capacity(role, 4, without)
             for number in range(4):
-                teach(capacity, f"e{number}", 1.05)
+                add_speed_samples(capacity, f"e{number}", 1.05)
             for key, (number, tokens, ends_s) in enumerate(work):
                 item = Reservation(f"e{number}", role, tokens, ends_s, ends_s, tokens // 9)
                 capacity.reserve(str(key), item)
-            seeker = Seeker("a", frozenset(), 0.5, random.Random(seed))
-            made.append(place_prefill("s", capacity, seeker, "a", TOKENS))
-            made.append(place_decode("s", StreamSize(900, 90, 2.0), TRAITS, capacity, seeker))
+            context = Seeker("a", frozenset(), 0.5, random.Random(seed))
+            decisions.append(place_prefill("s", capacity, context, "a", PROMPT_TOKENS))
+            decisions.append(place_decode("s", StreamSize(900, 90, 2.0), TRAITS, capacity, context))
             forecast = RoomForecast("s", TRAITS, capacity, 0.5)
-            made.append(forecast.room_in_s(StreamDemand(9_000, 2.0, 0.3)))
-            made.append(seeker.rng.random())
-        decided.append(made)
-    assert decided[0] == decided[1]
+            decisions.append(forecast.room_in_s(StreamDemand(9_000, 2.0, 0.3)))
+            decisions.append(context.rng.random())
+        decisions_by_mode.append(decisions)
+    assert decisions_by_mode[0] == decisions_by_mode[1]
 
 
-@pytest.mark.parametrize("without", [OFF, frozenset[Mechanism]()])
-def test_nearly_full_data_centre_of_unequal_engines_gives_work_to_another(
+@pytest.mark.parametrize("without", [WITHOUT_SPEEDS, frozenset[Mechanism]()])
+def test_stream_leaves_nearly_full_data_centre_of_unequal_engines(
     without: Set[Mechanism],
 ) -> None:
-    """Loads weighed by speed never looked nearly full, so that no stream crossed.
+    """Guard against comparing speed-weighted loads with the threshold of a nearly full endpoint.
 
-    Engines at 0.7, 0.7 and 1.7 held nine tenths of their memory here; those elsewhere were idle.
+    Such loads never reached the threshold, so no stream crossed, although engines at 0.7, 0.7 and
+    1.7 times the usual speed held nine tenths of their memory and engines elsewhere were idle.
     """
-    capacity = fleet(Role.DECODE, 3, without)
+    capacity = make_capacity(Role.DECODE, 3, without)
     capacity.spill_over.note_peers(60)
     for name, speed in zip(("e0", "e1", "e2"), SPEEDS, strict=True):
-        teach(capacity, name, speed)
+        add_speed_samples(capacity, name, speed)
         capacity.reserve(name, Reservation(name, Role.DECODE, 24_000, 9.0, 9.0, 0))
-    far = RoutedEndpoint("far", "127.0.0.1:1", "b", "s", Role.DECODE, TRAITS.slots)
-    capacity.set_endpoint(far)
-    seeker = Seeker("a", frozenset(), 0.5, random.Random(1))
+    remote = RoutedEndpoint("far", "127.0.0.1:1", "b", "s", Role.DECODE, TRAITS.slots)
+    capacity.set_endpoint(remote)
+    context = Seeker("a", frozenset(), 0.5, random.Random(1))
     size = StreamSize(500, 100, 1.0)
-    chosen = place_decode("s", size, TRAITS, capacity, seeker)
-    assert chosen == far
-    # One engine here that has room is enough to stay, whichever is the best of them by speed.
+    chosen = place_decode("s", size, TRAITS, capacity, context)
+    assert chosen == remote
+    # The stream stays if any engine of its data centre has capacity, also if it is a slow one.
     capacity.release("e0")
-    chosen = place_decode("s", size, TRAITS, capacity, seeker)
+    chosen = place_decode("s", size, TRAITS, capacity, context)
     assert chosen is not None
     assert chosen.data_centre == "a"
