--- a/cleatlink/relay/calls/call.py
+++ b/cleatlink/relay/calls/call.py
@@ -1,4 +1,4 @@
-"""One call on its way through the relay: what it may still do, and what it came to."""
+"""State of one call in the relay: which sends are still allowed, and what is known of its runs."""
 
 import eliot
 import trio
@@ -24,13 +24,13 @@
 __all__ = ["Call"]
 
 
-# Spread of the moments at which suspects of one crash go on elsewhere: many times what it takes
-# to tell peers of a place.
-_APART_S = 0.1
+# Suspects of one crash are sent to their next endpoints at random moments within this time, in
+# seconds. It is many times the time in which peers learn of a placement.
+_SUSPECT_SPREAD_S = 0.1
 
 
 class Call:
-    """One call: its route, its deadline, where it was sent and whether it ran."""
+    """One call: its route, its deadline, the endpoints that it was sent to and whether it ran."""
 
     def __init__(
         self,
@@ -51,28 +51,28 @@
         self.excluded: set[str] = set()
         self.sends = 0
         self.revision = revision
-        self.heard_at = inbound.arrived_at
+        self.last_received_at = inbound.arrived_at
         self.admission = Admission(True, 0)
         self._parts = parts
-        self._sent_to: set[str] = set()
-        self._sent_last_to = ""
-        self._ran_before = Ran.NO
+        self._tried_endpoints: set[str] = set()
+        self._last_endpoint = ""
+        self._ran_before_send = Ran.NO
         self._identity = b""
-        self._begun_at = inbound.arrived_at
-        self._is_on_trial = False
-        # Endpoints that were left while their part of the body was still on its way.
-        self._unread_bodies = 0
+        self._last_started_at = inbound.arrived_at
+        self._is_trial_run = False
+        # Endpoints that the call abandoned before they had read its body.
+        self._unread_uploads = 0
 
     @property
     def identity(self) -> bytes:
-        """Who asks for what; worked out once, since bodies can be long."""
+        """Digest of caller and request; computed once, since bodies can be long."""
         if not self._identity:
             self._identity = self.inbound.identity
         return self._identity
 
     @property
     def suspicion(self) -> int:
-        """At how many crashes its request was without having been served since."""
+        """Number of endpoint crashes while the request ran there, since it last completed."""
         quarantine = self._parts.quarantine
         return 0 if quarantine.is_empty else quarantine.judge(self.identity).suspicion
 
@@ -83,25 +83,25 @@
 
     @property
     def resumable(self) -> bool:
-        """Whether another endpoint may go on with the call's stream."""
+        """Whether another endpoint may continue the call's stream."""
         return self.route.kind is RouteKind.STREAMING and self.route.resumable
 
     @property
-    def begun(self) -> bool:
-        """Whether a part of the call's stream has been made already, here or before."""
+    def has_begun_stream(self) -> bool:
+        """Whether part of the stream may exist already, from this call or an earlier one."""
         return self.ran is not Ran.NO or self.inbound.last_event is not None
 
     @property
     def priority(self) -> int:
-        """From 0, the most urgent: the organisation's, or else the route's."""
+        """Priority of the organisation, or else of the route, from 0, the most urgent."""
         organisation = self.holder.organisation
         if organisation is None or organisation.priority is None:
             return self.route.priority
         return organisation.priority
 
     @property
-    def shared_urgency(self) -> int:
-        """How urgent it is among those that wait at many instances; larger goes first."""
+    def group_urgency(self) -> int:
+        """Urgency in the order that all instances share; a larger value goes first."""
         organisation = self.holder.organisation
         if organisation is None or organisation.priority is None:
             return rank(self.priority)
@@ -109,19 +109,19 @@
 
     @property
     def told_priority(self) -> int | None:
-        """The priority that engines are told; None where urgency is not shared."""
+        """Priority to send to engines; None if the mechanism is off or the group is small."""
         capacity = self._parts.capacity
-        tells = capacity.switches.uses(Mechanism.ENDPOINT_PRIORITY)
-        return self.priority if tells and capacity.waiting.is_large_group else None
+        is_enabled = capacity.switches.uses(Mechanism.ENDPOINT_PRIORITY)
+        return self.priority if is_enabled and capacity.waiting.is_large_group else None
 
     @property
-    def is_allowed(self) -> bool:
-        """Whether its key has not been taken away since it came; what has run goes on."""
+    def is_authorized(self) -> bool:
+        """Whether the caller's key is still valid, or the call may have run and so continues."""
         return self.ran is not Ran.NO or self._parts.gate.still_holds(self.holder)
 
     @property
     def left_s(self) -> float:
-        """Seconds that are left of the call's time."""
+        """Seconds until the call's deadline."""
         return self.deadline - trio.current_time()
 
     @property
@@ -131,36 +131,36 @@
 
     @property
     def in_time(self) -> bool:
-        """Whether an answer that begins now is in time."""
+        """Whether an answer that begins now meets the route's latency target."""
         return self.age_s <= self.route.target_s
 
     def give_back(self) -> None:
-        """Give back to its organisation what a call that did not run was granted."""
+        """Refund the admission cost of a call that did not run to its organisation's limit."""
         organisation, admission = self.holder.organisation, self.admission
         if organisation is not None and admission.granted and admission.cost:
             self._parts.gate.limits.give_back(organisation, admission.cost)
             self.admission = Admission(True, 0)
 
     def seeker(self) -> Seeker:
-        """Give who seeks a place, now."""
+        """Return the placement parameters of the call at this moment."""
         parts = self._parts
         now = trio.current_time()
         return Seeker(parts.data_centre, self.excluded, now, parts.rng, self.suspicion)
 
     def bar(self) -> Refusal | None:
-        """Give why the call may not be sent now, if that is so; asked anew before each send.
+        """Return the reason why the call may not be sent now, or None; checked before each send.
 
-        Without it one request crashed 14 of 14 endpoints that it was sent to, and 28 where a
-        second endpoint may be tried; now 3.
+        Without this check, one request crashed 14 of the 14 endpoints that it was sent to, and 28
+        where a second endpoint may be tried; with it, the request crashes 3.
         """
-        if not self.is_allowed:
+        if not self.is_authorized:
             return Refusal(ErrorKind.UNKNOWN_KEY, "its key was taken away")
         quarantine = self._parts.quarantine
-        if quarantine.is_empty or self._is_on_trial:
+        if quarantine.is_empty or self._is_trial_run:
             return None
         verdict = quarantine.judge(self.identity)
         if verdict.needs_trial:
-            self._is_on_trial = True
+            self._is_trial_run = True
             quarantine.begin_trial(self.identity)
         if not verdict.is_held:
             return None
@@ -180,64 +180,64 @@
     async def settle(self, endpoint: RoutedEndpoint) -> None:
         """Wait, after an endpoint failed the call, until it is known whether it crashed.
 
-        Without it a call of a resumable or safe route is at its next endpoint before its third
-        crash counts. Suspects go on at different moments, so that each knows where the others
-        run by then.
+        Without this wait, a call of a resumable or safe route runs at its next endpoint before its
+        third crash is counted. Suspects of a crash continue at different moments, so that each
+        knows by then where the others run.
         """
         await self._parts.crashes.wait(endpoint)
         if self.suspicion >= RUNS_APART:
-            await trio.sleep(_APART_S * self._parts.rng.random())
+            await trio.sleep(_SUSPECT_SPREAD_S * self._parts.rng.random())
 
     def note_served(self) -> None:
-        """Note that an endpoint ran the call to an end: it does not crash what runs it."""
+        """Record that an endpoint completed the call, which clears it of earlier crashes."""
         if not self._parts.quarantine.is_empty:
             self._parts.quarantine.note_served(self.identity)
 
     def may_send(self, endpoint: RoutedEndpoint) -> bool:
-        """Tell whether the route lets the call go to one more endpoint."""
-        sent_to = self._sent_to
-        return endpoint.name in sent_to or len(sent_to) < self.route.max_attempts
+        """Check whether the route's maximum of attempts allows the call to go to an endpoint."""
+        tried = self._tried_endpoints
+        return endpoint.name in tried or len(tried) < self.route.max_attempts
 
     def may_try_another(self) -> bool:
-        """Tell whether the route lets the call go to an endpoint it was not sent to yet."""
-        return len(self._sent_to) < self.route.max_attempts
+        """Check whether the route's maximum of attempts allows one more endpoint."""
+        return len(self._tried_endpoints) < self.route.max_attempts
 
     def spend(self, reason: str) -> bool:
-        """Spend one extra send of the shared budget; tells whether there was one."""
+        """Take one retry from the shared budget; return False if the budget is empty."""
         now = trio.current_time()
-        allowed = self._parts.budget(self.service.name).take(self._parts.members(), now)
-        self._parts.metrics.count_retry(reason if allowed else "budget_empty")
-        self.log("retries" if allowed else "may not retry", reason=reason)
-        return allowed
+        is_granted = self._parts.budget(self.service.name).take(self._parts.members(), now)
+        self._parts.metrics.count_retry(reason if is_granted else "budget_empty")
+        self.log("retries" if is_granted else "may not retry", reason=reason)
+        return is_granted
 
     def note_sent(self, endpoint: RoutedEndpoint) -> None:
-        """Count an endpoint that the call is sent to."""
+        """Record that the call is sent to an endpoint; until a reply, it may have run there."""
         self.note_begun()
         self.sends += 1
-        self._sent_to.add(endpoint.name)
-        self._sent_last_to = endpoint.name
-        self._ran_before = self.ran
+        self._tried_endpoints.add(endpoint.name)
+        self._last_endpoint = endpoint.name
+        self._ran_before_send = self.ran
         self.ran = Ran.UNKNOWN
 
     def note_begun(self) -> None:
-        """Note that an endpoint gets the call, or its prompt, now."""
-        self._begun_at = trio.current_time()
+        """Record the time at which an endpoint is sent the call or its prompt."""
+        self._last_started_at = trio.current_time()
 
     def note_not_run(self) -> None:
-        """Take an endpoint's word that it did not run what was sent last."""
-        self.ran = self._ran_before
+        """Record an endpoint's report that it did not run what was sent last."""
+        self.ran = self._ran_before_send
 
-    def note_elsewhere(self, endpoint: RoutedEndpoint) -> None:
-        """Note that an address has another endpoint now: this one was not sent to."""
-        self._sent_to.discard(endpoint.name)
+    def note_address_reused(self, endpoint: RoutedEndpoint) -> None:
+        """Record that another endpoint has the address now, so that this one received nothing."""
+        self._tried_endpoints.discard(endpoint.name)
 
     def note_refused(self, endpoint: RoutedEndpoint, head: ReplyHead) -> None:
-        """Take an endpoint's word that it did not run the call, and why."""
+        """Record an endpoint's report that it did not run the call, with its reason."""
         capacity = self._parts.capacity
-        rest_s = self._parts.protocol.read_notice(head).rest_s
-        self.log("was not run", endpoint=endpoint.name, status=head.status, rest_s=rest_s)
+        back_off_s = self._parts.protocol.read_notice(head).rest_s
+        self.log("was not run", endpoint=endpoint.name, status=head.status, rest_s=back_off_s)
         if head.status == OTHER_ENDPOINT:
-            self.note_elsewhere(endpoint)
+            self.note_address_reused(endpoint)
             capacity.note_misdirected(endpoint.name)
         else:
             capacity.note_full(endpoint.name, trio.current_time())
@@ -245,52 +245,53 @@
     def note_failure(
         self, endpoint: RoutedEndpoint, error: Exception, *, in_progress: bool = True
     ) -> None:
-        """Note that an endpoint failed the call; the call does not go there again.
+        """Record that an endpoint failed the call, and exclude it from further sends.
 
         Args:
             endpoint: The endpoint.
-            error: How it failed.
-            in_progress: Whether the endpoint had the call, and not just a question about it.
+            error: The failure.
+            in_progress: Whether the endpoint had the call itself, not just a request to reserve
+                capacity for it.
         """
-        asks = self.identity
+        identity = self.identity
         self.log(
-            "failed at an endpoint", endpoint=endpoint.name, error=repr(error), asks=asks.hex()
+            "failed at an endpoint", endpoint=endpoint.name, error=repr(error), asks=identity.hex()
         )
         self.excluded.add(endpoint.name)
         if in_progress and isinstance(error, OutcomeUnknownError | StreamBrokenError):
-            # A try that crashed its endpoint is over: it is judged like any other.
-            self._is_on_trial = False
-            seconds = trio.current_time() - self._begun_at
-            self._parts.crashes.note_broken(endpoint, asks, seconds)
+            # The trial run of a quarantined request ended: the next send is judged again.
+            self._is_trial_run = False
+            seconds = trio.current_time() - self._last_started_at
+            self._parts.crashes.note_broken(endpoint, identity, seconds)
         if not isinstance(error, EndpointRefusedError):
             self._parts.capacity.note_failure(endpoint.name, trio.current_time())
         if isinstance(error, EndpointUnreachableError):
-            self._parts.on_hint(endpoint.name, HintKind.UNREACHED)
+            self._parts.on_endpoint_problem(endpoint.name, HintKind.UNREACHED)
 
     def upload_to(self, endpoint: RoutedEndpoint) -> Upload:
-        """Begin to follow the call's body on its way to an endpoint.
+        """Start to track the upload of the call's body to an endpoint.
 
-        After each endpoint that did not take it in the time given, the link is believed to be half
-        as fast: it may be this side's.
+        Each endpoint that did not read the body in time halves the expected rate, since the slow
+        link may be this instance's own.
         """
-        usual = self._parts.capacity.upload_paces.pace(endpoint.name)
-        pace = usual.bytes_a_second / 2**self._unread_bodies
-        return Upload(usual._replace(bytes_a_second=pace))
+        measured = self._parts.capacity.upload_paces.pace(endpoint.name)
+        rate = measured.bytes_a_second / 2**self._unread_uploads
+        return Upload(measured._replace(bytes_a_second=rate))
 
     def note_read(self, endpoint: RoutedEndpoint, upload: Upload, seconds: float) -> None:
-        """Learn how fast an endpoint read the call's body, which it answered after some seconds."""
+        """Update the read rate of an endpoint that answered the call after the given seconds."""
         self._parts.capacity.upload_paces.note_answered(endpoint.name, upload, seconds)
 
     def served_s(self, upload: Upload, began_at: float) -> float | None:
-        """Give for how long an endpoint has had the call by now.
+        """Return the time for which an endpoint has been processing the call.
 
         Args:
-            upload: The call's body on its way there.
-            began_at: When sending began.
+            upload: The upload of the call's body.
+            began_at: Time at which sending began.
 
         Returns:
-            Seconds; None if that is not known: the body may have been on its way for most of the
-            time, or this instance has not run all the time.
+            Seconds; None if unknown, because the upload may have taken most of the time or this
+            process was paused meanwhile.
         """
         now = trio.current_time()
         if self._parts.capacity.own_pauses.any_since(began_at, now):
@@ -298,9 +299,9 @@
         return upload.served_s(began_at, now)
 
     def note_silent(self, endpoint: RoutedEndpoint, upload: Upload, silent_s: float) -> None:
-        """Note that another endpoint is asked, or looked for, since one is silent."""
+        """Record that the call looks for another endpoint because this one is silent."""
         if not upload.is_whole:
-            self._unread_bodies += 1
+            self._unread_uploads += 1
         self.log(
             "hears nothing",
             endpoint=endpoint.name,
@@ -312,36 +313,39 @@
         )
 
     def note_slow(self, endpoint: RoutedEndpoint, seconds: float) -> None:
-        """Note that an endpoint took much longer than it should."""
+        """Report to peers that an endpoint took much longer than expected."""
         self.log("found an endpoint slow", endpoint=endpoint.name, took_ms=int(1000 * seconds))
-        self._parts.on_hint(endpoint.name, HintKind.SLOW)
+        self._parts.on_endpoint_problem(endpoint.name, HintKind.SLOW)
 
-    def note_heard(self, now: float) -> None:
-        """Note that an endpoint sent a part of the call's answer."""
-        self.heard_at = now
+    def note_received(self, now: float) -> None:
+        """Record the time of the last received part of the answer."""
+        self.last_received_at = now
 
-    def may_begin(self, longest_s: float) -> bool:
-        """Tell whether the call's stream can end before a planned stop ends this instance.
+    def can_end_before_stop(self, max_duration_s: float) -> bool:
+        """Check whether the call's stream can end before a planned stop ends this instance.
 
-        One that has run goes on: nothing is won by giving it up.
+        A call that may have run already always continues, since refusing it gains nothing.
 
         Args:
-            longest_s: Seconds that it may need from now on; infinite if that is not known.
+            max_duration_s: Maximum time that the stream still needs, in seconds; infinite if
+                unknown.
         """
         if self.ran is not Ran.NO:
             return True
         now = trio.current_time()
         arrived_at = self.inbound.arrived_at
-        return self._parts.stop.leaves_time(arrived_at, self.deadline, longest_s, now)
+        return self._parts.stop.leaves_time(arrived_at, self.deadline, max_duration_s, now)
 
-    def refuse_for_stop(self, longest_s: float) -> Refusal:
-        """Refuse the call, which has not run: other instances can take it at once."""
-        left_s = self._parts.stop.ends_at - trio.current_time()
-        self.log("is left to others by the stop", left_s=round(left_s, 3), needs_s=longest_s)
+    def refuse_for_stop(self, max_duration_s: float) -> Refusal:
+        """Refuse a call that has not run; its caller can retry at another instance at once."""
+        stop_left_s = self._parts.stop.ends_at - trio.current_time()
+        self.log(
+            "is left to others by the stop", left_s=round(stop_left_s, 3), needs_s=max_duration_s
+        )
         return Refusal(ErrorKind.STOPPING, "this instance is stopping", 0.0)
 
     def log_end_by_stop(self) -> None:
-        """Log that the end of a planned stop cuts the call off."""
+        """Log that the end of a planned stop interrupts the call."""
         now = trio.current_time()
         stop_age_s = self._parts.stop.age_s(now)
         self.log(
@@ -349,11 +353,11 @@
             sends=self.sends,
             ran=self.ran.value,
             arrived_after_stop_ms=int(1000 * (stop_age_s - self.age_s)),
-            silent_ms=int(1000 * (now - self.heard_at)),
+            silent_ms=int(1000 * (now - self.last_received_at)),
         )
 
     def log_turn(self, endpoint: RoutedEndpoint, wait_s: float) -> None:
-        """Log that the call waits until an endpoint's limit allows it."""
+        """Log that the call waits until an endpoint's rate limit allows it."""
         limits, now = self._parts.capacity.limits, trio.current_time()
         self.log(
             "waits for its turn",
@@ -365,7 +369,7 @@
         )
 
     def log(self, outcome: str, **fields: object) -> None:
-        """Log a decision about this call."""
+        """Log an event of this call with its common fields."""
         eliot.log_message(
             message_type="relay: " + outcome,
             request=self.inbound.request_id,
@@ -376,15 +380,15 @@
         )
 
     def log_outcome(self, outcome: str, **fields: object) -> None:
-        """Log what a call came to: where it was sent last, whose it is, what it counts."""
-        if self._sent_last_to:
-            fields.update(endpoint=self._sent_last_to)
+        """Log the result of the call with its last endpoint, its organisation and its cost."""
+        if self._last_endpoint:
+            fields.update(endpoint=self._last_endpoint)
         if self.holder.organisation is not None:
             fields.update(organisation=self.holder.name, cost=self.admission.cost)
         self.log(outcome, **fields)
 
     def failure(self, detail: str, retry_after_s: float | None = None) -> Refusal:
-        """Give the refusal that is true of the call now."""
+        """Return a refusal whose kind says whether the call may have run."""
         if self.ran is Ran.NO:
             return Refusal(ErrorKind.ENDPOINT_REFUSED, detail, retry_after_s)
         return Refusal(ErrorKind.ENDPOINT_FAILED, detail)
--- a/cleatlink/relay/calls/decode_place.py
+++ b/cleatlink/relay/calls/decode_place.py
@@ -1,4 +1,8 @@
-"""A place at a decode endpoint, made ready for a stream: room, connection, hold and prompt."""
+"""Prepares a decode endpoint for a stream.
+
+The preparation reserves capacity in this instance, connects to the endpoint, reserves capacity
+at the endpoint itself and has the prompt computed.
+"""
 
 import trio
 
@@ -6,185 +10,197 @@
 from cleatlink.core.errors import EndpointUnreachableError
 from cleatlink.core.routes import RoutedEndpoint
 from cleatlink.relay.calls.call import Call
-from cleatlink.relay.calls.hold import HoldOutcome, StreamHold
+from cleatlink.relay.calls.hold import EndpointReservation, ReservationOutcome
 from cleatlink.relay.calls.parts import RelayParts
 from cleatlink.relay.calls.prefill import Prefill
-from cleatlink.relay.calls.room import DecodeRoom, Room
+from cleatlink.relay.calls.room import DecodePlacement, DecodeRoom
 from cleatlink.relay.endpoints.connection import EndpointConnection
 from cleatlink.relay.endpoints.pool import FRESH_LIMIT_S
 from cleatlink.routing.relay_place import estimate_output, longest_stream_s
 
-__all__ = ["RETRY_AFTER_S", "DecodePlace"]
+__all__ = ["RETRY_AFTER_S", "DecodeTarget"]
 
-# Time in which a decode that was full ends a stream.
+# Retry delay, in seconds: a full decode endpoint usually completes a stream within this time.
 RETRY_AFTER_S = 0.6
-# What instances book is told to all within a few ms.
-_SETTLE_S = 0.015
-# So many streams of peers at the same moment are too many; fewer only come a little early.
-_MANY = 3
-# A prompt's result waits for about so long; a stream that is due later seeks room anew.
-_MOST_TURN_S = 0.5
+# Time within which all instances know the send times that one has reserved, in seconds; messages
+# take a few ms.
+_PROPAGATION_S = 0.015
+# Number of simultaneous streams of peers from which an endpoint's limit would be exceeded; with
+# fewer, the stream is only slightly early.
+_MANY_CONCURRENT = 3
+# Maximum wait for a rate limit, in seconds: a computed prompt is kept for about this time. A
+# stream that would have to wait longer is placed again.
+_MAX_LIMIT_WAIT_S = 0.5
 
 
-class DecodePlace:
-    """All that a stream needs to be sent to one decode endpoint."""
+class DecodeTarget:
+    """The resources that a stream needs before it can be sent to one decode endpoint."""
 
     def __init__(
-        self, call: Call, rooms: DecodeRoom, parts: RelayParts, *, prompt_was_computed: bool = False
+        self,
+        call: Call,
+        admission: DecodeRoom,
+        parts: RelayParts,
+        *,
+        prompt_was_computed: bool = False,
     ) -> None:
-        """Begin without anything.
+        """Create a target that has no resources yet.
 
         Args:
             call: The call.
-            rooms: Gives room.
-            parts: What all calls share.
-            prompt_was_computed: Whether the prompt was computed for another place before.
+            admission: Reserves capacity at decode endpoints.
+            parts: Components that all calls share.
+            prompt_was_computed: Whether the prompt was computed for another target before.
         """
         self.prefill = Prefill(call, parts, was_computed=prompt_was_computed)
-        self.hold = StreamHold(call, parts)
+        self.reservation = EndpointReservation(call, parts)
         self._call = call
-        self._rooms = rooms
+        self._admission = admission
         self._parts = parts
-        self._room: Room | None = None
+        self._placement: DecodePlacement | None = None
         self._connection: EndpointConnection | None = None
-        self._is_cleared = False
+        self._is_authorized = False
         self._is_sent = False
 
     @property
-    def room(self) -> Room:
-        """The room; there is one once the place is ready."""
-        assert self._room is not None, "room comes first"
-        return self._room
+    def placement(self) -> DecodePlacement:
+        """The reserved capacity; present once the target is prepared."""
+        assert self._placement is not None, "no capacity is reserved yet"
+        return self._placement
 
     @property
     def endpoint(self) -> RoutedEndpoint:
         """The decode endpoint."""
-        return self.room.endpoint
+        return self.placement.endpoint
 
     async def prepare(self) -> Refusal | None:
-        """Make the place ready, at whichever endpoint can be had; None once it is."""
+        """Prepare the first endpoint that is available; return a refusal if there is none."""
         while True:
-            found = await self._rooms.find(self._call, prompt_ready=self.prefill.lives())
-            if isinstance(found, Refusal):
-                return found
-            self._room, self._is_sent = found, False
-            if not await self.reach() or not await self._take_hold():
+            placement = await self._admission.acquire(self._call, prompt_ready=self.prefill.lives())
+            if isinstance(placement, Refusal):
+                return placement
+            self._placement, self._is_sent = placement, False
+            if not await self.connect() or not await self._reserve_at_endpoint():
                 continue
-            if found.direct:
+            if placement.computes_prompt:
                 return None
             now = trio.current_time()
-            if found.prompt_at > now:
-                self._call.log_turn(found.endpoint, found.prompt_at - now)
-                await trio.sleep_until(found.prompt_at)
-            return await self.prefill.run(found.endpoint.data_centre)
+            if placement.prompt_start_at > now:
+                self._call.log_turn(placement.endpoint, placement.prompt_start_at - now)
+                await trio.sleep_until(placement.prompt_start_at)
+            return await self.prefill.run(placement.endpoint.data_centre)
 
-    def clear_to_send(self) -> Refusal | None:
-        """Spend what sending the call there takes; gives why it may not be sent."""
+    def authorize_send(self) -> Refusal | None:
+        """Take what one send needs from the retry budget; return a refusal if it is not allowed."""
         call = self._call
-        barred = call.bar()
-        if barred is not None:
-            return barred
-        if self._is_cleared:
+        refusal = call.bar()
+        if refusal is not None:
+            return refusal
+        if self._is_authorized:
             return None
-        if not call.may_begin(self._rest_s()):
-            return call.refuse_for_stop(self._rest_s())
+        if not call.can_end_before_stop(self._remaining_s()):
+            return call.refuse_for_stop(self._remaining_s())
         if not call.may_send(self.endpoint):
             return call.failure("no attempt is left", RETRY_AFTER_S)
         if call.sends and not call.spend("decode"):
             return call.failure("the retry budget is empty", RETRY_AFTER_S)
-        self._is_cleared = True
+        self._is_authorized = True
         return None
 
     async def take_connection(self) -> EndpointConnection | None:
-        """Give the connection to send on; None if the endpoint is out of reach by now."""
-        kept = self._connection is not None and self._connection.usable
-        if not kept and not await self.reach():
+        """Return the connection to send on; None if the endpoint has become unreachable."""
+        is_usable = self._connection is not None and self._connection.usable
+        if not is_usable and not await self.connect():
             return None
         connection, self._connection = self._connection, None
-        self._is_cleared = False
+        self._is_authorized = False
         self._is_sent = True
         return connection
 
-    async def reach(self) -> bool:
-        """Connect to the endpoint: a prompt computed for one out of reach is waste."""
-        self._leave_connection()
+    async def connect(self) -> bool:
+        """Connect to the endpoint first, so that no prompt is computed for an unreachable one."""
+        self._close_connection()
         try:
             self._connection = await self._parts.pool.take(self.endpoint, FRESH_LIMIT_S)
         except EndpointUnreachableError as error:
             self._call.note_failure(self.endpoint, error)
-            self.move_on()
+            self.leave_and_exclude()
             return False
         return True
 
-    async def _take_hold(self) -> bool:
-        """Have the endpoint hold room; tells whether the stream may go on there."""
+    async def _reserve_at_endpoint(self) -> bool:
+        """Reserve capacity at the endpoint itself; return whether the stream may be sent there."""
         assert self._connection is not None, "the endpoint was reached"
-        outcome = await self.hold.take(self.endpoint, self._connection, self.room.output)
-        if outcome is HoldOutcome.FULL:
-            # Nothing is lost yet, and there may be room again soon.
+        outcome = await self.reservation.request(
+            self.endpoint, self._connection, self.placement.output_tokens
+        )
+        if outcome is ReservationOutcome.FULL:
+            # The connection stays in the pool, since the endpoint may have capacity again soon.
             self._parts.pool.keep(self.endpoint, self._connection)
             self._connection = None
-            self._note_shed()
-        elif outcome is HoldOutcome.HELD:
+            self._handle_rejection()
+        elif outcome is ReservationOutcome.RESERVED:
             self._parts.capacity.note_held(self.endpoint.name)
-        elif outcome is HoldOutcome.FAILED:
-            self.move_on()
-        return outcome in (HoldOutcome.HELD, HoldOutcome.NOT_OFFERED)
-
-    def _note_shed(self) -> None:
-        """Give the room back at an endpoint that has none, and go by that in what follows."""
-        capacity, room = self._parts.capacity, self.room
-        tokens = capacity.own[room.key].tokens if room.key in capacity.own else 0
-        self._give_room_back()
-        if tokens and capacity.note_shed(room.endpoint.name, tokens, trio.current_time()):
-            self._parts.on_shed(room.endpoint.name, tokens)
-
-    async def wait_for_turn(self) -> bool:
-        """Wait until the endpoint's limit allows the stream; tells whether it may go there.
-
-        Instances that book at the same moment, as when room opens for all of them, do not know of
-        each other's streams yet. Where many did, each stays with such a chance that one does.
+        elif outcome is ReservationOutcome.FAILED:
+            self.leave_and_exclude()
+        return outcome in (ReservationOutcome.RESERVED, ReservationOutcome.NOT_OFFERED)
+
+    def _handle_rejection(self) -> None:
+        """Release the reservation at a full endpoint, and lower its assumed capacity."""
+        capacity, placement = self._parts.capacity, self.placement
+        tokens = capacity.own[placement.key].tokens if placement.key in capacity.own else 0
+        self._release_placement()
+        if tokens and capacity.note_shed(placement.endpoint.name, tokens, trio.current_time()):
+            self._parts.on_rejection(placement.endpoint.name, tokens)
+
+    async def wait_for_rate_limit(self) -> bool:
+        """Wait until the endpoint's rate limit allows the stream; return whether it may be sent.
+
+        Instances that reserve a send time at the same moment, as when an endpoint gets free
+        capacity, do not know of each other's streams yet. Where many have done so, each stream
+        is sent with a probability of one in their number, so that one is sent on average.
         """
         name, limits = self.endpoint.name, self._parts.capacity.limits
         if limits.rate_per_s(name) is None:
             return True
         now = trio.current_time()
-        turn = self.room.turn
-        due_at = max(turn.due_at, turn.booked_at + _SETTLE_S)
+        permit = self.placement.permit
+        due_at = max(permit.due_at, permit.reserved_at + _PROPAGATION_S)
         if self._is_sent:
-            due_at = limits.book(self.room.key, name, now)
-        if due_at - now > _MOST_TURN_S:
+            due_at = limits.book(self.placement.key, name, now)
+        if due_at - now > _MAX_LIMIT_WAIT_S:
             return False
         if due_at > now:
             self._call.log_turn(self.endpoint, due_at - now)
             await trio.sleep_until(due_at)
-        if self._is_sent or turn.due_at > turn.booked_at + _SETTLE_S:
+        if self._is_sent or permit.due_at > permit.reserved_at + _PROPAGATION_S:
             return True
-        others = limits.taken_by_peers(name) - turn.taken_by_peers
-        return others < _MANY or self._parts.rng.random() * (1 + others) < 1
+        concurrent = limits.taken_by_peers(name) - permit.taken_by_peers
+        return concurrent < _MANY_CONCURRENT or self._parts.rng.random() * (1 + concurrent) < 1
 
-    def move_on(self) -> None:
-        """Leave the endpoint, with a handle that still lives."""
+    def leave_and_exclude(self) -> None:
+        """Release the endpoint and exclude it from further sends; keep a valid prefill handle."""
         self._call.excluded.add(self.endpoint.name)
-        self.leave()
+        self.release()
 
-    def leave(self) -> None:
-        """Give the room back, with a handle that still lives."""
-        self._give_room_back()
+    def release(self) -> None:
+        """Release the reserved capacity; keep a valid prefill handle."""
+        self._release_placement()
         if not self.prefill.lives():
             self.prefill.drop("expired")
 
     def close(self, handle_fate: str = "unused") -> None:
-        """Give everything back."""
+        """Release all resources."""
         self.prefill.drop(handle_fate)
-        self.hold.drop()
-        self._leave_connection()
-        self._give_room_back()
+        self.reservation.cancel()
+        self._close_connection()
+        self._release_placement()
 
-    def _rest_s(self) -> float:
-        """Give how long the stream should take from here on.
+    def _remaining_s(self) -> float:
+        """Return the time that the stream still needs, in seconds.
 
-        One whose prompt is computed is given up only if it is not even expected to end in time.
+        This is the maximum before the prompt is computed, and the expected time after that: a
+        stream whose prompt is computed is refused only if it is not expected to end in time.
         """
         pace = self._parts.capacity.pace(self._call.service.name)
         if self.prefill.source is None:
@@ -192,13 +208,13 @@
         speed = self._parts.capacity.speed(self.endpoint.name, trio.current_time())
         return pace.stream_s(estimate_output(self._call.inbound, pace)) / speed
 
-    def _leave_connection(self) -> None:
+    def _close_connection(self) -> None:
         connection, self._connection = self._connection, None
         if connection is not None:
             connection.close()
 
-    def _give_room_back(self) -> None:
-        room, self._room = self._room, None
-        self._is_cleared = False
-        if room is not None:
-            self._rooms.release(room.key)
+    def _release_placement(self) -> None:
+        placement, self._placement = self._placement, None
+        self._is_authorized = False
+        if placement is not None:
+            self._admission.release(placement.key)
--- a/cleatlink/relay/calls/events.py
+++ b/cleatlink/relay/calls/events.py
@@ -1,51 +1,51 @@
-"""Cuts a stream into whole events and keeps its order over several endpoints."""
+"""Splits a stream into events, and keeps them in order when another endpoint continues it."""
 
 from typing import NamedTuple
 
 __all__ = ["EventCutter", "StreamEvent"]
 
-_END = b"\n\n"
-# Far above the longest event; more is no event stream.
-_MOST_EVENT_BYTES = 1_048_576
+_EVENT_END = b"\n\n"
+# Maximum size of an event; real events are far smaller.
+_MAX_EVENT_BYTES = 1_048_576
 
 
 class StreamEvent(NamedTuple):
-    """One event as it came, with its id if it has one."""
+    """One event as received, with its number if its id is one."""
 
     data: bytes
     number: int | None
 
 
 class EventCutter:
-    """Gives whole events, each number once and in rising order."""
+    """Parses complete events, and returns each event number once and in ascending order."""
 
     def __init__(self, last: int | None) -> None:
         self._buffer = b""
         self.last = last
 
     @property
-    def partial(self) -> bool:
-        """Whether the stream stands within an event."""
+    def has_partial_event(self) -> bool:
+        """Whether the received data ends within an event."""
         return bool(self._buffer)
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Take bytes; give the whole events that are new.
+        """Add received data and return the complete events that are new.
 
         Raises:
-            ValueError: An event is too long to be one, or a number is missing.
+            ValueError: An event is too long, or an event number was skipped.
         """
-        *blocks, self._buffer = (self._buffer + data).split(_END)
-        if len(self._buffer) > _MOST_EVENT_BYTES:
-            raise ValueError("an event is too long")
+        *blocks, self._buffer = (self._buffer + data).split(_EVENT_END)
+        if len(self._buffer) > _MAX_EVENT_BYTES:
+            raise ValueError("an event exceeds the maximum length")
         events = []
         for block in blocks:
-            event = StreamEvent(block + _END, _number(block))
+            event = StreamEvent(block + _EVENT_END, _read_number(block))
             if self._is_new(event):
                 events.append(event)
         return events
 
     def restart(self) -> None:
-        """Drop what another endpoint left unfinished."""
+        """Drop an incomplete event, before another endpoint continues the stream."""
         self._buffer = b""
 
     def _is_new(self, event: StreamEvent) -> bool:
@@ -55,12 +55,12 @@
             if event.number <= self.last:
                 return False
             if event.number > self.last + 1:
-                raise ValueError(f"event {event.number} follows {self.last}")
+                raise ValueError(f"event {event.number} follows event {self.last}")
         self.last = event.number
         return True
 
 
-def _number(block: bytes) -> int | None:
+def _read_number(block: bytes) -> int | None:
     for line in block.split(b"\n"):
         if line.startswith(b"id:"):
             text = line[3:].strip()
--- a/cleatlink/relay/calls/hold.py
+++ b/cleatlink/relay/calls/hold.py
@@ -1,8 +1,8 @@
-"""Holds room for a stream at the decode endpoint that it will go to.
+"""Reserves a slot and memory for a stream at its decode endpoint, before the prompt is computed.
 
-What instances tell each other of their work can be late, lost or cut off. The
-endpoint itself knows: it sets a slot and memory aside before the prompt is
-computed, or says that it has none while nothing is lost yet.
+What instances report to each other about their load can be late or lost. The endpoint itself
+knows its load: it reserves a slot and memory, called a hold in its interface, or rejects the
+stream before a prompt has been computed in vain.
 """
 
 from enum import StrEnum
@@ -20,83 +20,85 @@
 from cleatlink.relay.endpoints.protocol import OTHER_ENDPOINT, TURNED_AWAY, OutgoingRequest
 from cleatlink.routing.mechanisms import Mechanism
 
-__all__ = ["HoldOutcome", "StreamHold"]
-
-# Far above the few bytes of an answer.
-_MOST_REPLY_BYTES = 65_536
-# An engine that takes longer for this has no room in time either; a third of usual targets.
-_ANSWER_S = 0.3
-# A hold that is about to lapse is not counted on.
-_SAFE_SHARE = 0.9
-# A stream that has begun needs its prompt and the part of its answer that comes soon.
+__all__ = ["EndpointReservation", "ReservationOutcome"]
+
+# Maximum size of a response; usual ones have a few bytes.
+_MAX_REPLY_BYTES = 65_536
+# Timeout of a reservation request, in seconds; a third of usual latency targets. An engine that
+# takes longer would not serve the stream in time either.
+_TIMEOUT_S = 0.3
+# Share of its lifetime for which a reservation is used, so that it does not expire on the way.
+_USABLE_SHARE = 0.9
+# Share of the estimated answer that is reserved with the prompt: the memory that a stream needs
+# soon after its start.
 _OUTPUT_SHARE = 0.5
 
 
-class HoldOutcome(StrEnum):
-    """What a call for a hold came to."""
+class ReservationOutcome(StrEnum):
+    """Result of a reservation request."""
 
-    HELD = "held"
+    RESERVED = "held"
     NOT_OFFERED = "not offered"
     FULL = "full"
     FAILED = "failed"
 
 
-class StreamHold:
-    """The room that is held for one stream."""
+class EndpointReservation:
+    """The reservation of one stream at an endpoint."""
 
     def __init__(self, call: Call, parts: RelayParts) -> None:
         self._call = call
         self._parts = parts
         self._endpoint: RoutedEndpoint | None = None
         self._name = ""
-        self._until = 0.0
+        self._valid_until = 0.0
 
     def use(self, endpoint: RoutedEndpoint) -> str:
-        """Give the name of the hold at an endpoint, once; empty if there is none."""
+        """Return the name of the reservation and forget it; empty if there is no valid one."""
         if self._endpoint is None or self._endpoint.name != endpoint.name:
             return ""
         name, self._endpoint = self._name, None
-        return name if trio.current_time() < self._until else ""
+        return name if trio.current_time() < self._valid_until else ""
 
-    def drop(self) -> None:
-        """Give back what was held and not used."""
+    def cancel(self) -> None:
+        """Cancel the reservation if it was not used."""
         endpoint, self._endpoint = self._endpoint, None
         if endpoint is None or self._parts.capacity.is_over(endpoint):
             return
-        if trio.current_time() < self._until:
-            self._parts.spawn(self._free, endpoint, self._name)
+        if trio.current_time() < self._valid_until:
+            self._parts.spawn(self._cancel, endpoint, self._name)
 
-    async def take(
-        self, endpoint: RoutedEndpoint, connection: EndpointConnection, output: int
-    ) -> HoldOutcome:
-        """Hold room for a stream at an endpoint, on the connection that it will use.
+    async def request(
+        self, endpoint: RoutedEndpoint, connection: EndpointConnection, output_tokens: int
+    ) -> ReservationOutcome:
+        """Reserve a slot and memory for a stream, on the connection that the stream will use.
 
         Args:
             endpoint: The endpoint.
             connection: A connection to it.
-            output: Tokens of the answer, as estimated.
+            output_tokens: Estimated length of the answer, in tokens.
         """
         traits = self._call.service.engine
-        uses_holds = self._parts.capacity.switches.uses(Mechanism.HOLDS)
-        if traits is None or not traits.hold_s or not uses_holds:
-            return HoldOutcome.NOT_OFFERED
+        is_enabled = self._parts.capacity.switches.uses(Mechanism.HOLDS)
+        if traits is None or not traits.hold_s or not is_enabled:
+            return ReservationOutcome.NOT_OFFERED
         if self._parts.capacity.limits.rate_per_s(endpoint.name) is not None:
-            # A call that holds room would count against the endpoint's limit like the stream.
-            return HoldOutcome.NOT_OFFERED
-        self.drop()
-        tokens = self._call.inbound.prompt_tokens + int(_OUTPUT_SHARE * output)
+            # A reservation request would count against the endpoint's rate limit like the stream.
+            return ReservationOutcome.NOT_OFFERED
+        self.cancel()
+        tokens = self._call.inbound.prompt_tokens + int(_OUTPUT_SHARE * output_tokens)
         request = self._parts.protocol.take_hold(endpoint, tokens, traits.hold_s)
         began_at = trio.current_time()
         try:
-            with trio.fail_after(_ANSWER_S):
+            with trio.fail_after(_TIMEOUT_S):
                 head = await connection.exchange(request)
-                body = await connection.read_body(_MOST_REPLY_BYTES)
+                body = await connection.read_body(_MAX_REPLY_BYTES)
         except (EndpointError, trio.TooSlowError) as error:
             self._call.note_failure(endpoint, error, in_progress=False)
-            return HoldOutcome.FAILED
+            return ReservationOutcome.FAILED
         connection.finish(trio.current_time())
-        outcome = self._judge(endpoint, Reply(head, body))
-        self._until = began_at + _SAFE_SHARE * traits.hold_s
+        outcome = self._read_outcome(endpoint, Reply(head, body))
+        self._valid_until = began_at + _USABLE_SHARE * traits.hold_s
         self._call.log(
             "asks for room",
             endpoint=endpoint.name,
@@ -106,37 +108,37 @@
         )
         return outcome
 
-    def _judge(self, endpoint: RoutedEndpoint, reply: Reply) -> HoldOutcome:
+    def _read_outcome(self, endpoint: RoutedEndpoint, reply: Reply) -> ReservationOutcome:
         status = reply.head.status
         capacity = self._parts.capacity
         if status == OTHER_ENDPOINT:
             capacity.note_misdirected(endpoint.name)
-            return HoldOutcome.FAILED
+            return ReservationOutcome.FAILED
         if status in TURNED_AWAY:
             capacity.note_full(endpoint.name, trio.current_time())
-            return HoldOutcome.FULL
+            return ReservationOutcome.FULL
         if status != 200:
-            return HoldOutcome.NOT_OFFERED
+            return ReservationOutcome.NOT_OFFERED
         try:
             field = self._parts.protocol.paths.hold_fields.hold
             self._name = str(msgspec.json.decode(reply.body)[field])
         except (msgspec.MsgspecError, KeyError, TypeError):
-            return HoldOutcome.NOT_OFFERED
+            return ReservationOutcome.NOT_OFFERED
         self._endpoint = endpoint
         capacity.note_room(endpoint.name)
-        return HoldOutcome.HELD
+        return ReservationOutcome.RESERVED
 
-    async def _free(self, endpoint: RoutedEndpoint, name: str) -> None:
-        """Have an endpoint give back what it holds; if that fails, the hold lapses."""
+    async def _cancel(self, endpoint: RoutedEndpoint, name: str) -> None:
+        """Cancel a reservation at an endpoint; if the request fails, the reservation expires."""
         parts = self._parts
         path = parts.protocol.paths.drop_hold.format(name)
 
-        def make() -> OutgoingRequest:
+        def make_request() -> OutgoingRequest:
             return parts.protocol.own_call(b"DELETE", path, endpoint)
 
         try:
             async with own_turn(parts.capacity, endpoint, f"free/{name}"):
-                with trio.fail_after(_ANSWER_S):
-                    await parts.pool.call(endpoint, IDLE_LIMIT_S, make, _MOST_REPLY_BYTES)
+                with trio.fail_after(_TIMEOUT_S):
+                    await parts.pool.call(endpoint, IDLE_LIMIT_S, make_request, _MAX_REPLY_BYTES)
         except (EndpointError, trio.TooSlowError):
             return
--- a/cleatlink/relay/calls/hold_test.py
+++ b/cleatlink/relay/calls/hold_test.py
@@ -1,4 +1,4 @@
-"""Room that a decode endpoint holds for a stream before its prompt is computed."""
+"""Tests of reservations at a decode endpoint before the prompt of a stream is computed."""
 
 import pytest
 import trio
@@ -13,24 +13,24 @@
 HOLDS = {"hold_ms": 2000}
 
 
-async def begin(fleet: Fleet, *workers: Worker) -> None:
+async def start_with_holds(fleet: Fleet, *workers: Worker) -> None:
     await start(fleet, *workers)
     version = fleet.configure(HOLDS)
     records = fleet.instances[0].records
     await fleet.until(lambda: records.table_revision == version)
 
 
-async def ask(fleet: Fleet, path: str = "/stream/x") -> int:
+async def request_status(fleet: Fleet, path: str = "/stream/x") -> int:
     return (await fleet.caller().ask(path, "POST", body=b"p", headers=STREAM)).status
 
 
-async def test_room_is_held_and_used() -> None:
+async def test_reservation_is_made_and_used() -> None:
     async with open_fleet() as fleet:
         prefill, first, second = engines()
-        await begin(fleet, prefill, first, second)
-        assert await ask(fleet) == 200
+        await start_with_holds(fleet, prefill, first, second)
+        assert await request_status(fleet) == 200
         chosen = first if first.runs else second
-        # The prompt, and half of the answer at most.
+        # Tokens of the prompt, and half of those estimated for the answer.
         assert chosen.held == [125]
         assert "hold" in chosen.runs[0].call.headers
         assert not chosen.holds
@@ -38,39 +38,39 @@
         assert not prefill.held
 
 
-async def test_prompt_is_not_computed_for_a_decode_that_has_no_room() -> None:
+async def test_prompt_is_not_computed_for_a_full_decode_endpoint() -> None:
     async with open_fleet() as fleet:
         prefill, full, free = engines()
         full.room = 0
-        # What others placed there is not known here.
+        # The instance does not know of the load from elsewhere that fills this endpoint.
         full.faults = [Fault.FULL] * 9
-        await begin(fleet, prefill, full, free)
+        await start_with_holds(fleet, prefill, full, free)
         for _ in range(6):
-            assert await ask(fleet) == 200
+            assert await request_status(fleet) == 200
         assert len(free.runs) == 6
         assert full.arrivals == []
         assert len(prefill.arrivals) == 6
 
 
-async def test_stream_that_no_decode_has_room_for_is_refused_before_its_prompt() -> None:
+async def test_stream_is_refused_before_its_prompt_if_all_decode_endpoints_are_full() -> None:
     async with open_fleet() as fleet:
         prefill, first, second = engines()
         first.room = second.room = 0
-        await begin(fleet, prefill, first, second)
+        await start_with_holds(fleet, prefill, first, second)
         began_at = trio.current_time()
         reply = await fleet.caller().ask("/stream/x", "POST", body=b"p", headers=STREAM)
         assert (reply.status, "retry-after" in reply.headers) == (503, True)
-        # After few vain calls: an endpoint without room is left alone for longer each time.
+        # Few requests in vain: the back-off of a full endpoint grows with each rejection.
         assert trio.current_time() - began_at < 1.5
         assert prefill.arrivals == []
         assert 2 <= first.refused_holds + second.refused_holds <= 8
 
 
-async def test_room_is_given_back_when_the_caller_leaves() -> None:
+async def test_reservation_is_cancelled_when_the_caller_disconnects() -> None:
     async with open_fleet() as fleet:
         prefill, first, second = engines()
         prefill.work_s = 0.5
-        await begin(fleet, prefill, first, second)
+        await start_with_holds(fleet, prefill, first, second)
         caller = fleet.caller()
         await caller.send("/stream/x", "POST", body=b"p", headers=STREAM)
         await fleet.until(lambda: bool(first.holds or second.holds))
@@ -78,30 +78,30 @@
         await fleet.until(lambda: not first.holds and not second.holds, 0.4)
 
 
-async def test_engine_that_holds_no_room_serves_all_the_same() -> None:
+async def test_engine_without_reservations_serves_streams() -> None:
     async with open_fleet() as fleet:
         prefill, first, second = engines()
         first.offers_holds = second.offers_holds = False
-        await begin(fleet, prefill, first, second)
-        assert await ask(fleet) == 200
+        await start_with_holds(fleet, prefill, first, second)
+        assert await request_status(fleet) == 200
         assert all("hold" not in run.call.headers for run in first.runs + second.runs)
 
 
-async def test_address_that_changed_hands_is_seen_before_the_prompt_is_computed() -> None:
+async def test_reused_address_is_detected_before_the_prompt_is_computed() -> None:
     async with open_fleet() as fleet:
         prefill, gone, other = engines()
-        await begin(fleet, prefill, gone, other)
+        await start_with_holds(fleet, prefill, gone, other)
         gone.name = "i-successor"
         for _ in range(4):
-            assert await ask(fleet) == 200
+            assert await request_status(fleet) == 200
         assert len(prefill.arrivals) == 4
         assert gone.runs == []
 
 
-async def test_without_holds_no_room_is_asked_for() -> None:
+async def test_no_reservation_is_requested_with_the_mechanism_off() -> None:
     async with open_fleet() as fleet:
         prefill, first, second = engines()
-        await begin(fleet, prefill, first, second)
+        await start_with_holds(fleet, prefill, first, second)
         fleet.start_instance("a", Mechanism.HOLDS)
         await fleet.ready()
         reply = await fleet.caller(1).ask("/stream/x", "POST", body=b"p", headers=STREAM)
--- a/cleatlink/relay/calls/parts.py
+++ b/cleatlink/relay/calls/parts.py
@@ -1,4 +1,4 @@
-"""What all calls of an instance share."""
+"""Components of an instance that all its calls share."""
 
 import random
 from collections.abc import Callable
@@ -20,27 +20,28 @@
 
 
 class RelayParts(NamedTuple):
-    """What all calls of an instance share.
+    """Components of an instance that all its calls share.
 
     Attributes:
-        data_centre: Where this instance runs.
-        protocol: Names on the wire.
+        data_centre: Data centre in which this instance runs.
+        protocol: Header names, paths and message formats on the wire.
         pool: Connections to endpoints.
-        capacity: What is believed of endpoints.
+        capacity: Known state of the endpoints.
         stop: The planned stop of this instance.
-        gate: Whose requests are served, and how many.
-        tables: Which route table is in force, and whether a newer one is known to exist.
+        gate: Checks API keys and the limits of organisations.
+        tables: The revision of the route table in force, and that of the newest one known.
         metrics: Counters and histograms.
-        rng: The seeded generator.
-        budget: Gives the retry budget of a service.
-        members: Gives how many instances may share a budget.
-        on_work: To be called when own reservations changed, with their keys.
-        on_spending: To be called when little is left of an organisation's limit.
-        on_hint: To be called with an endpoint that was slow or out of reach.
-        on_shed: To be called with a decode that had no room for a stream of so many tokens.
-        crashes: Finds out whether an endpoint that broke a request off has crashed.
-        quarantine: Which requests crash endpoints.
-        spawn: Runs what must go on although its caller has gone.
+        rng: The seeded random generator.
+        budget: Returns the retry budget of a service.
+        members: Returns the number of instances that may share a retry budget.
+        on_work: Called with the keys of this instance's reservations that changed.
+        on_spending: Called when little is left of an organisation's limit.
+        on_endpoint_problem: Called with an endpoint that was slow or unreachable.
+        on_rejection: Called with a decode endpoint that rejected a stream, and the tokens that the
+            stream needed.
+        crashes: Finds out whether an endpoint that interrupted a request has crashed.
+        quarantine: Requests that are suspected of crashing endpoints.
+        spawn: Starts a task that outlives the call that starts it.
     """
 
     data_centre: str
@@ -56,8 +57,8 @@
     members: Callable[[], int]
     on_work: Callable[..., None]
     on_spending: Callable[[], None]
-    on_hint: Callable[[str, HintKind], None]
-    on_shed: Callable[[str, int], None]
+    on_endpoint_problem: Callable[[str, HintKind], None]
+    on_rejection: Callable[[str, int], None]
     crashes: CrashWatch
     quarantine: SharedQuarantine
     spawn: Callable[..., None]
--- a/cleatlink/relay/calls/room.py
+++ b/cleatlink/relay/calls/room.py
@@ -1,4 +1,8 @@
-"""Finds room for streams, and lets them wait for it in the order of their priority."""
+"""Admits streams to decode endpoints, and queues those for which no endpoint has capacity.
+
+A stream needs a free slot and memory at a decode endpoint. The wait queue is ordered by
+arrival and urgency; a stream that is not expected to get capacity in time is refused at once.
+"""
 
 import math
 from collections.abc import Mapping
@@ -37,230 +41,256 @@
 )
 from cleatlink.routing.spill_over import prompt_waits
 
-__all__ = ["DecodeRoom", "Room", "Turn"]
+__all__ = ["DecodePlacement", "DecodeRoom", "SendPermit"]
 
-# Streams of an endpoint that decodes need some time between two prompts that it computes,
-# to make up for the pause.
+# Minimum time between two prompts that a decode endpoint computes itself, in seconds, so that its
+# other streams recover from the pause that a prompt causes.
 _PROMPT_GAP_S = 0.08
-_PROMPT = "/p"
-# A call that waits is judged anew so often: what was foreseen may not come.
-_LOOK_AGAIN_S = 0.25
-# Work of all instances changes tens of times a second, and each try looks at every decode: those
-# who wait try no more often than this.
-_OFFER_PAUSE_S = 0.02
-# Sooner, a caller meets what it has just left.
-_MIN_RETRY_S = 0.4
-# Where nothing can be foreseen, an endpoint that fell silent may be back by then.
-_NO_FORECAST_S = 1.0
-# Above every priority of a route: a prompt that is computed is for nothing if it lapses.
-_READY_URGENCY = 50
-_BEGUN_URGENCY = 100
-
-
-class Turn(NamedTuple):
-    """A stream's turn at an endpoint that names a limit.
+_PROMPT_KEY_SUFFIX = "/p"
+# Interval at which the forecast of a waiting call is checked again, in seconds: the forecast may
+# prove wrong.
+_RECHECK_INTERVAL_S = 0.25
+# Minimum interval between attempts to place waiting streams, in seconds. Reservations change tens
+# of times a second over all instances, and each attempt examines every decode endpoint.
+_MIN_PLACEMENT_INTERVAL_S = 0.02
+# Minimum retry delay, in seconds: before that, the state that led to the refusal has not changed.
+_MIN_RETRY_DELAY_S = 0.4
+# Assumed wait without a forecast, in seconds: a silent endpoint may have returned to service by
+# then.
+_UNKNOWN_WAIT_S = 1.0
+# Both are higher than every urgency that a priority gives: a computed prompt is wasted if it
+# expires.
+_PROMPT_COMPUTED_URGENCY = 50
+_BEGUN_STREAM_URGENCY = 100
+
+
+class SendPermit(NamedTuple):
+    """A reserved send time at an endpoint that announces a rate limit.
 
     Attributes:
-        booked_at: When it was booked.
-        due_at: When it is due.
-        taken_by_peers: Units of the limit that peers had taken by then.
+        reserved_at: Time of the reservation.
+        due_at: Time from which the limit allows the stream.
+        taken_by_peers: Units of the limit that peers had used at the time of the reservation.
     """
 
-    booked_at: float
+    reserved_at: float
     due_at: float
     taken_by_peers: int
 
 
-class Room(NamedTuple):
-    """A decode endpoint with room reserved under a key.
+class DecodePlacement(NamedTuple):
+    """Capacity at a decode endpoint that is reserved for a stream under a key.
 
     Attributes:
         endpoint: The endpoint.
-        key: The reservation's key.
-        expected_s: How long the stream should take.
-        output: Tokens of its answer, as estimated.
-        direct: Whether the endpoint computes the prompt itself.
-        turn: When the endpoint's limit allows the stream.
-        prompt_at: When its prompt should be computed, so that it is ready then.
+        key: Key of the reservation.
+        expected_duration_s: Expected duration of the stream, in seconds.
+        output_tokens: Estimated length of the answer, in tokens.
+        computes_prompt: Whether the endpoint computes the prompt itself.
+        permit: Reserved send time under the endpoint's rate limit.
+        prompt_start_at: Time at which the prefill should start, so that it ends when the rate limit
+            allows the stream.
     """
 
     endpoint: RoutedEndpoint
     key: str
-    expected_s: float
-    output: int
-    direct: bool
-    turn: Turn
-    prompt_at: float
+    expected_duration_s: float
+    output_tokens: int
+    computes_prompt: bool
+    permit: SendPermit
+    prompt_start_at: float
 
 
-class _Standing(NamedTuple):
-    """Where a call stands among those that wait for room.
+class _QueuePosition(NamedTuple):
+    """Position of a call in the order in which streams get capacity.
 
     Attributes:
-        urgency: Its priority; larger goes first.
-        since: When it came first.
-        prompt_ready: Whether its prompt is computed already.
-        first_ago_s: Seconds before it came for which its caller has waited already.
-        may_wait: Whether it waits at all.
-        left: Bounds for how long it leaves room to others; None if it never does.
+        urgency: Larger goes first.
+        arrived_at: Arrival time of the call, or of the refused call that it retries.
+        prompt_ready: Whether the prompt is computed already.
+        refused_ago_s: Seconds between that refusal and this call; 0 for a first attempt.
+        may_wait: Whether the call may wait for capacity.
+        yield_limit: Limits how long the call leaves capacity to streams queued ahead of it at other
+            instances; None if it never does.
     """
 
     urgency: int
-    since: float
+    arrived_at: float
     prompt_ready: bool
-    first_ago_s: float = 0.0
+    refused_ago_s: float = 0.0
     may_wait: bool = True
-    left: LeftRoom | None = None
+    yield_limit: LeftRoom | None = None
 
 
-class _Fit(NamedTuple):
-    """An endpoint that has room for a stream, and what the stream takes of it."""
+class _Candidate(NamedTuple):
+    """An endpoint with capacity for a stream, and the capacity that the stream needs."""
 
     endpoint: RoutedEndpoint
     size: StreamSize
 
 
 class DecodeRoom:
-    """Gives streams room at decode endpoints."""
+    """Places streams at decode endpoints, and queues them while there is no capacity."""
 
     def __init__(self, parts: RelayParts) -> None:
         self._parts = parts
-        self._waiting = WaitingRoom()
-        self._returns = Returns(parts.capacity)
-        self._offered_at = -math.inf
-        self._is_offering = False
-        self._shared = parts.capacity.waiting
-        self._shared.attach(lambda: self._waiting.groups(trio.current_time()))
+        self._wait_queue = WaitingRoom()
+        self._expected_retries = Returns(parts.capacity)
+        self._last_placement_at = -math.inf
+        self._is_placement_scheduled = False
+        self._shared_queues = parts.capacity.waiting
+        self._shared_queues.attach(lambda: self._wait_queue.groups(trio.current_time()))
 
     @property
     def waiting(self) -> int:
-        """Streams that wait now."""
-        return len(self._waiting)
+        """Number of streams in the wait queue."""
+        return len(self._wait_queue)
 
     def offer(self) -> None:
-        """Let those who wait try again: at once, or soon where they have tried just now."""
-        if not self._waiting or self._is_offering:
+        """Try to place the waiting streams, now or when the minimum interval is over."""
+        if not self._wait_queue or self._is_placement_scheduled:
             return
-        if trio.current_time() - self._offered_at >= _OFFER_PAUSE_S:
-            self._offer_now()
+        if trio.current_time() - self._last_placement_at >= _MIN_PLACEMENT_INTERVAL_S:
+            self._place_waiting_now()
             return
-        self._is_offering = True
-        self._parts.spawn(self._offer_later)
+        self._is_placement_scheduled = True
+        self._parts.spawn(self._place_waiting_later)
 
-    async def _offer_later(self) -> None:
-        await trio.sleep_until(self._offered_at + _OFFER_PAUSE_S)
-        self._is_offering = False
-        self._offer_now()
+    async def _place_waiting_later(self) -> None:
+        await trio.sleep_until(self._last_placement_at + _MIN_PLACEMENT_INTERVAL_S)
+        self._is_placement_scheduled = False
+        self._place_waiting_now()
 
-    def _offer_now(self) -> None:
-        self._offered_at = trio.current_time()
-        self._waiting.offer()
+    def _place_waiting_now(self) -> None:
+        self._last_placement_at = trio.current_time()
+        self._wait_queue.offer()
 
     def release(self, key: str) -> None:
-        """Give room back."""
+        """Release a reservation and try to place the waiting streams."""
         capacity = self._parts.capacity
-        released = [item for item in (key, key + _PROMPT) if item in capacity.own]
+        released = [item for item in (key, key + _PROMPT_KEY_SUFFIX) if item in capacity.own]
         for item in released:
             capacity.release(item)
         capacity.limits.give_up(key, trio.current_time())
         self._parts.on_work(*released)
         self.offer()
 
-    async def find(self, call: Call, *, prompt_ready: bool = False) -> Room | Refusal:
-        """Give room, after a wait if the call is foreseen to be served before its caller leaves.
+    async def acquire(self, call: Call, *, prompt_ready: bool = False) -> DecodePlacement | Refusal:
+        """Reserve capacity for a call, after a wait if it is expected before the caller leaves.
 
-        A call that can't be is refused as early as that is foreseen, also one that is
-        back. One that has begun goes first; one that will be late, counted from when its
-        caller asked first, goes behind those that can be in time and takes only room that
-        is left over. Among those the one that asked first goes first.
+        A call is refused as soon as the forecast says that it cannot be served before its caller
+        leaves; this applies to retries, too. A stream that has begun goes first. A stream that
+        will miss its target, counted from its caller's first attempt, goes behind those that can
+        still meet theirs, and uses only capacity that these leave free. Within each of these
+        groups, the earliest first attempt goes first.
 
         Args:
             call: The call.
-            prompt_ready: Whether its prompt is computed already.
+            prompt_ready: Whether the prompt is computed already.
         """
-        standing = self._stand(call, prompt_ready)
-        if self._shared.is_in_use:
-            self._waiting.head_start_s = HEAD_START_S
-        if not self._waiting.must_wait(call.service.name, standing.urgency, standing.since):
-            room = self._try(call, standing, is_retry=False)
-            if room is not None:
-                return room
-        while standing.may_wait:
-            barred = call.bar()
-            if barred is not None:
-                return barred
-            plan = self._plan_prompt(call, standing)
-            longest_s = self._longest_s(call, plan)
-            if not call.may_begin(longest_s):
-                return call.refuse_for_stop(longest_s)
-            soon_s = self._served_in_s(call, plan, standing)
-            if soon_s is None or soon_s > plan.stay_s or plan.stay_s <= 0:
+        position = self._queue_position(call, prompt_ready)
+        if self._shared_queues.is_in_use:
+            self._wait_queue.head_start_s = HEAD_START_S
+        if not self._wait_queue.must_wait(call.service.name, position.urgency, position.arrived_at):
+            placement = self._try_to_place(call, position, is_retry=False)
+            if placement is not None:
+                return placement
+        while position.may_wait:
+            refusal = call.bar()
+            if refusal is not None:
+                return refusal
+            plan = self._plan_prompt(call, position)
+            max_duration_s = self._max_duration_s(call, plan)
+            if not call.can_end_before_stop(max_duration_s):
+                return call.refuse_for_stop(max_duration_s)
+            expected_wait_s = self._estimate_prompt_start_s(call, plan, position)
+            if expected_wait_s is None or expected_wait_s > plan.stay_s or plan.stay_s <= 0:
                 break
-            room = await self._wait(call, standing, min(plan.stay_s, _LOOK_AGAIN_S), soon_s)
-            if room is not None:
-                return room
-        return self._refuse(call, standing)
+            placement = await self._wait_for_capacity(
+                call, position, min(plan.stay_s, _RECHECK_INTERVAL_S), expected_wait_s
+            )
+            if placement is not None:
+                return placement
+        return self._refuse(call, position)
 
-    def _stand(self, call: Call, prompt_ready: bool) -> _Standing:
-        """Give where a call stands among those that wait."""
+    def _queue_position(self, call: Call, prompt_ready: bool) -> _QueuePosition:
+        """Return the queue position of a call."""
         now = trio.current_time()
-        if call.begun:
-            # An answer that is under way is broken off at once when nothing can go on with
-            # it: its caller can come back with the last event that it has.
+        if call.has_begun_stream:
+            # If no endpoint can continue a stream that has begun, the relay ends it at once: the
+            # caller can resume it with the number of the last event that it received.
             may_wait = call.ran is Ran.NO
-            return _Standing(_BEGUN_URGENCY, now, prompt_ready, may_wait=may_wait)
-        urgency = call.shared_urgency if self._shared.is_in_use else -call.priority
+            return _QueuePosition(_BEGUN_STREAM_URGENCY, now, prompt_ready, may_wait=may_wait)
+        urgency = call.group_urgency if self._shared_queues.is_in_use else -call.priority
         if prompt_ready:
-            urgency = _READY_URGENCY - call.priority
-        urgency = self._shared.draw_urgency(call.service.name, urgency, self._parts.rng, now)
-        back = self._returns.take(call.inbound, now)
-        if back is None:
-            return _Standing(urgency, now, prompt_ready, left=LeftRoom())
-        ago_s = now - back.refused_at
-        call.log("is back", refused_ago_s=round(ago_s, 3))
-        left = LeftRoom()
-        return _Standing(urgency, back.refused_at, prompt_ready, ago_s, left=left)
-
-    def _plan_prompt(self, call: Call, standing: _Standing) -> PromptPlan:
-        seeker = call.seeker()
-        if not standing.prompt_ready:
-            return plan_prompt(call.inbound, call.route, call.service, self._parts.capacity, seeker)
+            urgency = _PROMPT_COMPUTED_URGENCY - call.priority
+        urgency = self._shared_queues.draw_urgency(call.service.name, urgency, self._parts.rng, now)
+        refused = self._expected_retries.take(call.inbound, now)
+        if refused is None:
+            return _QueuePosition(urgency, now, prompt_ready, yield_limit=LeftRoom())
+        refused_ago_s = now - refused.refused_at
+        call.log("is back", refused_ago_s=round(refused_ago_s, 3))
+        limit = LeftRoom()
+        return _QueuePosition(
+            urgency, refused.refused_at, prompt_ready, refused_ago_s, yield_limit=limit
+        )
+
+    def _plan_prompt(self, call: Call, position: _QueuePosition) -> PromptPlan:
+        context = call.seeker()
+        if not position.prompt_ready:
+            return plan_prompt(
+                call.inbound, call.route, call.service, self._parts.capacity, context
+            )
         start_s = self._parts.capacity.pace(call.service.name).start_s
-        first_s = call.age_s + start_s
-        stay_s = min(call.route.patience_s - first_s, call.left_s - start_s)
-        return PromptPlan(False, 0.0, 0.0, call.route.target_s - first_s, stay_s)
+        age_at_start_s = call.age_s + start_s
+        caller_slack_s = min(call.route.patience_s - age_at_start_s, call.left_s - start_s)
+        return PromptPlan(False, 0.0, 0.0, call.route.target_s - age_at_start_s, caller_slack_s)
 
-    def _longest_s(self, call: Call, plan: PromptPlan) -> float:
-        """Give how long a call may need from when it has room."""
+    def _max_duration_s(self, call: Call, plan: PromptPlan) -> float:
+        """Return the maximum time that a call needs once it has capacity, in seconds."""
         pace = self._parts.capacity.pace(call.service.name)
         return longest_stream_s(call.inbound, pace, plan.ready_s)
 
     @staticmethod
-    def _yields(plan: PromptPlan, standing: _Standing, soon_s: float = 0.0) -> bool:
-        """Tell whether a call lets those that can still be in time go first.
+    def _must_yield(
+        plan: PromptPlan, position: _QueuePosition, expected_wait_s: float = 0.0
+    ) -> bool:
+        """Check whether a call is late, and so goes behind those that can still meet their target.
 
-        One whose prompt is computed does not: the prompt would be for nothing if it lapsed.
-        Nor does one that has begun.
+        A call whose prompt is computed is never put behind others, because the prompt would be
+        wasted if it expired. The same holds for a stream that has begun.
 
         Args:
-            plan: Where its prompt is computed if it has room.
-            standing: Where it stands.
-            soon_s: In how many seconds it has room.
+            plan: How the prompt is computed if the call gets capacity.
+            position: Queue position of the call.
+            expected_wait_s: Seconds until the call is expected to get capacity.
         """
-        if standing.prompt_ready or standing.urgency >= _BEGUN_URGENCY:
+        if position.prompt_ready or position.urgency >= _BEGUN_STREAM_URGENCY:
             return False
-        return plan.spare_s < standing.first_ago_s + soon_s
-
-    def _served_in_s(self, call: Call, plan: PromptPlan, standing: _Standing) -> float | None:
-        """Foresee when a call finds room and may begin its prompt."""
-        soon_s = self._soon_s(call, plan, standing)
-        if soon_s is None:
-            # What has begun waits for an engine that may be back.
-            return _NO_FORECAST_S if call.begun else None
-        return max(soon_s, plan.queue_s) if self._yields(plan, standing) else soon_s
-
-    def _soon_s(self, call: Call, plan: PromptPlan, standing: _Standing) -> float | None:
-        """Foresee when a call finds room, behind those of this instance that go before it."""
+        return plan.spare_s < position.refused_ago_s + expected_wait_s
+
+    def _estimate_prompt_start_s(
+        self, call: Call, plan: PromptPlan, position: _QueuePosition
+    ) -> float | None:
+        """Estimate the seconds until a call has capacity and its prompt starts; None if unknown."""
+        expected_wait_s = self._estimate_wait_s(call, plan, position)
+        if expected_wait_s is None:
+            # A stream that has begun waits for an engine that may return to service.
+            return _UNKNOWN_WAIT_S if call.has_begun_stream else None
+        return (
+            max(expected_wait_s, plan.queue_s)
+            if self._must_yield(plan, position)
+            else expected_wait_s
+        )
+
+    def _estimate_wait_s(
+        self, call: Call, plan: PromptPlan, position: _QueuePosition
+    ) -> float | None:
+        """Estimate the seconds until a call has capacity behind those ahead of it.
+
+        Returns:
+            Seconds; None if unknown.
+        """
         traits = call.service.engine
         assert traits is not None, "only engines decode"
         capacity, now = self._parts.capacity, trio.current_time()
@@ -272,104 +302,113 @@
         prompt_s = plan.ready_s + _PROMPT_GAP_S if plan.direct else 0.0
         duration_s = plan.ready_s + pace.stream_s(output)
         stream = StreamDemand(call.inbound.prompt_tokens + output, duration_s, prompt_s)
-        is_late = plan.spare_s < standing.first_ago_s
-        ahead = self._waiting.count_ahead(standing.urgency, standing.since, is_late=is_late)
-        elsewhere = self._ahead(call, plan, standing)
-        others = StreamDemand(elsewhere.tokens, duration_s, prompt_s)
-        return forecast.room_behind_s(stream, [stream] * ahead + [others] * elsewhere.streams)
+        is_late = plan.spare_s < position.refused_ago_s
+        local_count = self._wait_queue.count_ahead(
+            position.urgency, position.arrived_at, is_late=is_late
+        )
+        remote = self._queued_elsewhere(call, plan, position)
+        remote_stream = StreamDemand(remote.tokens, duration_s, prompt_s)
+        return forecast.room_behind_s(
+            stream, [stream] * local_count + [remote_stream] * remote.streams
+        )
 
-    def _ahead(self, call: Call, plan: PromptPlan, standing: _Standing) -> Ahead:
-        """Give those that wait at other instances and go before a call.
+    def _queued_elsewhere(self, call: Call, plan: PromptPlan, position: _QueuePosition) -> Ahead:
+        """Return the streams at other instances that are queued ahead of a call.
 
-        What has begun goes before all, and so does one whose prompt is computed.
+        None are ahead of a stream that has begun, or of a call whose prompt is computed.
         """
-        if standing.prompt_ready or standing.urgency >= _BEGUN_URGENCY:
+        if position.prompt_ready or position.urgency >= _BEGUN_STREAM_URGENCY:
             return NOBODY_AHEAD
-        is_late = plan.spare_s < standing.first_ago_s
-        due = due_at(standing.since, standing.urgency)
-        claim = Claim(call.service.name, due, is_late)
-        return self._shared.ahead(claim, trio.current_time())
+        is_late = plan.spare_s < position.refused_ago_s
+        due = due_at(position.arrived_at, position.urgency)
+        queued = Claim(call.service.name, due, is_late)
+        return self._shared_queues.ahead(queued, trio.current_time())
 
-    async def _wait(
-        self, call: Call, standing: _Standing, wait_s: float, soon_s: float
-    ) -> Room | None:
-        """Wait for room.
+    async def _wait_for_capacity(
+        self, call: Call, position: _QueuePosition, wait_s: float, expected_wait_s: float
+    ) -> DecodePlacement | None:
+        """Wait in the queue for capacity.
 
         Args:
             call: The call.
-            standing: Where it stands.
-            wait_s: How long to wait at the most.
-            soon_s: In how many seconds room is foreseen.
+            position: Queue position of the call.
+            wait_s: Maximum wait, in seconds.
+            expected_wait_s: Seconds until capacity is expected.
+
+        Returns:
+            The reservation; None if the wait ended without one.
         """
-        expected_at = trio.current_time() + soon_s
-        found: list[Room] = []
+        expected_at = trio.current_time() + expected_wait_s
+        found: list[DecodePlacement] = []
         done = trio.Event()
 
         def attempt() -> bool:
-            room = self._try(call, standing, is_retry=True)
-            if room is None:
+            placement = self._try_to_place(call, position, is_retry=True)
+            if placement is None:
                 return False
-            found.append(room)
+            found.append(placement)
             done.set()
             return True
 
         began_at = trio.current_time()
-        service, urgency = call.service.name, standing.urgency
+        service, urgency = call.service.name, position.urgency
 
-        def yields() -> bool:
-            left_s = max(0.0, expected_at - trio.current_time())
-            return self._yields(self._plan_prompt(call, standing), standing, left_s)
+        def is_late() -> bool:
+            wait_left_s = max(0.0, expected_at - trio.current_time())
+            return self._must_yield(self._plan_prompt(call, position), position, wait_left_s)
 
-        plan = self._plan_prompt(call, standing)
-        ticket = self._waiting.add(
+        plan = self._plan_prompt(call, position)
+        ticket = self._wait_queue.add(
             service,
             urgency,
-            standing.since,
+            position.arrived_at,
             attempt,
-            yields,
-            tokens=self._tokens(call),
-            late_at=began_at + plan.spare_s - standing.first_ago_s,
+            is_late,
+            tokens=self._final_tokens(call),
+            late_at=began_at + plan.spare_s - position.refused_ago_s,
         )
-        self._shared.note_changed()
+        self._shared_queues.note_changed()
         try:
             with trio.move_on_after(max(0.0, min(wait_s, call.left_s))):
                 await done.wait()
         except trio.Cancelled:
-            for room in found:
-                self.release(room.key)
+            for placement in found:
+                self.release(placement.key)
             raise
         finally:
-            self._waiting.remove(ticket)
-            self._shared.note_changed()
+            self._wait_queue.remove(ticket)
+            self._shared_queues.note_changed()
         if not found:
             return None
         self._parts.metrics.observe_wait(trio.current_time() - began_at)
         return found[0]
 
-    def _try(self, call: Call, standing: _Standing, *, is_retry: bool) -> Room | None:
+    def _try_to_place(
+        self, call: Call, position: _QueuePosition, *, is_retry: bool
+    ) -> DecodePlacement | None:
         traits = call.service.engine
         assert traits is not None, "only engines decode"
         capacity = self._parts.capacity
-        plan = self._plan_prompt(call, standing)
+        plan = self._plan_prompt(call, position)
         pace = capacity.pace(call.service.name)
-        if call.bar() is not None or not call.may_begin(self._longest_s(call, plan)):
+        if call.bar() is not None or not call.can_end_before_stop(self._max_duration_s(call, plan)):
             return None
-        yields = self._yields(plan, standing)
-        if yields and plan.queue_s > pace.prompt_s(call.inbound.prompt_tokens):
+        must_yield = self._must_yield(plan, position)
+        if must_yield and plan.queue_s > pace.prompt_s(call.inbound.prompt_tokens):
             return None
-        seeker = call.seeker()
-        fit = self._fit(call, plan, standing, seeker, is_retry=is_retry)
-        if fit is None:
+        context = call.seeker()
+        candidate = self._find_candidate(call, plan, position, context, is_retry=is_retry)
+        if candidate is None:
             return None
-        endpoint, size = fit
+        endpoint, size = candidate
         ready_in_s = 0.0 if plan.direct else plan.ready_s
         key = f"{call.inbound.request_id}/{call.sends}/d"
-        now = seeker.now
+        now = context.now
         speed = capacity.speed(endpoint.name, now)
-        work = size.reserve(endpoint.name, now, speed)._replace(suspicion=seeker.suspicion)
-        capacity.reserve(key, work)
-        turn = self._book_turn(endpoint, key, now)
-        capacity.note_demand(work, now)
+        reservation = size.reserve(endpoint.name, now, speed)._replace(suspicion=context.suspicion)
+        capacity.reserve(key, reservation)
+        permit = self._reserve_send_time(endpoint, key, now)
+        capacity.note_demand(reservation, now)
         self._parts.on_work(key)
         if plan.direct:
             prompt_s = plan.ready_s / speed
@@ -378,87 +417,98 @@
         call.log(
             "has room",
             endpoint=endpoint.name,
-            tokens=work.tokens,
+            tokens=reservation.tokens,
             reserved=usage.tokens,
             running=usage.running,
             speed=round(speed, 2),
             computes_prompt=plan.direct,
-            is_far=endpoint.data_centre != seeker.data_centre,
+            is_far=endpoint.data_centre != context.data_centre,
+        )
+        self._parts.metrics.count_place(is_far=endpoint.data_centre != context.data_centre)
+        prompt_start_at = permit.due_at - ready_in_s
+        return DecodePlacement(
+            endpoint, key, reservation.duration_s, size.output, plan.direct, permit, prompt_start_at
         )
-        self._parts.metrics.count_place(is_far=endpoint.data_centre != seeker.data_centre)
-        prompt_at = turn.due_at - ready_in_s
-        return Room(endpoint, key, work.duration_s, size.output, plan.direct, turn, prompt_at)
 
-    def _fit(
+    def _find_candidate(
         self,
         call: Call,
         plan: PromptPlan,
-        standing: _Standing,
-        seeker: Seeker,
+        position: _QueuePosition,
+        context: Seeker,
         *,
         is_retry: bool,
-    ) -> _Fit | None:
-        """Give the endpoint that has room for a call now, and what the call takes there."""
+    ) -> _Candidate | None:
+        """Return the endpoint that has capacity for a call now, and the capacity that it needs."""
         traits = call.service.engine
         assert traits is not None, "only engines decode"
         capacity = self._parts.capacity
         pace = capacity.pace(call.service.name)
         output = estimate_output(call.inbound, pace)
         duration_s = pace.stream_s(output) + plan.ready_s
-        apart_s = 0.0 if plan.direct else plan.ready_s
-        size = StreamSize(call.inbound.prompt_tokens, output, duration_s, apart_s)
+        prefill_s = 0.0 if plan.direct else plan.ready_s
+        size = StreamSize(call.inbound.prompt_tokens, output, duration_s, prefill_s)
         ready_in_s = 0.0 if plan.direct else plan.ready_s
-        spare_s = max(0.0, plan.spare_s - standing.first_ago_s)
+        spare_s = max(0.0, plan.spare_s - position.refused_ago_s)
         endpoint = place_decode(
             call.service.name,
             size,
             traits,
             capacity,
-            seeker,
+            context,
             computes_prompt=plan.direct,
-            leaves_room=self._yields(plan, standing),
+            leaves_room=self._must_yield(plan, position),
             send_time=SendTime(ready_in_s, ready_in_s + spare_s, is_retry),
-            prompt_waits=self._prompt_waits(call, plan, standing, seeker),
+            prompt_waits=self._prompt_waits_s(call, plan, position, context),
         )
         if endpoint is None:
-            if standing.left is not None:
-                standing.left.note_none()
+            if position.yield_limit is not None:
+                position.yield_limit.note_none()
             return None
-        fit = _Fit(endpoint, size)
-        return fit if self._leaves_enough(call, plan, standing, fit, seeker) else None
+        candidate = _Candidate(endpoint, size)
+        return (
+            candidate
+            if self._leaves_enough_capacity(call, plan, position, candidate, context)
+            else None
+        )
 
-    def _prompt_waits(
-        self, call: Call, plan: PromptPlan, standing: _Standing, seeker: Seeker
+    def _prompt_waits_s(
+        self, call: Call, plan: PromptPlan, position: _QueuePosition, context: Seeker
     ) -> Mapping[str, float]:
-        """Give what a call's prompt waits for decodes of each data centre."""
+        """Return the prefill wait, in seconds, by the data centre of the decode endpoint."""
         capacity, service = self._parts.capacity, call.service.name
         spill_over = capacity.spill_over
-        if not spill_over.is_in_use or plan.direct or standing.prompt_ready:
+        if not spill_over.is_in_use or plan.direct or position.prompt_ready:
             return NO_WAITS
-        queues_s = capacity.prompt_queues_s(service, seeker.now)
-        decodes = capacity.candidates(service, Role.DECODE, seeker.now)
-        places = {endpoint.data_centre for endpoint in decodes}
-        return prompt_waits(queues_s, places, call.route.target_s, spill_over.crossing_share)
+        queues_s = capacity.prompt_queues_s(service, context.now)
+        decode_endpoints = capacity.candidates(service, Role.DECODE, context.now)
+        data_centres = {endpoint.data_centre for endpoint in decode_endpoints}
+        return prompt_waits(queues_s, data_centres, call.route.target_s, spill_over.crossing_share)
 
-    def _leaves_enough(
-        self, call: Call, plan: PromptPlan, standing: _Standing, fit: _Fit, seeker: Seeker
+    def _leaves_enough_capacity(
+        self,
+        call: Call,
+        plan: PromptPlan,
+        position: _QueuePosition,
+        candidate: _Candidate,
+        context: Seeker,
     ) -> bool:
-        """Tell whether a call leaves room to those that wait elsewhere and go before it."""
-        left, ahead = standing.left, self._ahead(call, plan, standing)
-        if left is None or not ahead.streams:
+        """Check whether a call leaves enough capacity to streams ahead of it at other instances."""
+        limit, ahead = position.yield_limit, self._queued_elsewhere(call, plan, position)
+        if limit is None or not ahead.streams:
             return True
         traits = call.service.engine
         assert traits is not None, "only engines decode"
-        beside = fit.size.reserve(fit.endpoint.name, seeker.now)
+        own = candidate.size.reserve(candidate.endpoint.name, context.now)
         places = count_places(
-            call.service.name, ahead.tokens, traits, self._parts.capacity, seeker, beside=beside
+            call.service.name, ahead.tokens, traits, self._parts.capacity, context, beside=own
         )
-        openings = left.openings
-        may_take = left.may_take(ahead, places, seeker.now)
-        if not may_take and left.openings > openings == 0:
+        yield_count = limit.openings
+        may_take = limit.may_take(ahead, places, context.now)
+        if not may_take and limit.openings > yield_count == 0:
             call.log(
                 "leaves room to others",
-                urgency=standing.urgency,
+                urgency=position.urgency,
                 ahead=ahead.streams,
                 places=places,
                 spare_s=round(plan.spare_s, 3),
@@ -466,69 +516,77 @@
             self._parts.metrics.count_room_left()
         return may_take
 
-    def has_room_beside(self, call: Call, endpoint: RoutedEndpoint, prompt_ready: bool) -> bool:
-        """Tell whether an endpoint other than a given one has room for a call now."""
-        standing = _Standing(_READY_URGENCY - call.priority, trio.current_time(), prompt_ready)
-        plan = self._plan_prompt(call, standing)
-        seeker = call.seeker()
-        seeker = seeker._replace(excluded=seeker.excluded | {endpoint.name})
-        return self._fit(call, plan, standing, seeker, is_retry=False) is not None
+    def has_capacity_elsewhere(
+        self, call: Call, endpoint: RoutedEndpoint, prompt_ready: bool
+    ) -> bool:
+        """Check whether an endpoint other than the given one has capacity for a call now."""
+        position = _QueuePosition(
+            _PROMPT_COMPUTED_URGENCY - call.priority, trio.current_time(), prompt_ready
+        )
+        plan = self._plan_prompt(call, position)
+        context = call.seeker()
+        context = context._replace(excluded=context.excluded | {endpoint.name})
+        return self._find_candidate(call, plan, position, context, is_retry=False) is not None
 
-    def _book_turn(self, endpoint: RoutedEndpoint, key: str, now: float) -> Turn:
+    def _reserve_send_time(self, endpoint: RoutedEndpoint, key: str, now: float) -> SendPermit:
         limits = self._parts.capacity.limits
         due_at = limits.book(key, endpoint.name, now)
-        return Turn(now, due_at, limits.taken_by_peers(endpoint.name))
+        return SendPermit(now, due_at, limits.taken_by_peers(endpoint.name))
 
     def _reserve_prompt(
         self, call: Call, endpoint: RoutedEndpoint, key: str, ends_at: float, duration_s: float
     ) -> None:
-        """Let an endpoint that computes prompts between tokens have one at a time."""
+        """Reserve the prompt at its decode endpoint, which computes one prompt at a time."""
         tokens = call.inbound.prompt_tokens
-        work = Reservation(endpoint.name, Role.PREFILL, tokens, ends_at, duration_s)
-        self._parts.capacity.reserve(key + _PROMPT, work)
-        self._parts.on_work(key + _PROMPT)
+        reservation = Reservation(endpoint.name, Role.PREFILL, tokens, ends_at, duration_s)
+        self._parts.capacity.reserve(key + _PROMPT_KEY_SUFFIX, reservation)
+        self._parts.on_work(key + _PROMPT_KEY_SUFFIX)
 
-    def prompt_computed(self, key: str) -> None:
-        """Note that an endpoint is done with a prompt that it computed itself."""
-        if key + _PROMPT in self._parts.capacity.own:
-            self._parts.spawn(self._end_prompt, key + _PROMPT)
+    def note_prompt_computed(self, key: str) -> None:
+        """Release the prompt reservation of a decode endpoint that computed the prompt itself."""
+        if key + _PROMPT_KEY_SUFFIX in self._parts.capacity.own:
+            self._parts.spawn(self._release_prompt, key + _PROMPT_KEY_SUFFIX)
 
-    async def _end_prompt(self, key: str) -> None:
+    async def _release_prompt(self, key: str) -> None:
         await trio.sleep(_PROMPT_GAP_S)
         self.release(key)
 
-    def _refuse(self, call: Call, standing: _Standing) -> Refusal:
-        """Refuse a call, with the time at which both its room and its prompt are foreseen."""
-        plan = self._plan_prompt(call, standing)
-        soon_s = self._soon_s(call, plan, standing)
-        retry_s = _NO_FORECAST_S if soon_s is None else max(soon_s, -plan.spare_s)
-        retry_s = min(max(_MIN_RETRY_S, retry_s), call.route.heeded_share * call.left_s)
-        if not standing.first_ago_s and self._parts.capacity.switches.uses(Mechanism.RETURNS):
-            self._expect_back(call, retry_s)
-        kind = ErrorKind.NO_ENDPOINT if soon_s is None else ErrorKind.NO_ROOM
+    def _refuse(self, call: Call, position: _QueuePosition) -> Refusal:
+        """Refuse a call, with a delay after which capacity and a computed prompt are expected."""
+        plan = self._plan_prompt(call, position)
+        expected_wait_s = self._estimate_wait_s(call, plan, position)
+        retry_s = (
+            _UNKNOWN_WAIT_S if expected_wait_s is None else max(expected_wait_s, -plan.spare_s)
+        )
+        retry_s = min(max(_MIN_RETRY_DELAY_S, retry_s), call.route.heeded_share * call.left_s)
+        if not position.refused_ago_s and self._parts.capacity.switches.uses(Mechanism.RETURNS):
+            self._expect_retry(call, retry_s)
+        kind = ErrorKind.NO_ENDPOINT if expected_wait_s is None else ErrorKind.NO_ROOM
         call.log(
             "has no room",
-            waiting=len(self._waiting),
-            room_in_s=None if soon_s is None else round(soon_s, 3),
+            waiting=len(self._wait_queue),
+            room_in_s=None if expected_wait_s is None else round(expected_wait_s, 3),
             prompt_in_s=round(plan.ready_s, 3),
             spare_s=round(plan.spare_s, 3),
             retry_after_s=round(retry_s, 3),
         )
         return Refusal(kind, "no decode endpoint has room", retry_s)
 
-    def _tokens(self, call: Call) -> int:
-        """Give the memory that a call's stream should hold at its end, in tokens."""
+    def _final_tokens(self, call: Call) -> int:
+        """Return the memory that the stream is expected to use at its end, in tokens."""
         pace = self._parts.capacity.pace(call.service.name)
         return call.inbound.prompt_tokens + estimate_output(call.inbound, pace)
 
-    def _expect_back(self, call: Call, retry_s: float) -> None:
-        """Keep room for a call that is refused, from when it is asked to be back."""
+    def _expect_retry(self, call: Call, retry_s: float) -> None:
+        """Record that the caller of a refused call is expected to retry after the given delay."""
         now = trio.current_time()
         service = call.service.name
-        key = self._returns.expect(call.inbound, service, self._tokens(call), now + retry_s, now)
+        key = self._expected_retries.expect(
+            call.inbound, service, self._final_tokens(call), now + retry_s, now
+        )
         self._parts.on_work(key)
 
     def keep_house(self) -> None:
-        """Forget those that did not come back, and let those who wait try again."""
-        self._parts.on_work(*self._returns.forget(trio.current_time()))
+        """Remove expired expected retries, and try to place the waiting streams."""
+        self._parts.on_work(*self._expected_retries.forget(trio.current_time()))
         self.offer()
--- a/cleatlink/relay/calls/room_test.py
+++ b/cleatlink/relay/calls/room_test.py
@@ -1,33 +1,33 @@
-"""Who lets others go first when there is little room."""
+"""Tests of which calls go behind others in the queue for decode capacity."""
 
 import pytest
 
-from cleatlink.relay.calls.room import _BEGUN_URGENCY, DecodeRoom, _Standing
+from cleatlink.relay.calls.room import _BEGUN_STREAM_URGENCY, DecodeRoom, _QueuePosition
 from cleatlink.routing.prompt_plan import PromptPlan
 
 
 @pytest.mark.parametrize(
-    ("spare_s", "prompt_ready", "first_ago_s", "yields"),
+    ("spare_s", "prompt_ready", "refused_ago_s", "must_yield"),
     [
         (0.1, False, 0.0, False),
         (-0.1, False, 0.0, True),
-        # Its prompt would be for nothing if it lapsed.
+        # A computed prompt would be wasted if it expired.
         (-0.1, True, 0.0, False),
         (-0.1, True, 2.0, False),
-        # It is back, and was in time only if it were new.
+        # A retry that would meet its target only if its time counted from the retry.
         (0.1, False, 2.0, True),
         (2.1, False, 2.0, False),
     ],
 )
-def test_late_call_yields_unless_something_would_be_lost(
-    spare_s: float, prompt_ready: bool, first_ago_s: float, yields: bool
+def test_late_call_goes_behind_others_unless_its_prompt_is_computed(
+    spare_s: float, prompt_ready: bool, refused_ago_s: float, must_yield: bool
 ) -> None:
     plan = PromptPlan(False, 0.1, 0.0, spare_s, 1.0)
-    standing = _Standing(0, 0.0, prompt_ready, first_ago_s)
-    assert DecodeRoom._yields(plan, standing) is yields
+    position = _QueuePosition(0, 0.0, prompt_ready, refused_ago_s)
+    assert DecodeRoom._must_yield(plan, position) is must_yield
 
 
 @pytest.mark.parametrize("spare_s", [0.1, -0.1, -5.0])
-def test_call_that_has_begun_never_yields(spare_s: float) -> None:
+def test_begun_stream_never_goes_behind_others(spare_s: float) -> None:
     plan = PromptPlan(False, 0.1, 0.0, spare_s, 1.0)
-    assert not DecodeRoom._yields(plan, _Standing(_BEGUN_URGENCY, 0.0, False))
+    assert not DecodeRoom._must_yield(plan, _QueuePosition(_BEGUN_STREAM_URGENCY, 0.0, False))
--- a/cleatlink/relay/calls/stream_test.py
+++ b/cleatlink/relay/calls/stream_test.py
@@ -1,4 +1,4 @@
-"""Streams through whole instances of the relay, over real connections."""
+"""Tests of streams through whole instances of the relay, over real connections."""
 
 from itertools import pairwise
 
@@ -12,11 +12,11 @@
 
 pytestmark = pytest.mark.virtual_time
 
-# Callers that have time for answers of some seconds.
-LONG = {**STREAM, "Deadline-Milliseconds": "9000"}
+# Headers of callers whose deadline allows answers of several seconds.
+LONG_DEADLINE = {**STREAM, "Deadline-Milliseconds": "9000"}
 
 
-async def test_stream_is_prefilled_apart_and_passed_on_whole() -> None:
+async def test_stream_is_prefilled_at_another_endpoint_and_relayed_completely() -> None:
     async with open_fleet() as fleet:
         prefill, first, second = engines()
         await start(fleet, prefill, first, second)
@@ -30,7 +30,7 @@
         assert prefill.freed == []
 
 
-async def test_without_prefill_workers_the_decode_reads_the_prompt() -> None:
+async def test_decode_endpoint_computes_the_prompt_without_prefill_endpoints() -> None:
     async with open_fleet() as fleet:
         _, first, second = engines()
         await start(fleet, first, second)
@@ -40,7 +40,7 @@
         assert "cache-source" not in decode.runs[0].call.headers
 
 
-async def test_broken_stream_does_not_look_complete() -> None:
+async def test_interrupted_stream_does_not_look_complete() -> None:
     async with open_fleet() as fleet:
         workers = engines()
         await start(fleet, *workers)
@@ -60,7 +60,7 @@
         await start(fleet, *workers)
         for worker in workers[1:]:
             worker.faults = [Fault.CUT]
-        # The second try of the stream meets the other worker, which is in order again.
+        # The second attempt of the stream goes to the other worker, which has no fault any more.
         workers[2].faults = []
         for _ in range(4):
             workers[1].faults = [Fault.CUT]
@@ -70,7 +70,7 @@
             assert numbers == [b"id: %d" % number for number in range(1, 6)]
 
 
-async def test_caller_that_leaves_frees_the_handle() -> None:
+async def test_prefill_result_is_freed_when_the_caller_disconnects() -> None:
     async with open_fleet() as fleet:
         prefill, decode, _ = engines()
         await start(fleet, prefill, decode)
@@ -84,10 +84,11 @@
         assert fleet.instances[0].capacity.own == {}
 
 
-async def test_stream_that_may_go_nowhere_else_waits_longer_each_time_at_its_decode() -> None:
-    """A decode that was full for a quarter of a second was asked thrice within 0.2 s.
+async def test_retries_at_the_only_allowed_decode_endpoint_have_growing_delays() -> None:
+    """Guards against retries that end before a full decode endpoint has capacity again.
 
-    The stream was refused then, and its prompt had been computed for nothing.
+    The relay made 3 attempts within 0.2 s at an endpoint that was full for 0.25 s. It then refused
+    the stream, although its prompt had been computed.
     """
     async with open_fleet() as fleet:
         prefill, decode, _ = engines()
@@ -105,11 +106,11 @@
         assert pauses_s[2] >= 0.32
 
 
-@pytest.mark.parametrize(("peers", "told"), [(17, "1"), (16, None)])
-async def test_engines_are_told_the_priority_in_large_groups(
-    peers: int, told: str | None, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize(("peers", "priority"), [(17, "1"), (16, None)])
+async def test_engines_receive_the_priority_in_large_groups(
+    peers: int, priority: str | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Urgent prompts stood behind others at the engines, which know priorities themselves."""
+    """Guards against urgent prompts that wait behind others at engines that support priorities."""
     async with open_fleet() as fleet:
         prefill, decode, _ = engines()
         await start(fleet, prefill, decode)
@@ -119,10 +120,10 @@
         reply = await fleet.caller().ask("/stream/x", "POST", body=b"prompt", headers=STREAM)
         assert reply.status == 200
         for worker in (prefill, decode):
-            assert worker.arrivals[0].headers.get("request-priority") == told
+            assert worker.arrivals[0].headers.get("request-priority") == priority
 
 
-async def test_stream_without_room_is_refused_at_once_with_a_time_to_come_back() -> None:
+async def test_stream_without_capacity_is_refused_at_once_with_a_retry_delay() -> None:
     async with open_fleet() as fleet:
         prefill, decode, _ = engines()
         decode.events, decode.event_s = 50, 0.05
@@ -140,7 +141,7 @@
         assert len(prefill.arrivals) == 1
 
 
-async def test_room_is_counted_across_instances() -> None:
+async def test_capacity_is_shared_between_instances() -> None:
     async with open_fleet() as fleet:
         prefill, first, second = engines()
         first.event_s = second.event_s = 0.1
@@ -157,11 +158,11 @@
         assert (len(first.runs), len(second.runs)) == (2, 2)
 
 
-async def test_one_instance_shifts_a_prefill_to_decode_when_answers_need_it() -> None:
+async def test_one_instance_changes_a_prefill_endpoint_to_decode_when_answers_need_it() -> None:
     async with open_fleet() as fleet:
         prefills = [Worker("model", "prefill"), Worker("model", "prefill")]
         decode = Worker("model", "decode")
-        # Answers of half a second, and room for three of them at a time.
+        # Each answer takes half a second, and there is capacity for three of them at a time.
         decode.events, decode.event_s = 25, 0.02
         await start(fleet, *prefills, decode)
         for _ in range(2):
@@ -177,11 +178,11 @@
         with trio.fail_after(12):
             async with trio.open_nursery() as nursery:
                 while not any(worker.orders for worker in prefills):
-                    # Fourteen a second, twice what one decode bears.
+                    # Fourteen requests a second, twice the capacity of one decode endpoint.
                     for instance in range(3):
                         nursery.start_soon(ask, instance)
                     await trio.sleep(0.2)
-                # Those that wait still would outlast the time for which the order is believed.
+                # Requests that still wait would outlast the time for which the order is valid.
                 nursery.cancel_scope.cancel()
         chosen, other = sorted(prefills, key=lambda worker: -len(worker.orders))
         order = chosen.orders[0]
@@ -195,7 +196,7 @@
         assert (len(chosen.arrivals), len(other.orders)) == (arrived, 0)
 
 
-async def test_decodes_without_prefills_compute_one_prompt_at_a_time() -> None:
+async def test_decode_endpoints_compute_one_prompt_at_a_time() -> None:
     async with open_fleet() as fleet:
         _, first, second = engines()
         first.event_s = second.event_s = 0.06
@@ -208,11 +209,11 @@
         for worker in (first, second):
             starts = [run.began_at for run in worker.runs]
             assert len(starts) == 2
-            # The first event, made after the prompt, and a gap lie between them.
+            # The second starts after the first event of the first stream and a gap.
             assert starts[1] - starts[0] > 0.1
 
 
-async def test_prompt_is_not_computed_for_a_decode_that_is_out_of_reach() -> None:
+async def test_prompt_is_not_computed_for_an_unreachable_decode_endpoint() -> None:
     async with open_fleet() as fleet:
         prefill, decode, _ = engines()
         await start(fleet, prefill, decode)
@@ -222,7 +223,7 @@
         assert prefill.arrivals == []
 
 
-async def test_silent_worker_is_left_by_the_routes_own_pauses() -> None:
+async def test_silence_timeout_follows_the_event_gap_of_the_route() -> None:
     async with open_fleet() as fleet:
         prefill, first, second = engines()
         await start(fleet, prefill, first, second)
@@ -232,7 +233,7 @@
         fleet.configure()
         await fleet.until(lambda: fleet.instances[0].records.table_revision == 7)
         for worker in (first, second):
-            # Silent after its second event, until it is forgotten.
+            # Sends nothing after its second event, until it is removed.
             worker.silent_from = 3
         caller = fleet.caller()
         began_at = trio.current_time()
@@ -241,7 +242,7 @@
         assert trio.current_time() - began_at > 0.4
 
 
-async def test_slow_decode_is_told_of_and_gets_nothing_new() -> None:
+async def test_slow_decode_endpoint_is_reported_to_peers_and_gets_no_new_streams() -> None:
     async with open_fleet() as fleet:
         prefill, first, second = engines()
         await start(fleet, prefill, first, second)
@@ -254,17 +255,17 @@
         )
         await fleet.until(lambda: all(item._peers.alive == 2 for item in fleet.instances))
         first.event_s = 0.1
-        # Each instance meets it once at the most; the two agree.
+        # Each instance uses the slow endpoint at most once before both report it.
         for number in (0, 1, 0, 1):
             if not (first.runs and len(first.runs) > 1):
                 await fleet.caller(number).ask("/quick/x", "POST", body=b"p", headers=STREAM)
-        met = len(first.runs)
+        runs_before = len(first.runs)
         for number in (0, 1, 0, 1, 0, 1):
             await fleet.caller(number).ask("/quick/x", "POST", body=b"p", headers=STREAM)
-        assert len(first.runs) <= met + 1
+        assert len(first.runs) <= runs_before + 1
 
 
-async def test_refused_caller_is_known_at_another_instance_and_waits_there() -> None:
+async def test_refused_caller_keeps_its_queue_position_at_another_instance() -> None:
     async with open_fleet() as fleet:
         prefill, decode, _ = engines()
         decode.events, decode.event_s = 56, 0.05
@@ -278,25 +279,25 @@
         await fleet.until(
             lambda: all(item.records.table_revision == version for item in fleet.instances)
         )
-        await fleet.caller().send("/stream/x", "POST", body=b"p", headers=LONG)
+        await fleet.caller().send("/stream/x", "POST", body=b"p", headers=LONG_DEADLINE)
         await fleet.until(lambda: bool(decode.runs))
-        # It waits until its caller would leave after 2 s; the answer takes longer.
-        refused = await fleet.caller().ask("/stream/x", "POST", body=b"mine", headers=LONG)
+        # The running answer takes longer than the 2 s that this caller waits.
+        refused = await fleet.caller().ask("/stream/x", "POST", body=b"mine", headers=LONG_DEADLINE)
         assert refused.status == 503
         await trio.sleep(min(1.8, float(refused.headers["retry-after"])))
-        newcomer, back = fleet.caller(1), fleet.caller(1)
-        await newcomer.send("/stream/x", "POST", body=b"new", headers=LONG)
+        newcomer, retry = fleet.caller(1), fleet.caller(1)
+        await newcomer.send("/stream/x", "POST", body=b"new", headers=LONG_DEADLINE)
         await trio.sleep(0.05)
-        mine = await back.send("/stream/x", "POST", body=b"mine", headers=LONG)
-        reply = await back.receive()
+        retry_request = await retry.send("/stream/x", "POST", body=b"mine", headers=LONG_DEADLINE)
+        reply = await retry.receive()
         assert (reply.status, reply.whole) == (200, True)
-        # It came after the newcomer, and was served before it.
-        assert decode.runs[1].request == mine
+        # The retry arrived after the newcomer, and was served before it.
+        assert decode.runs[1].request == retry_request
         assert len(decode.runs) == 2 or decode.runs[2].began_at > decode.runs[1].began_at
 
 
-async def test_newcomer_is_not_turned_away_for_callers_that_are_due_back() -> None:
-    """Room opens soon; callers that were refused before and will be late don't hold it up."""
+async def test_newcomer_is_not_refused_because_of_expected_retries() -> None:
+    """Callers that were refused before and will be late don't reserve capacity that opens soon."""
     async with open_fleet() as fleet:
         prefill, decode, _ = engines()
         decode.events, decode.event_s = 56, 0.05
@@ -305,21 +306,23 @@
             route["timeout_ms"] = 9000
         version = fleet.configure({"kv_cache_tokens": 150})
         await fleet.until(lambda: fleet.instances[0].records.table_revision == version)
-        await fleet.caller().send("/stream/x", "POST", body=b"p", headers=LONG)
+        await fleet.caller().send("/stream/x", "POST", body=b"p", headers=LONG_DEADLINE)
         await fleet.until(lambda: bool(decode.runs))
         for body in (b"first", b"second"):
-            refused = await fleet.caller().ask("/stream/x", "POST", body=body, headers=LONG)
+            refused = await fleet.caller().ask(
+                "/stream/x", "POST", body=body, headers=LONG_DEADLINE
+            )
             assert refused.status == 503
         left_s = 2.8 - (trio.current_time() - decode.runs[0].began_at)
         await trio.sleep(max(0.0, left_s - 0.5))
         newcomer = fleet.caller()
-        name = await newcomer.send("/stream/x", "POST", body=b"new", headers=LONG)
+        name = await newcomer.send("/stream/x", "POST", body=b"new", headers=LONG_DEADLINE)
         reply = await newcomer.receive()
         assert (reply.status, reply.whole) == (200, True)
         assert decode.runs[1].request == name
 
 
-async def test_without_returns_a_caller_that_is_back_stands_like_any_other() -> None:
+async def test_retry_has_no_earlier_queue_position_with_the_mechanism_off() -> None:
     async with open_fleet() as fleet:
         prefill, decode, _ = engines()
         decode.events, decode.event_s = 70, 0.05
@@ -332,15 +335,17 @@
         await fleet.until(
             lambda: all(item.records.table_revision == version for item in fleet.instances)
         )
-        await fleet.caller(1).send("/stream/x", "POST", body=b"p", headers=LONG)
+        await fleet.caller(1).send("/stream/x", "POST", body=b"p", headers=LONG_DEADLINE)
         await fleet.until(lambda: bool(decode.runs))
         for _ in range(2):
-            reply = await fleet.caller(1).ask("/stream/x", "POST", body=b"mine", headers=LONG)
+            reply = await fleet.caller(1).ask(
+                "/stream/x", "POST", body=b"mine", headers=LONG_DEADLINE
+            )
             assert reply.status == 503
         assert not any("back/" in key for key in fleet.instances[1].capacity.own)
 
 
-async def test_begun_stream_that_no_decode_can_go_on_with_is_broken_off_at_once() -> None:
+async def test_begun_stream_ends_at_once_if_no_decode_endpoint_can_continue_it() -> None:
     async with open_fleet() as fleet:
         prefill, decode, _ = engines()
         await start(fleet, prefill, decode)
@@ -350,11 +355,11 @@
         await caller.send("/resume/x", "POST", body=b"prompt", headers=STREAM)
         reply = await caller.receive()
         assert not reply.whole
-        # The caller can come back with its last event; a wait would only hide that.
+        # The caller can resume with its last event; a wait would only delay that.
         assert trio.current_time() - began_at < 0.6
 
 
-async def test_decode_that_leaves_while_the_prompt_is_computed_gets_nothing_new() -> None:
+async def test_decode_endpoint_that_leaves_during_the_prompt_gets_no_stream() -> None:
     async with open_fleet() as fleet:
         prefill, first, second = engines()
         prefill.work_s = 0.5
@@ -362,19 +367,19 @@
         caller = fleet.caller()
         await caller.send("/stream/x", "POST", body=b"prompt", headers=STREAM)
         await fleet.until(lambda: bool(prefill.arrivals))
-        (room,) = (
-            work for key, work in fleet.instances[0].capacity.own.items() if key.endswith("/d")
+        (reservation,) = (
+            item for key, item in fleet.instances[0].capacity.own.items() if key.endswith("/d")
         )
-        leaving = first if room.endpoint == first.name else second
+        leaving = first if reservation.endpoint == first.name else second
         fleet.register(leaving, "draining")
         reply = await caller.receive()
         assert (reply.status, reply.whole) == (200, True)
         assert leaving.runs == []
-        # What was computed is not computed again.
+        # The prompt is not computed again.
         assert len(prefill.arrivals) == 1
 
 
-async def test_prompt_that_is_computed_again_after_a_break_is_an_extra_send() -> None:
+async def test_prompt_computed_again_after_an_interruption_uses_the_retry_budget() -> None:
     async with open_fleet() as fleet:
         prefill, first, second = engines()
         await start(fleet, prefill, first, second)
@@ -382,12 +387,12 @@
             decode.faults = [Fault.CUT]
         await fleet.caller().ask("/resume/x", "POST", body=b"prompt", headers=STREAM)
         budget = fleet.instances[0]._budgets.of("model")
-        extra = len(prefill.arrivals) + len(first.arrivals) + len(second.arrivals) - 2
-        assert extra >= 2
-        assert len(budget._extras) == extra
+        extra_sends = len(prefill.arrivals) + len(first.arrivals) + len(second.arrivals) - 2
+        assert extra_sends >= 2
+        assert len(budget._extras) == extra_sends
 
 
-async def test_short_answers_teach_the_pace_too() -> None:
+async def test_time_per_token_is_measured_from_short_answers() -> None:
     async with open_fleet() as fleet:
         await start(fleet, *engines())
         for _ in range(5):
@@ -395,5 +400,5 @@
             assert reply.status == 200
         pace = fleet.instances[0].capacity.pace("model")
         assert pace.is_known
-        # Five events, 5 ms apart, of a token each.
+        # Five events of one token each, 5 ms apart.
         assert 0.004 < pace.token_s < 0.02
--- a/cleatlink/relay/calls/succession.py
+++ b/cleatlink/relay/calls/succession.py
@@ -1,91 +1,93 @@
-"""Finds another decode for a stream whose own is silent, while that one is still listened to.
+"""Finds a replacement for a silent decode endpoint while its stream is still being read.
 
-Silence alone says nothing: the engine may be at a long prompt, wait for a hand-over, or be
-gone. So it is left only for another one that has everything ready. If it speaks before that,
-or no other can go on, the stream stays where it is.
+Silence has several causes: the engine may be computing a long prompt, waiting for a prefill
+result, or dead. So the stream moves only once another endpoint is fully prepared. If the silent
+endpoint sends data before that, or no other endpoint is available, the stream stays.
 """
 
 import trio
 
 from cleatlink.relay.calls.call import Call
-from cleatlink.relay.calls.decode_place import DecodePlace
+from cleatlink.relay.calls.decode_place import DecodeTarget
 from cleatlink.relay.calls.parts import RelayParts
 from cleatlink.relay.calls.room import DecodeRoom
 from cleatlink.relay.tasks import sleep_and_read
 from cleatlink.routing.uploads import UNKNOWN_PACE, Upload
 
-__all__ = ["Succession"]
+__all__ = ["StreamFailover"]
 
-# How often the silence of an endpoint is looked at: a fraction of the shortest one that counts.
-_LOOK_S = 0.05
+# Interval between checks for silence, in seconds: a fraction of the shortest timeout.
+_CHECK_INTERVAL_S = 0.05
 
 
-class Succession:
-    """Watches one run of a stream; at the end there is a successor, or none."""
+class StreamFailover:
+    """Watches one run of a stream for silence, and prepares a replacement endpoint."""
 
-    def __init__(self, call: Call, rooms: DecodeRoom, parts: RelayParts) -> None:
-        self.successor: DecodePlace | None = None
+    def __init__(self, call: Call, admission: DecodeRoom, parts: RelayParts) -> None:
+        self.replacement: DecodeTarget | None = None
         self._call = call
-        self._rooms = rooms
+        self._admission = admission
         self._parts = parts
-        self._waits_since: float | None = None
-        self._silence_s = 0.0
+        self._waiting_since: float | None = None
+        self._silence_timeout_s = 0.0
         self._upload = Upload(UNKNOWN_PACE)
         self._search = trio.CancelScope()
 
-    def listen(self, silence_s: float) -> None:
-        """Note that the endpoint is waited for from now on.
+    def expect_data(self, timeout_s: float) -> None:
+        """Record that data from the endpoint is expected from now on.
 
         Args:
-            silence_s: Silence after which another endpoint is looked for.
+            timeout_s: Silence after which to look for a replacement, in seconds.
         """
-        self._waits_since = trio.current_time()
-        self._silence_s = silence_s
+        self._waiting_since = trio.current_time()
+        self._silence_timeout_s = timeout_s
 
-    def follow(self, upload: Upload) -> None:
-        """Follow a request that is sent now: until it has been read, nothing can be heard."""
+    def track_upload(self, upload: Upload) -> None:
+        """Track the upload of the request; silence counts only once the endpoint has read it."""
         self._upload = upload
 
-    def note_heard(self) -> None:
-        """Note that the endpoint spoke: it is not left now."""
-        self._waits_since = None
+    def note_activity(self) -> None:
+        """Record that the endpoint sent data, and cancel the search for a replacement."""
+        self._waiting_since = None
         if not self._search.cancel_called:
-            # Trio writes a reason at each cancellation, and this is called for each event.
+            # Each cancellation makes Trio record a reason, and this method runs for each event.
             self._search.cancel()
 
-    async def run(self, place: DecodePlace, leave: trio.CancelScope) -> None:
-        """Look for a successor whenever the endpoint is silent.
+    async def run(self, target: DecodeTarget, stream_scope: trio.CancelScope) -> None:
+        """Look for a replacement whenever the endpoint is silent.
 
         Args:
-            place: Where the stream is.
-            leave: Cancelled once there is a successor.
+            target: The endpoint that runs the stream.
+            stream_scope: Scope of the stream, cancelled once there is a replacement.
         """
-        while self.successor is None:
-            await sleep_and_read(trio.current_time() + _LOOK_S)
-            waits_since = self._waits_since
+        while self.replacement is None:
+            await sleep_and_read(trio.current_time() + _CHECK_INTERVAL_S)
+            waiting_since = self._waiting_since
             now = trio.current_time()
-            if waits_since is None:
+            if waiting_since is None:
                 continue
-            silent_s = now - max(waits_since, self._upload.read_by)
-            if silent_s < self._silence_s:
+            silent_s = now - max(waiting_since, self._upload.read_by)
+            if silent_s < self._silence_timeout_s:
                 continue
-            self._call.note_silent(place.endpoint, self._upload, silent_s)
-            self._call.excluded.add(place.endpoint.name)
-            self.successor = await self._find(place.prefill.was_computed)
-            if self.successor is None and self._waits_since == waits_since:
-                # It is asked for again after as long a silence.
-                self._waits_since = trio.current_time()
-        leave.cancel()
+            self._call.note_silent(target.endpoint, self._upload, silent_s)
+            self._call.excluded.add(target.endpoint.name)
+            self.replacement = await self._prepare_replacement(target.prefill.was_computed)
+            if self.replacement is None and self._waiting_since == waiting_since:
+                # The next search starts after another silence of the same length.
+                self._waiting_since = trio.current_time()
+        stream_scope.cancel()
 
-    async def _find(self, was_computed: bool) -> DecodePlace | None:
-        """Make another place ready, unless the endpoint speaks meanwhile."""
-        place = DecodePlace(self._call, self._rooms, self._parts, prompt_was_computed=was_computed)
+    async def _prepare_replacement(self, prompt_was_computed: bool) -> DecodeTarget | None:
+        """Prepare another endpoint, unless the silent one sends data meanwhile."""
+        target = DecodeTarget(
+            self._call, self._admission, self._parts, prompt_was_computed=prompt_was_computed
+        )
         is_ready = False
         try:
             with trio.CancelScope() as self._search:
-                refusal = await place.prepare() or place.clear_to_send()
+                refusal = await target.prepare() or target.authorize_send()
                 is_ready = refusal is None and not self._search.cancel_called
         finally:
             if not is_ready:
-                place.close()
-        return place if is_ready else None
+                target.close()
+        return target if is_ready else None
--- a/cleatlink/relay/calls/turns.py
+++ b/cleatlink/relay/calls/turns.py
@@ -1,4 +1,4 @@
-"""Lets calls of this instance's own, such as those that free memory, wait for their turn."""
+"""Applies the endpoints' rate limits to requests of the relay itself, such as cancellations."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -13,12 +13,12 @@
 
 @asynccontextmanager
 async def own_turn(capacity: Capacity, endpoint: RoutedEndpoint, key: str) -> AsyncIterator[None]:
-    """Wait until an endpoint's rest is over and its limit allows a call.
+    """Wait until an endpoint's back-off is over and its rate limit allows a request.
 
     Args:
-        capacity: What is believed of endpoints.
+        capacity: Known state of the endpoints.
         endpoint: The endpoint.
-        key: The call's key; no other call has it.
+        key: Unique key of the request.
     """
     limits, now = capacity.limits, trio.current_time()
     due_at = limits.book(key, endpoint.name, now)
