--- a/cleatlink/relay/calls/decode_place.py
+++ b/cleatlink/relay/calls/decode_place.py
@@ -202,11 +202,11 @@
         This is the maximum before the prompt is computed, and the expected time after that: a
         stream whose prompt is computed is refused only if it is not expected to end in time.
         """
-        pace = self._parts.capacity.pace(self._call.service.name)
+        service_times = self._parts.capacity.pace(self._call.service.name)
         if self.prefill.source is None:
-            return longest_stream_s(self._call.inbound, pace)
+            return longest_stream_s(self._call.inbound, service_times)
         speed = self._parts.capacity.speed(self.endpoint.name, trio.current_time())
-        return pace.stream_s(estimate_output(self._call.inbound, pace)) / speed
+        return service_times.stream_s(estimate_output(self._call.inbound, service_times)) / speed
 
     def _close_connection(self) -> None:
         connection, self._connection = self._connection, None
--- a/cleatlink/relay/calls/hold.py
+++ b/cleatlink/relay/calls/hold.py
@@ -97,7 +97,7 @@
             self._call.note_failure(endpoint, error, in_progress=False)
             return ReservationOutcome.FAILED
         connection.finish(trio.current_time())
-        outcome = self._read_outcome(endpoint, Reply(head, body))
+        outcome = self._handle_reply(endpoint, Reply(head, body))
         self._valid_until = began_at + _USABLE_SHARE * traits.hold_s
         self._call.log(
             "asks for room",
@@ -108,7 +108,7 @@
         )
         return outcome
 
-    def _read_outcome(self, endpoint: RoutedEndpoint, reply: Reply) -> ReservationOutcome:
+    def _handle_reply(self, endpoint: RoutedEndpoint, reply: Reply) -> ReservationOutcome:
         status = reply.head.status
         capacity = self._parts.capacity
         if status == OTHER_ENDPOINT:
--- a/cleatlink/relay/calls/room.py
+++ b/cleatlink/relay/calls/room.py
@@ -248,8 +248,8 @@
 
     def _max_duration_s(self, call: Call, plan: PromptPlan) -> float:
         """Return the maximum time that a call needs once it has capacity, in seconds."""
-        pace = self._parts.capacity.pace(call.service.name)
-        return longest_stream_s(call.inbound, pace, plan.ready_s)
+        service_times = self._parts.capacity.pace(call.service.name)
+        return longest_stream_s(call.inbound, service_times, plan.ready_s)
 
     @staticmethod
     def _must_yield(
@@ -297,10 +297,10 @@
         if not capacity.switches.uses(Mechanism.FORECAST):
             return 0.0 if capacity.candidates(call.service.name, Role.DECODE, now) else None
         forecast = RoomForecast(call.service.name, traits, capacity, now)
-        pace = capacity.pace(call.service.name)
-        output = estimate_output(call.inbound, pace)
+        service_times = capacity.pace(call.service.name)
+        output = estimate_output(call.inbound, service_times)
         prompt_s = plan.ready_s + _PROMPT_GAP_S if plan.direct else 0.0
-        duration_s = plan.ready_s + pace.stream_s(output)
+        duration_s = plan.ready_s + service_times.stream_s(output)
         stream = StreamDemand(call.inbound.prompt_tokens + output, duration_s, prompt_s)
         is_late = plan.spare_s < position.refused_ago_s
         local_count = self._wait_queue.count_ahead(
@@ -390,11 +390,11 @@
         assert traits is not None, "only engines decode"
         capacity = self._parts.capacity
         plan = self._plan_prompt(call, position)
-        pace = capacity.pace(call.service.name)
+        service_times = capacity.pace(call.service.name)
         if call.bar() is not None or not call.can_end_before_stop(self._max_duration_s(call, plan)):
             return None
         must_yield = self._must_yield(plan, position)
-        if must_yield and plan.queue_s > pace.prompt_s(call.inbound.prompt_tokens):
+        if must_yield and plan.queue_s > service_times.prompt_s(call.inbound.prompt_tokens):
             return None
         context = call.seeker()
         candidate = self._find_candidate(call, plan, position, context, is_retry=is_retry)
@@ -443,9 +443,9 @@
         traits = call.service.engine
         assert traits is not None, "only engines decode"
         capacity = self._parts.capacity
-        pace = capacity.pace(call.service.name)
-        output = estimate_output(call.inbound, pace)
-        duration_s = pace.stream_s(output) + plan.ready_s
+        service_times = capacity.pace(call.service.name)
+        output = estimate_output(call.inbound, service_times)
+        duration_s = service_times.stream_s(output) + plan.ready_s
         prefill_s = 0.0 if plan.direct else plan.ready_s
         size = StreamSize(call.inbound.prompt_tokens, output, duration_s, prefill_s)
         ready_in_s = 0.0 if plan.direct else plan.ready_s
@@ -574,8 +574,8 @@
 
     def _final_tokens(self, call: Call) -> int:
         """Return the memory that the stream is expected to use at its end, in tokens."""
-        pace = self._parts.capacity.pace(call.service.name)
-        return call.inbound.prompt_tokens + estimate_output(call.inbound, pace)
+        service_times = self._parts.capacity.pace(call.service.name)
+        return call.inbound.prompt_tokens + estimate_output(call.inbound, service_times)
 
     def _expect_retry(self, call: Call, retry_s: float) -> None:
         """Record that the caller of a refused call is expected to retry after the given delay."""
--- a/cleatlink/relay/calls/stream.py
+++ b/cleatlink/relay/calls/stream.py
@@ -33,8 +33,8 @@
 _MAX_REPLY_BYTES = 65_536
 # Time without a response after which a resumable stream looks for another endpoint, in seconds.
 _FIRST_RESPONSE_TIMEOUT_S = 1.5
-# Between events, that time is this multiple of the route's maximum gap between events, within the
-# bounds that follow.
+# Silence within a stream after which it looks for another endpoint, as a multiple of the route's
+# maximum gap between events, and the bounds of that silence in seconds.
 _SILENCE_FACTOR = 3.0
 _MIN_SILENCE_S = 0.5
 _MAX_SILENCE_S = 1.5
