--- a/cleatlink/request/__init__.py
+++ b/cleatlink/request/__init__.py
@@ -1,4 +1,4 @@
-"""One request's life: state machines, retry budget, once-only keys, notes; no I/O."""
+"""Request processing without I/O: state machines, retry budgets, idempotency keys and notes."""
 
 from cleatlink.request.budget import RetryBudget
 from cleatlink.request.call import CallMachine, is_repeatable
--- a/cleatlink/request/budget.py
+++ b/cleatlink/request/budget.py
@@ -1,37 +1,37 @@
-"""A retry budget: retries may be only a share of live traffic.
+"""A retry budget that limits retries to a share of the requests.
 
-Every request earns a share of a retry and every retry spends a whole one, so
-that in overload, when most attempts fail, retries can't multiply the load.
+Each request adds a fraction of a retry to the balance and each retry subtracts one, so
+that retries can't multiply the load in an overload in which most attempts fail.
 """
 
 __all__ = ["RetryBudget"]
 
-# Retries saved up for a burst of failures, at the most.
-_CAP = 10.0
+# Maximum balance: the number of retries available for a burst of failures.
+_MAX_BALANCE = 10.0
 
 
 class RetryBudget:
-    """Counts what may still be retried."""
+    """Counts the retries that are allowed."""
 
-    def __init__(self, share: float, balance: float = _CAP) -> None:
+    def __init__(self, share: float, balance: float = _MAX_BALANCE) -> None:
         self._share = share
         self._balance = balance
 
     @property
     def balance(self) -> float:
-        """Retries that may be made now."""
+        """Number of retries that are allowed now; may have a fraction."""
         return self._balance
 
     def set_share(self, share: float) -> None:
-        """Use the share of a newly adopted configuration."""
+        """Set the share of requests, after a new configuration was adopted."""
         self._share = share
 
     def earn(self) -> None:
-        """Count one new request."""
-        self._balance = min(_CAP, self._balance + self._share)
+        """Count a new request, which adds its share to the balance."""
+        self._balance = min(_MAX_BALANCE, self._balance + self._share)
 
     def take(self) -> bool:
-        """Spend one retry if the budget has it."""
+        """Subtract one retry if the balance allows it; return whether it does."""
         if self._balance < 1.0:
             return False
         self._balance -= 1.0
--- a/cleatlink/request/call.py
+++ b/cleatlink/request/call.py
@@ -1,7 +1,8 @@
-"""One plain service call's life as a state machine.
+"""The state machine of one call to a plain service.
 
-A call that may not be repeated leaves at most once: only an order that never
-left, or that the endpoint refused, is followed by another.
+A call that is not repeatable is sent at most once, unless it is certain that it did
+not run: another attempt follows only if the call was never sent or the endpoint
+refused it.
 """
 
 from collections.abc import Mapping
@@ -24,17 +25,17 @@
 
 __all__ = ["Answered", "CallAction", "CallEvent", "CallMachine", "Found", "Send", "is_repeatable"]
 
-_SAFE_TO_REPEAT = frozenset({"GET", "HEAD", "PUT", "DELETE", "OPTIONS"})
+_IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "PUT", "DELETE", "OPTIONS"})
 
 
 class Found(NamedTuple):
-    """The call has an endpoint."""
+    """An endpoint was found for the call."""
 
     endpoint: Endpoint
 
 
 class Answered(NamedTuple):
-    """The endpoint answered, whatever the status."""
+    """The endpoint answered, with any status code."""
 
     attempt: int
     status: int
@@ -54,52 +55,54 @@
 
 
 def is_repeatable(rules: tuple[CallRule, ...], method: str, path: str) -> bool:
-    """Tell whether a call may be sent again after an unknown outcome.
+    """Check whether a call may be sent again after an unknown outcome.
 
-    A call that an operator's rule names may not, and neither may a method that
-    HTTP does not define as idempotent.
+    A call is not repeatable if a rule of the operator matches it or if HTTP does
+    not define its method as idempotent.
     """
-    named = any(rule.method in ("*", method) and fnmatchcase(path, rule.path) for rule in rules)
-    return not named and method in _SAFE_TO_REPEAT
+    matches_rule = any(
+        rule.method in ("*", method) and fnmatchcase(path, rule.path) for rule in rules
+    )
+    return not matches_rule and method in _IDEMPOTENT_METHODS
 
 
 class CallMachine:
-    """The life of one call."""
+    """State machine of one call to a plain service."""
 
     def __init__(self, repeatable: bool, limits: Limits, budget: RetryBudget) -> None:
         self._repeatable = repeatable
         self._limits = limits
         self._budget = budget
         self._attempt = -1
-        self._excluded: set[str] = set()
+        self._excluded_names: set[str] = set()
         self._ran = Ran.NO
-        self._out = False
-        self._done = False
+        self._in_flight = False
+        self._is_done = False
         self._answer: Answered | None = None
 
     @property
     def answer(self) -> Answered | None:
-        """The endpoint's answer, once there is one."""
+        """The endpoint's answer, or None if no answer has arrived."""
         return self._answer
 
     @property
     def ran(self) -> Ran:
-        """What is known about whether the call ran."""
-        return Ran.UNKNOWN if self._out and self._ran is Ran.NO else self._ran
+        """Whether the call ran, as far as is known."""
+        return Ran.UNKNOWN if self._in_flight and self._ran is Ran.NO else self._ran
 
     def start(self) -> list[CallAction]:
-        """Give the first action."""
+        """Return the first action."""
         return [Place(frozenset())]
 
     def handle(self, event: CallEvent) -> list[CallAction]:
-        """Take one event and give what is to be done, in order."""
-        late = isinstance(event, Answered | Failed) and event.attempt != self._attempt
-        if self._done or late:
+        """Process one event and return the resulting actions, in the order of execution."""
+        is_stale = isinstance(event, Answered | Failed) and event.attempt != self._attempt
+        if self._is_done or is_stale:
             return []
         match event:
             case Found(endpoint):
                 self._attempt += 1
-                self._out = True
+                self._in_flight = True
                 return [Send(self._attempt, endpoint)]
             case Unplaced(refusal):
                 return self._refuse(refusal if self._ran is Ran.NO else self._failure())
@@ -113,22 +116,22 @@
     def _finish(self, event: Answered) -> list[CallAction]:
         self._answer = event
         self._ran = Ran.YES
-        self._done = True
+        self._is_done = True
         return [Finish()]
 
     def _fail(self, event: Failed) -> list[CallAction]:
-        self._out = False
-        self._excluded.add(event.endpoint.name)
+        self._in_flight = False
+        self._excluded_names.add(event.endpoint.name)
         if event.cause is Cause.UNKNOWN:
             self._ran = Ran.UNKNOWN
             if not self._repeatable:
                 return self._refuse(self._failure())
         if self._attempt + 1 >= self._limits.max_attempts or not self._budget.take():
             return self._refuse(self._failure())
-        return [Retried(event.cause.value), Place(frozenset(self._excluded))]
+        return [Retried(event.cause.value), Place(frozenset(self._excluded_names))]
 
     def _refuse(self, refusal: Refusal) -> list[CallAction]:
-        self._done = True
+        self._is_done = True
         return [Refuse(refusal)]
 
     def _failure(self) -> Refusal:
--- a/cleatlink/request/call_test.py
+++ b/cleatlink/request/call_test.py
@@ -1,4 +1,4 @@
-"""A call that may not be repeated leaves at most once, whatever happens."""
+"""Tests that a call that is not repeatable runs at most once for any order of events."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -14,7 +14,7 @@
 RULES = (CallRule("GET", "/tiles/*"), CallRule("POST", "/work-orders*"))
 
 
-def test_rules_and_methods_decide_what_is_repeatable() -> None:
+def test_rules_and_method_determine_whether_a_call_is_repeatable() -> None:
     assert not is_repeatable(RULES, "GET", "/tiles/7/left")
     assert is_repeatable(RULES, "GET", "/units/7")
     assert not is_repeatable(RULES, "POST", "/work-orders")
@@ -28,23 +28,27 @@
 
 
 @given(STEPS, st.booleans())
-def test_never_leaves_twice(steps: list[object], repeatable: bool) -> None:
+def test_call_that_is_not_repeatable_runs_at_most_once(
+    steps: list[object], repeatable: bool
+) -> None:
     machine = CallMachine(repeatable, LIMITS, RetryBudget(1.0))
     pending = machine.start()[-1]
-    may_have_left = 0
+    possible_runs = 0
     for step in steps:
         attempt = pending.attempt if isinstance(pending, Send) else -1
         if step == "deadline":
             actions = machine.handle(DeadlinePassed())
-            may_have_left += isinstance(pending, Send)
+            possible_runs += isinstance(pending, Send)
         elif isinstance(pending, Place) and step in ("found", "none"):
-            found = Found(S1) if step == "found" else Unplaced(Refusal(ErrorKind.NO_ENDPOINT, ""))
-            actions = machine.handle(found)
+            placement_event = (
+                Found(S1) if step == "found" else Unplaced(Refusal(ErrorKind.NO_ENDPOINT, ""))
+            )
+            actions = machine.handle(placement_event)
         elif isinstance(pending, Send) and step == "answer":
-            may_have_left += 1
+            possible_runs += 1
             actions = machine.handle(Answered(attempt, 200, {}, b""))
         elif isinstance(pending, Send) and isinstance(step, Cause):
-            may_have_left += step is Cause.UNKNOWN
+            possible_runs += step is Cause.UNKNOWN
             actions = machine.handle(Failed(attempt, S1, step))
         else:
             continue
@@ -53,6 +57,6 @@
         pending = actions[-1]  # type: ignore[assignment]
         if isinstance(pending, Refuse):
             not_run = ANSWERS[pending.refusal.kind].ran == "no"
-            assert not_run == (may_have_left == 0)
+            assert not_run == (possible_runs == 0)
             assert not_run == (machine.ran is Ran.NO)
-    assert repeatable or may_have_left <= 1
+    assert repeatable or possible_runs <= 1
--- a/cleatlink/request/classify.py
+++ b/cleatlink/request/classify.py
@@ -1,7 +1,7 @@
-"""Reads a caller's request: what is asked, by whom, in which class, until when.
+"""Parses a caller's request: service or model, organisation, request class and deadline.
 
-The body goes on to the engines as it came, so only what routing needs is
-checked here. Every check answers with one kind of error and a plain sentence.
+The body is forwarded to the engines unchanged, so this module checks only the fields that
+routing needs. A failed check raises one kind of error with a message for the caller.
 """
 
 import math
@@ -32,15 +32,15 @@
 ORGANISATION_HEADER = "x-organisation"
 
 _ANONYMOUS = "anonymous"
-# Characters of a model's or organisation's name; longer ones are a mistake.
-_MAX_NAME = 128
-# A rough measure that needs no tokenizer; engines report the true counts.
+# Maximum length of an organisation's name, in characters; a longer name is treated as an error.
+_MAX_ORGANISATION_LENGTH = 128
+# Approximate ratio that avoids a tokenizer; engines report the exact token counts.
 _BYTES_PER_TOKEN = 4
 _DEFAULT_OUTPUT_TOKENS = 256
 
 
 class ModelOrder(NamedTuple):
-    """A model request as classified, with the body that engines get."""
+    """A classified model request, with the body to send to engines."""
 
     request: Request
     request_class: RequestClass
@@ -50,12 +50,12 @@
 
 
 class Arrival(NamedTuple):
-    """A request as it came in.
+    """A request as received from the caller.
 
     Attributes:
-        name: Name given to the request, unique over all instances.
-        headers: Its headers, names in lower case.
-        at: When it arrived, by the monotonic clock.
+        name: Name assigned to the request, unique over all instances.
+        headers: HTTP headers, with names in lower case.
+        at: Arrival time, a reading of the monotonic clock.
     """
 
     name: str
@@ -64,66 +64,66 @@
 
 
 def classify_model(
-    raw: bytes, chat: bool, arrival: Arrival, configuration: Configuration
+    raw: bytes, chat: bool, incoming: Arrival, configuration: Configuration
 ) -> ModelOrder:
     """Classify a model request.
 
     Raises:
-        RequestError: It can't be served as it stands.
+        RequestError: The request is invalid or names an unknown model or class.
     """
     body = _decode_body(raw)
-    model = _field(body, "model", str, "")
-    service = _service_of(configuration, model)
-    request_class = _class_of(configuration, service, arrival.headers)
+    model = _read_field(body, "model", str, "")
+    service = _find_service(configuration, model)
+    request_class = _find_class(configuration, service, incoming.headers)
     prompt = prompt_bytes(body, chat)
     tokens = len(prompt) // _BYTES_PER_TOKEN + 1
     if tokens > configuration.limits.prompt_tokens:
         limit = configuration.limits.prompt_tokens
         raise RequestError(ErrorKind.TOO_LARGE, f"prompt has {tokens} tokens; {limit} are allowed")
-    output = _output_tokens(body, configuration)
-    if _field(body, "n", int, 1) != 1:
+    output = _read_output_tokens(body, configuration)
+    if _read_field(body, "n", int, 1) != 1:
         raise RequestError(ErrorKind.BAD_REQUEST, "n must be 1")
     request = Request(
-        arrival.name,
-        _organisation_of(arrival.headers),
+        incoming.name,
+        _read_organisation(incoming.headers),
         service.name,
         model,
         request_class.name,
         tokens,
         output,
         hash_prefix(prompt),
-        _deadline_of(arrival, request_class),
-        math.inf if request_class.runs_late else arrival.at + request_class.ttft_target_s,
+        _compute_deadline(incoming, request_class),
+        math.inf if request_class.runs_late else incoming.at + request_class.ttft_target_s,
     )
-    stream = _field(body, "stream", bool, False)
+    stream = _read_field(body, "stream", bool, False)
     return ModelOrder(request, request_class, body, chat, stream)
 
 
 def classify_call(
-    service_name: str, arrival: Arrival, configuration: Configuration
+    service_name: str, incoming: Arrival, configuration: Configuration
 ) -> tuple[Request, RequestClass, Service]:
-    """Classify a call of a plain service.
+    """Classify a call to a plain service.
 
     Raises:
-        RequestError: It can't be served as it stands.
+        RequestError: The call is invalid or names an unknown service or class.
     """
     service = configuration.services.get(service_name)
     if service is None or service.kind is not ServiceKind.PLAIN:
         raise RequestError(ErrorKind.UNKNOWN_SERVICE, f"no plain service {service_name!r}")
-    request_class = _class_of(configuration, service, arrival.headers)
-    organisation = _organisation_of(arrival.headers)
-    deadline = _deadline_of(arrival, request_class)
+    request_class = _find_class(configuration, service, incoming.headers)
+    organisation = _read_organisation(incoming.headers)
+    deadline = _compute_deadline(incoming, request_class)
     request = Request(
-        arrival.name, organisation, service.name, "", request_class.name, 0, 0, 0, deadline
+        incoming.name, organisation, service.name, "", request_class.name, 0, 0, 0, deadline
     )
     return request, request_class, service
 
 
 def prompt_bytes(body: Mapping[str, Any], chat: bool) -> bytes:
-    """Give the prompt's text; a chat's messages are joined by line ends.
+    """Return the text of the prompt; the messages of a chat are joined by newlines.
 
     Raises:
-        RequestError: There is no prompt in the usual form.
+        RequestError: The prompt or the messages are missing or have the wrong type.
     """
     if not chat:
         prompt = body.get("prompt")
@@ -133,10 +133,10 @@
     messages = body.get("messages")
     if not isinstance(messages, list) or not messages:
         raise RequestError(ErrorKind.BAD_REQUEST, "messages must be a list that is not empty")
-    return "\n".join(_message_text(message) for message in messages).encode(errors="replace")
+    return "\n".join(_read_message_text(message) for message in messages).encode(errors="replace")
 
 
-def _message_text(message: object) -> str:
+def _read_message_text(message: object) -> str:
     if not isinstance(message, dict) or not isinstance(message.get("role"), str):
         raise RequestError(ErrorKind.BAD_REQUEST, "each message needs a role")
     content = message.get("content")
@@ -155,8 +155,8 @@
         raise RequestError(ErrorKind.BAD_REQUEST, f"body is not a JSON object: {error}") from None
 
 
-def _field(body: Mapping[str, Any], key: str, kind: type, default: Any) -> Any:
-    """Read a field of one type; null stands for the default."""
+def _read_field(body: Mapping[str, Any], key: str, kind: type, default: Any) -> Any:
+    """Return a field of the given type, or the default if the field is missing or null."""
     value = body.get(key)
     if value is None:
         return default
@@ -165,26 +165,26 @@
     return value
 
 
-def _output_tokens(body: Mapping[str, Any], configuration: Configuration) -> int:
+def _read_output_tokens(body: Mapping[str, Any], configuration: Configuration) -> int:
     limit = configuration.limits.output_tokens
-    default = _field(body, "max_completion_tokens", int, min(_DEFAULT_OUTPUT_TOKENS, limit))
-    output: int = _field(body, "max_tokens", int, default)
+    default = _read_field(body, "max_completion_tokens", int, min(_DEFAULT_OUTPUT_TOKENS, limit))
+    output: int = _read_field(body, "max_tokens", int, default)
     if not 1 <= output <= limit:
         raise RequestError(ErrorKind.BAD_REQUEST, f"max_tokens must be from 1 to {limit}")
     return output
 
 
-def _service_of(configuration: Configuration, model: str) -> Service:
+def _find_service(configuration: Configuration, model: str) -> Service:
     for service in configuration.services.values():
         if model in service.models:
             return service
     raise RequestError(ErrorKind.UNKNOWN_MODEL, f"no service has the model {model[:64]!r}")
 
 
-def _class_of(
+def _find_class(
     configuration: Configuration, service: Service, headers: Mapping[str, str]
 ) -> RequestClass:
-    """Take the class that the caller names, or the service's first one."""
+    """Return the class named in the header, or the first class of the service."""
     name = headers.get(CLASS_HEADER)
     for request_class in configuration.classes.values():
         if request_class.service == service.name and name in (None, request_class.name):
@@ -194,21 +194,21 @@
     )
 
 
-def _organisation_of(headers: Mapping[str, str]) -> str:
+def _read_organisation(headers: Mapping[str, str]) -> str:
     name = headers.get(ORGANISATION_HEADER, _ANONYMOUS)
-    if not 0 < len(name) <= _MAX_NAME or not name.isprintable():
+    if not 0 < len(name) <= _MAX_ORGANISATION_LENGTH or not name.isprintable():
         raise RequestError(
             ErrorKind.BAD_REQUEST,
-            f"{ORGANISATION_HEADER} must have 1 to {_MAX_NAME} printable characters",
+            f"{ORGANISATION_HEADER} must have 1 to {_MAX_ORGANISATION_LENGTH} printable characters",
         )
     return name
 
 
-def _deadline_of(arrival: Arrival, request_class: RequestClass) -> float:
-    """Give the deadline: the caller's, but never later than the class allows."""
-    text = arrival.headers.get(DEADLINE_HEADER)
+def _compute_deadline(incoming: Arrival, request_class: RequestClass) -> float:
+    """Return the caller's deadline, limited to the deadline of the request class."""
+    text = incoming.headers.get(DEADLINE_HEADER)
     if text is None:
-        return arrival.at + request_class.deadline_s
+        return incoming.at + request_class.deadline_s
     try:
         seconds = float(text)
     except ValueError:
@@ -217,4 +217,4 @@
         raise RequestError(
             ErrorKind.BAD_REQUEST, f"{DEADLINE_HEADER} must be a number of seconds above 0"
         )
-    return arrival.at + min(seconds, request_class.deadline_s)
+    return incoming.at + min(seconds, request_class.deadline_s)
--- a/cleatlink/request/classify_test.py
+++ b/cleatlink/request/classify_test.py
@@ -1,4 +1,4 @@
-"""Callers' input: everything odd is a clear error, nothing is a traceback."""
+"""Tests that invalid input of callers raises a RequestError with a message, and nothing else."""
 
 import json
 from pathlib import Path
@@ -13,7 +13,7 @@
 
 TEXT = (Path(__file__).parents[2] / "examples/bublina.yaml").read_text()
 CONFIGURATION, _ = load_configuration(TEXT, 1)
-GOOD = {"model": "bublina-translate", "prompt": "Hello"}
+VALID_BODY = {"model": "bublina-translate", "prompt": "Hello"}
 
 
 def classify(body: object, chat: bool = False, **headers: str) -> ModelOrder:
@@ -23,28 +23,28 @@
     return classify_model(raw, chat, Arrival("r", named, 100.0), CONFIGURATION)
 
 
-def test_plain_request() -> None:
-    order = classify(GOOD, x_organisation="o")
+def test_request_without_optional_headers_gets_the_defaults() -> None:
+    order = classify(VALID_BODY, x_organisation="o")
     assert order.request.request_class == "translation"
     assert order.request.organisation == "o"
     assert order.request.deadline == 120.0
     assert not order.stream
 
 
-def test_class_and_deadline_come_from_headers_within_limits() -> None:
-    order = classify(GOOD, x_request_class="summary", x_deadline_s="5")
+def test_headers_set_class_and_deadline_within_the_class_limit() -> None:
+    order = classify(VALID_BODY, x_request_class="summary", x_deadline_s="5")
     assert (order.request.request_class, order.request.deadline) == ("summary", 105.0)
-    assert classify(GOOD, x_deadline_s="5000").request.deadline == 120.0
+    assert classify(VALID_BODY, x_deadline_s="5000").request.deadline == 120.0
 
 
-def test_chat_content_in_parts() -> None:
+def test_chat_content_in_parts_has_the_same_prefix_as_plain_text() -> None:
     parts = [{"type": "text", "text": "a"}, {"type": "image_url"}, {"type": "text", "text": "b"}]
     messages = [{"role": "user", "content": parts}, {"role": "user", "content": "c"}]
-    plain = [{"role": "user", "content": "ab"}, {"role": "user", "content": "c"}]
+    plain_messages = [{"role": "user", "content": "ab"}, {"role": "user", "content": "c"}]
     model = "bublina-translate"
-    one = classify({"model": model, "messages": messages}, chat=True)
-    other = classify({"model": model, "messages": plain}, chat=True)
-    assert one.request.prefix_hash == other.request.prefix_hash
+    in_parts = classify({"model": model, "messages": messages}, chat=True)
+    as_text = classify({"model": model, "messages": plain_messages}, chat=True)
+    assert in_parts.request.prefix_hash == as_text.request.prefix_hash
 
 
 @pytest.mark.parametrize(
@@ -54,30 +54,30 @@
         (b"[]", {}, ErrorKind.BAD_REQUEST),
         (b"\xff\xfe", {}, ErrorKind.BAD_REQUEST),
         (b"[" * 100_000, {}, ErrorKind.BAD_REQUEST),
-        ({**GOOD, "model": 7}, {}, ErrorKind.BAD_REQUEST),
-        ({**GOOD, "model": "no-such"}, {}, ErrorKind.UNKNOWN_MODEL),
-        ({**GOOD, "prompt": ""}, {}, ErrorKind.BAD_REQUEST),
-        ({**GOOD, "prompt": ["a"]}, {}, ErrorKind.BAD_REQUEST),
-        ({**GOOD, "max_tokens": 0}, {}, ErrorKind.BAD_REQUEST),
-        ({**GOOD, "max_tokens": True}, {}, ErrorKind.BAD_REQUEST),
-        ({**GOOD, "max_tokens": 10**30}, {}, ErrorKind.BAD_REQUEST),
-        ({**GOOD, "n": 2}, {}, ErrorKind.BAD_REQUEST),
-        ({**GOOD, "stream": "yes"}, {}, ErrorKind.BAD_REQUEST),
-        ({**GOOD, "prompt": "x" * 500_000}, {}, ErrorKind.TOO_LARGE),
-        (GOOD, {"x_request_class": "pages"}, ErrorKind.UNKNOWN_CLASS),
-        (GOOD, {"x_request_class": ""}, ErrorKind.UNKNOWN_CLASS),
-        (GOOD, {"x_deadline_s": "nan"}, ErrorKind.BAD_REQUEST),
-        (GOOD, {"x_deadline_s": "-1"}, ErrorKind.BAD_REQUEST),
-        (GOOD, {"x_organisation": ""}, ErrorKind.BAD_REQUEST),
-        (GOOD, {"x_organisation": "a" * 129}, ErrorKind.BAD_REQUEST),
+        ({**VALID_BODY, "model": 7}, {}, ErrorKind.BAD_REQUEST),
+        ({**VALID_BODY, "model": "no-such"}, {}, ErrorKind.UNKNOWN_MODEL),
+        ({**VALID_BODY, "prompt": ""}, {}, ErrorKind.BAD_REQUEST),
+        ({**VALID_BODY, "prompt": ["a"]}, {}, ErrorKind.BAD_REQUEST),
+        ({**VALID_BODY, "max_tokens": 0}, {}, ErrorKind.BAD_REQUEST),
+        ({**VALID_BODY, "max_tokens": True}, {}, ErrorKind.BAD_REQUEST),
+        ({**VALID_BODY, "max_tokens": 10**30}, {}, ErrorKind.BAD_REQUEST),
+        ({**VALID_BODY, "n": 2}, {}, ErrorKind.BAD_REQUEST),
+        ({**VALID_BODY, "stream": "yes"}, {}, ErrorKind.BAD_REQUEST),
+        ({**VALID_BODY, "prompt": "x" * 500_000}, {}, ErrorKind.TOO_LARGE),
+        (VALID_BODY, {"x_request_class": "pages"}, ErrorKind.UNKNOWN_CLASS),
+        (VALID_BODY, {"x_request_class": ""}, ErrorKind.UNKNOWN_CLASS),
+        (VALID_BODY, {"x_deadline_s": "nan"}, ErrorKind.BAD_REQUEST),
+        (VALID_BODY, {"x_deadline_s": "-1"}, ErrorKind.BAD_REQUEST),
+        (VALID_BODY, {"x_organisation": ""}, ErrorKind.BAD_REQUEST),
+        (VALID_BODY, {"x_organisation": "a" * 129}, ErrorKind.BAD_REQUEST),
     ],
 )
-def test_odd_input_is_refused(body: object, headers: dict[str, str], kind: ErrorKind) -> None:
-    with pytest.raises(RequestError) as caught:
+def test_invalid_input_is_rejected(body: object, headers: dict[str, str], kind: ErrorKind) -> None:
+    with pytest.raises(RequestError) as raised:
         classify(body, **headers)
-    assert caught.value.kind is kind
-    assert caught.value.detail
-    assert len(caught.value.detail) < 300
+    assert raised.value.kind is kind
+    assert raised.value.detail
+    assert len(raised.value.detail) < 300
 
 
 JSON = st.recursive(
@@ -91,11 +91,11 @@
 
 
 @given(st.dictionaries(FIELDS, JSON), st.booleans(), st.text(max_size=6))
-def test_any_json_is_classified_or_refused(
+def test_any_json_object_is_classified_or_rejected(
     body: dict[str, object], chat: bool, deadline: str
 ) -> None:
     try:
-        order = classify({**GOOD, **body}, chat, x_deadline_s=deadline or "1")
+        order = classify({**VALID_BODY, **body}, chat, x_deadline_s=deadline or "1")
     except RequestError as error:
         assert error.detail
     else:
@@ -104,12 +104,12 @@
 
 
 @given(st.binary(max_size=60), st.booleans())
-def test_any_bytes_are_classified_or_refused(raw: bytes, chat: bool) -> None:
+def test_arbitrary_bytes_are_rejected(raw: bytes, chat: bool) -> None:
     with pytest.raises(RequestError):
         classify(raw, chat)
 
 
-def test_calls_go_to_plain_services_only() -> None:
+def test_calls_are_accepted_for_plain_services_only() -> None:
     assert CONFIGURATION is not None
     request, request_class, service = classify_call(
         "reader-api", Arrival("r", {}, 1.0), CONFIGURATION
--- a/cleatlink/request/events.py
+++ b/cleatlink/request/events.py
@@ -1,7 +1,8 @@
-"""What happens to a request, and what is to be done about it.
+"""Events and actions of the request state machines.
 
-Events go into a machine, actions come out. ``attempt`` numbers the tries of
-one request from 0; an event of an attempt that is no longer current is late.
+A state machine receives events and returns actions. ``attempt`` is the number of
+an attempt of one request, starting at 0. An event of an attempt that is no longer
+current is late.
 """
 
 from enum import StrEnum
@@ -37,7 +38,11 @@
 
 
 class Cause(StrEnum):
-    """Why an order to an endpoint failed, by what it says about running."""
+    """Why an order to an endpoint failed.
+
+    The cause shows whether the request may have run: it did not run if the endpoint was
+    unreachable or refused the order.
+    """
 
     UNREACHABLE = "unreachable"
     REFUSED = "refused"
@@ -45,26 +50,26 @@
 
 
 class Placed(NamedTuple):
-    """The request has a place."""
+    """Endpoints were found for the request."""
 
     placement: Placement
 
 
 class Unplaced(NamedTuple):
-    """The request has no place."""
+    """No endpoint was found for the request."""
 
     refusal: Refusal
 
 
 class PrefillDone(NamedTuple):
-    """The prefill's result waits to be imported."""
+    """The prefill has finished and its result can be imported."""
 
     attempt: int
     kv: KvHandle
 
 
 class Failed(NamedTuple):
-    """An order of this attempt failed at an endpoint."""
+    """An order of the attempt failed at an endpoint."""
 
     attempt: int
     endpoint: Endpoint
@@ -72,13 +77,21 @@
 
 
 class Opened(NamedTuple):
-    """The decode's stream can be read."""
+    """The stream of the decode is open for reading."""
 
     attempt: int
 
 
 class Received(NamedTuple):
-    """One event of the decode's stream; ``end`` marks the last one."""
+    """An event of the decode's stream arrived.
+
+    Attributes:
+        attempt: Attempt whose stream was read.
+        owner: Request and attempt that the event names as its own, ``request.attempt``.
+        position: Position of the event in the answer.
+        data: Content of the event.
+        end: Whether this is the last event of the stream.
+    """
 
     attempt: int
     owner: str
@@ -88,7 +101,7 @@
 
 
 class Broken(NamedTuple):
-    """The stream stopped before its end, or stalled."""
+    """The stream ended early or stalled."""
 
     attempt: int
 
@@ -102,13 +115,13 @@
 
 
 class Place(NamedTuple):
-    """Find a place without the excluded endpoints."""
+    """Find endpoints for the request, except the excluded ones."""
 
     excluded: frozenset[str]
 
 
 class Prefill(NamedTuple):
-    """Order a prefill; a position above 0 continues an answer."""
+    """Send a prefill order; a position above 0 continues an answer."""
 
     attempt: int
     placement: Placement
@@ -116,7 +129,7 @@
 
 
 class Decode(NamedTuple):
-    """Order a decode that imports the prefill's result."""
+    """Send a decode order that imports the prefill result."""
 
     attempt: int
     placement: Placement
@@ -131,7 +144,7 @@
 
 
 class Resume(NamedTuple):
-    """Read the same decode again from a position."""
+    """Reopen the stream of the same decode at a position."""
 
     attempt: int
     endpoint: Endpoint
@@ -139,37 +152,37 @@
 
 
 class Relay(NamedTuple):
-    """Pass one event on to the caller."""
+    """Forward one event to the caller."""
 
     position: int
     data: bytes
 
 
 class Cancel(NamedTuple):
-    """Have an endpoint drop this request up to an attempt."""
+    """Cancel the request at an endpoint, up to and including an attempt."""
 
     endpoint: Endpoint
     attempt: int
 
 
 class Retried(NamedTuple):
-    """Count a retry with its reason."""
+    """Count a retry by its reason."""
 
     reason: str
 
 
 class Wasted(NamedTuple):
-    """Count prefill that was done, or may have been, for nothing."""
+    """Count a prefill that ran, or may have run, and whose result is not used."""
 
     attempt: int
 
 
 class Finish(NamedTuple):
-    """The whole answer has been passed on."""
+    """Complete the request: the whole answer has been forwarded."""
 
 
 class Refuse(NamedTuple):
-    """Give the final answer: the request gets no, or no more, result."""
+    """End the request with an error: no result, or no further result, follows."""
 
     refusal: Refusal
 
--- a/cleatlink/request/keys.py
+++ b/cleatlink/request/keys.py
@@ -1,11 +1,11 @@
-"""Once-only keys: one owner grants each key at most once.
-
-Nothing here lasts, so an owner can't know what an earlier owner granted. It
-therefore grants only keys that were made after its ownership became sure; for
-an older key it answers ``unknown``, which is the truth. Keys are UUIDv7, since
-these carry the time at which the caller made them. A key may name its home
-data centre before a colon, ``praha-a:0190...``, so that it can be granted there
-while the data centre is cut off; else its home follows from the key.
+"""Idempotency keys: the owner of a key grants it at most once.
+
+Keys are kept in memory only, so an owner can't know what an earlier owner granted.
+It therefore grants only keys that were created after its ownership was confirmed; for
+an older key it answers ``unknown``. Keys are UUIDv7 because these contain the time at
+which the caller created them. A key may name its home data centre before a colon,
+``praha-a:0190...``, so that the key can be granted there while the data centre is
+disconnected from the others. Otherwise, the home data centre is chosen by a hash of the key.
 """
 
 import uuid
@@ -24,16 +24,17 @@
     "parse_key_time",
 ]
 
-# How far callers' clocks may be from ours.
-CLOCK_SKEW_S = 2.0
-# For how long the outcome of a key is kept.
+# Maximum difference between the clocks of callers and of this instance, in seconds.
+MAX_CLOCK_SKEW_S = 2.0
+# How long the outcome of a key is kept, in seconds.
 KEY_LIFETIME_S = 600.0
+# Maximum number of keys kept by one instance.
 _MAX_KEYS = 100_000
 _UUID_VERSION = 7
 
 
 class ClaimState(StrEnum):
-    """What the owner says to one who wants to run a key."""
+    """The owner's answer to a claim of a key."""
 
     GRANTED = "granted"
     RUNNING = "running"
@@ -45,7 +46,7 @@
 
 
 class StoredAnswer(NamedTuple):
-    """The answer that a granted call got."""
+    """The endpoint's answer to a call whose key was granted."""
 
     status: int
     content_type: str
@@ -53,7 +54,7 @@
 
 
 class Claim(NamedTuple):
-    """The owner's word on a key."""
+    """Result of a claim, with the stored answer if the call has already run."""
 
     state: ClaimState
     answer: StoredAnswer | None = None
@@ -61,57 +62,58 @@
 
 class _Entry(NamedTuple):
     fingerprint: str
-    at: float
+    granted_at: float
     answer: StoredAnswer | None
 
 
 def parse_key_time(key: str) -> float | None:
-    """Read the time in a UUIDv7, in seconds since 1970; None if it is none."""
-    text = key.rpartition(":")[2]
+    """Return the creation time of a key in seconds since 1970; None if it is not a UUIDv7."""
+    uuid_text = key.rpartition(":")[2]
     try:
-        parsed = uuid.UUID(text)
+        parsed = uuid.UUID(uuid_text)
     except ValueError:
         return None
-    if parsed.version != _UUID_VERSION or str(parsed) != text.lower():
+    if parsed.version != _UUID_VERSION or str(parsed) != uuid_text.lower():
         return None
     return (parsed.int >> 80) / 1000
 
 
 def find_home(key: str, data_centres: Iterable[str]) -> str | None:
-    """Give a key's home data centre; None if it names one that is not known."""
+    """Return the home data centre of a key; None if the key names an unknown data centre."""
     names = sorted(data_centres)
-    named, separator, _ = key.rpartition(":")
+    home, separator, _ = key.rpartition(":")
     if separator:
-        return named if named in names else None
+        return home if home in names else None
     return rank_names(key, names)[0] if names else None
 
 
 class KeyRegistry:
-    """The keys that one instance owns; times are seconds since 1970."""
+    """The idempotency keys that one instance owns; times are in seconds since 1970."""
 
     def __init__(self, max_keys: int = _MAX_KEYS) -> None:
         self._entries: dict[str, _Entry] = {}
         self._max_keys = max_keys
 
     def claim(self, key: str, fingerprint: str, owner_since: float, now: float) -> Claim:
-        """Ask to run a key.
+        """Request permission to run the call of a key.
 
         Args:
             key: The caller's key, a UUIDv7.
-            fingerprint: Hash over organisation, method, path and body.
-            owner_since: When this instance became the sure owner of the key;
-                infinity while it is not sure.
-            now: Time since 1970 in seconds.
+            fingerprint: Hash of organisation, method, path and body.
+            owner_since: Time at which this instance's ownership of the key was
+                confirmed; infinity while it is not confirmed.
+            now: Current time in seconds since 1970.
 
         Returns:
-            ``GRANTED`` to exactly one caller for each key.
+            The state of the key; ``GRANTED`` to at most one caller for each key,
+            unless the call certainly did not run.
         """
         self._expire(now)
         entry = self._entries.get(key)
         if entry is not None:
-            return self._judge(entry, fingerprint)
-        made = parse_key_time(key)
-        if made is None or not self._is_ours(made, owner_since, now):
+            return self._compare_entry(entry, fingerprint)
+        created_at = parse_key_time(key)
+        if created_at is None or not self._is_ours(created_at, owner_since, now):
             return Claim(ClaimState.UNKNOWN)
         if len(self._entries) >= self._max_keys:
             return Claim(ClaimState.FULL)
@@ -119,7 +121,7 @@
         return Claim(ClaimState.GRANTED)
 
     def settle(self, key: str, answer: StoredAnswer | None) -> None:
-        """Note a granted key's answer; None says that it surely did not run."""
+        """Store the answer for a granted key; None means that the call certainly did not run."""
         entry = self._entries.get(key)
         if entry is None:
             return
@@ -129,7 +131,7 @@
             self._entries[key] = entry._replace(answer=answer)
 
     @staticmethod
-    def _judge(entry: _Entry, fingerprint: str) -> Claim:
+    def _compare_entry(entry: _Entry, fingerprint: str) -> Claim:
         if entry.fingerprint != fingerprint:
             return Claim(ClaimState.MISMATCH)
         if entry.answer is None:
@@ -137,17 +139,17 @@
         return Claim(ClaimState.DONE, entry.answer)
 
     @staticmethod
-    def _is_ours(made: float, owner_since: float, now: float) -> bool:
-        """Tell whether nobody else can have granted a key made at this time."""
-        fresh = now - KEY_LIFETIME_S + CLOCK_SKEW_S < made < now + CLOCK_SKEW_S
-        return fresh and made - CLOCK_SKEW_S > owner_since
+    def _is_ours(created_at: float, owner_since: float, now: float) -> bool:
+        """Check that no other instance can have granted a key created at a given time."""
+        is_recent = now - KEY_LIFETIME_S + MAX_CLOCK_SKEW_S < created_at < now + MAX_CLOCK_SKEW_S
+        return is_recent and created_at - MAX_CLOCK_SKEW_S > owner_since
 
     def _expire(self, now: float) -> None:
-        """Forget old keys; entries stand in the order in which they were granted."""
-        old = []
+        """Remove expired keys; the entries are ordered by the time of their grant."""
+        expired = []
         for key, entry in self._entries.items():
-            if entry.at > now - KEY_LIFETIME_S:
+            if entry.granted_at > now - KEY_LIFETIME_S:
                 break
-            old.append(key)
-        for key in old:
+            expired.append(key)
+        for key in expired:
             del self._entries[key]
--- a/cleatlink/request/keys_test.py
+++ b/cleatlink/request/keys_test.py
@@ -1,4 +1,4 @@
-"""Once-only keys: granted once, truthful about what can't be known, bounded."""
+"""Tests of idempotency keys: single grant, unknown outcomes and the limit on stored keys."""
 
 import math
 import uuid
@@ -7,8 +7,8 @@
 from hypothesis import strategies as st
 
 from cleatlink.request.keys import (
-    CLOCK_SKEW_S,
     KEY_LIFETIME_S,
+    MAX_CLOCK_SKEW_S,
     Claim,
     ClaimState,
     KeyRegistry,
@@ -26,18 +26,18 @@
     return str(uuid.UUID(int=value))
 
 
-def test_key_time_and_home() -> None:
+def test_creation_time_and_home_data_centre_are_read_from_the_key() -> None:
     key = make_key(NOW)
     assert parse_key_time(key) == NOW
     assert parse_key_time(f"a:{key}") == NOW
     assert find_home(f"b:{key}", ["a", "b"]) == "b"
     assert find_home(f"c:{key}", ["a", "b"]) is None
     assert find_home(key, ["b", "a"]) == find_home(key, ["a", "b"])
-    for wrong in ("", "x", str(uuid.uuid4()), key[:-1], f"{{{key}}}"):
-        assert parse_key_time(wrong) is None
+    for invalid in ("", "x", str(uuid.uuid4()), key[:-1], f"{{{key}}}"):
+        assert parse_key_time(invalid) is None
 
 
-def test_granted_once_then_running_then_done() -> None:
+def test_repeated_claim_of_a_granted_key_returns_running_then_done() -> None:
     registry, key = KeyRegistry(), make_key(NOW)
     assert registry.claim(key, "f", NOW - 60, NOW).state is ClaimState.GRANTED
     assert registry.claim(key, "f", NOW - 60, NOW).state is ClaimState.RUNNING
@@ -46,28 +46,28 @@
     assert registry.claim(key, "f", NOW - 60, NOW) == Claim(ClaimState.DONE, ANSWER)
 
 
-def test_surely_not_run_can_be_granted_again() -> None:
+def test_key_of_a_call_that_did_not_run_can_be_granted_again() -> None:
     registry, key = KeyRegistry(), make_key(NOW)
     registry.claim(key, "f", NOW - 60, NOW)
     registry.settle(key, None)
     assert registry.claim(key, "f", NOW - 60, NOW).state is ClaimState.GRANTED
 
 
-def test_older_than_the_ownership_is_unknown() -> None:
+def test_key_created_before_the_ownership_is_unknown() -> None:
     registry = KeyRegistry()
     assert registry.claim(make_key(NOW - 1), "f", NOW - 1, NOW).state is ClaimState.UNKNOWN
     assert registry.claim(make_key(NOW), "f", math.inf, NOW).state is ClaimState.UNKNOWN
 
 
-def test_forgotten_outcomes_are_unknown_and_memory_is_bounded() -> None:
+def test_expired_key_is_unknown_and_the_number_of_keys_is_limited() -> None:
     registry, key = KeyRegistry(max_keys=2), make_key(NOW)
     registry.claim(key, "f", NOW - 60, NOW)
     registry.settle(key, ANSWER)
     later = NOW + KEY_LIFETIME_S + 1
     assert registry.claim(key, "f", NOW - 60, later).state is ClaimState.UNKNOWN
     for number in range(2):
-        fresh = make_key(later, number)
-        assert registry.claim(fresh, "f", NOW, later).state is ClaimState.GRANTED
+        new_key = make_key(later, number)
+        assert registry.claim(new_key, "f", NOW, later).state is ClaimState.GRANTED
     assert registry.claim(make_key(later, 9), "f", NOW, later).state is ClaimState.FULL
 
 
@@ -78,19 +78,19 @@
     ),
     st.floats(0, 1000),
 )
-def test_a_key_that_ran_is_never_granted_again(
+def test_granted_key_is_never_granted_again(
     steps: list[tuple[int, float, str]], owner_age: float
 ) -> None:
     registry, now, ran = KeyRegistry(), NOW, set()
     keys = [make_key(NOW + 5 * number, number) for number in range(4)]
-    for number, wait_s, step in steps:
+    for number, wait_s, action in steps:
         now += wait_s
         key = keys[number]
-        if step == "settle":
+        if action == "settle":
             registry.settle(key, ANSWER)
         elif registry.claim(key, "f", NOW - owner_age, now).state is ClaimState.GRANTED:
             assert key not in ran
-            made = parse_key_time(key)
-            assert made is not None
-            assert made - CLOCK_SKEW_S > NOW - owner_age
+            created_at = parse_key_time(key)
+            assert created_at is not None
+            assert created_at - MAX_CLOCK_SKEW_S > NOW - owner_age
             ran.add(key)
--- a/cleatlink/request/machine.py
+++ b/cleatlink/request/machine.py
@@ -1,9 +1,9 @@
-"""One model request's life as a state machine: events in, actions out, no I/O.
+"""The state machine of one model request: it maps events to actions and does no I/O.
 
-The machine has one commit point: the first token passed on. Before it, a
-failed attempt is replaced by another one; after it, the same answer is
-continued from the next position. Every endpoint that may hold memory for the
-request is remembered until the endpoint is done with it or told to cancel.
+The commit point is the first token that is forwarded to the caller. Before it, a
+failed attempt is replaced by a new attempt. After it, the same answer is
+continued from the next position. The machine records every endpoint that may
+hold memory for the request until the endpoint has finished or a cancellation is sent.
 """
 
 from enum import StrEnum
@@ -39,14 +39,14 @@
 
 __all__ = ["ModelMachine", "Phase"]
 
-# Reading one decode again is cheap; a stream that needs it more often is sick.
+# Resuming the stream of a decode is cheap, but a stream that needs more resumes is faulty.
 _MAX_RESUMES = 16
-# A decode that gives nothing new when read again this often has stalled for good.
-_MAX_IDLE_RESUMES = 2
+# A decode that produces no new event over this many resumes has stalled permanently.
+_MAX_RESUMES_WITHOUT_PROGRESS = 2
 
 
 class Phase(StrEnum):
-    """Where a request is in its life."""
+    """Stage of processing of a request."""
 
     PLACING = "placing"
     PREFILLING = "prefilling"
@@ -55,7 +55,7 @@
 
 
 class ModelMachine:
-    """The life of one model request."""
+    """State machine of one model request."""
 
     def __init__(self, name: str, limits: Limits, budget: RetryBudget) -> None:
         self._name = name
@@ -64,61 +64,61 @@
         self._phase = Phase.PLACING
         self._attempt = -1
         self._placement: Placement | None = None
-        self._excluded: set[str] = set()
-        self._last_failed = ""
-        self._holders: list[tuple[Endpoint, int]] = []
+        self._excluded_names: set[str] = set()
+        self._last_failed_name = ""
+        self._memory_holders: list[tuple[Endpoint, int]] = []
         self._next = 0
         self._resumes = 0
-        self._idle_resumes = 0
+        self._resumes_without_progress = 0
         self._ran = Ran.NO
-        self._prefill_unused = False
-        self._foreign = 0
+        self._has_unused_prefill = False
+        self._mismatched_events = 0
 
     @property
     def phase(self) -> Phase:
-        """Where the request is in its life."""
+        """Stage of processing of the request."""
         return self._phase
 
     @property
     def attempt(self) -> int:
-        """Number of the current attempt, from 0; -1 before the first."""
+        """Number of the current attempt, starting at 0; -1 before the first attempt."""
         return self._attempt
 
     @property
     def ran(self) -> Ran:
-        """What is known about whether the request ran."""
+        """Whether the request ran, as far as is known."""
         return self._ran
 
     @property
-    def holders(self) -> tuple[tuple[Endpoint, int], ...]:
-        """Endpoints which may hold memory, each with the attempt that holds it."""
-        return tuple(self._holders)
+    def memory_holders(self) -> tuple[tuple[Endpoint, int], ...]:
+        """Endpoints that may hold memory, each with the attempt that the memory belongs to."""
+        return tuple(self._memory_holders)
 
     @property
-    def foreign(self) -> int:
-        """Events received that belonged to another request or attempt."""
-        return self._foreign
+    def mismatched_events(self) -> int:
+        """Number of received events that belonged to another request or attempt."""
+        return self._mismatched_events
 
     def start(self) -> list[Action]:
-        """Give the first action."""
+        """Return the first action."""
         return [Place(frozenset())]
 
     def handle(self, event: Event) -> list[Action]:
-        """Take one event and give what is to be done, in order."""
-        if self._phase is Phase.DONE or self._is_late(event):
+        """Process one event and return the resulting actions, in the order of execution."""
+        if self._phase is Phase.DONE or self._is_stale(event):
             return []
-        # First, because it comes for each token.
+        # Checked before the match statement because this event arrives for every token.
         if isinstance(event, Received):
             return self._receive(event)
         match event:
             case Placed(placement):
                 return self._begin_attempt(placement)
             case Unplaced(refusal):
-                return self._place_again(refusal)
+                return self._handle_unplaced(refusal)
             case PrefillDone(_, kv):
                 return self._begin_decode(kv)
             case Failed():
-                return self._retry(event)
+                return self._handle_failure(event)
             case Opened(attempt):
                 return [Read(attempt)]
             case Broken():
@@ -126,10 +126,10 @@
             case DeadlinePassed():
                 return self._give_up(self._deadline_refusal())
             case CallerGone():
-                return self._end()
+                return self._cancel_and_end()
 
-    def _is_late(self, event: Event) -> bool:
-        """Tell whether an event belongs to an attempt that was given up."""
+    def _is_stale(self, event: Event) -> bool:
+        """Check whether an event belongs to an attempt that is no longer current."""
         if isinstance(event, PrefillDone | Failed | Opened | Received | Broken):
             return event.attempt != self._attempt
         return False
@@ -138,109 +138,118 @@
         self._attempt += 1
         self._placement = placement
         self._phase = Phase.PREFILLING
-        self._holders.append((placement.prefill, self._attempt))
+        self._memory_holders.append((placement.prefill, self._attempt))
         return [Prefill(self._attempt, placement, self._next)]
 
     def _begin_decode(self, kv: KvHandle) -> list[Action]:
         assert self._placement is not None
         self._ran = Ran.YES
-        self._prefill_unused = True
+        self._has_unused_prefill = True
         self._phase = Phase.DECODING
         if self._placement.decode != self._placement.prefill:
-            self._holders.append((self._placement.decode, self._attempt))
+            self._memory_holders.append((self._placement.decode, self._attempt))
         return [Decode(self._attempt, self._placement, kv, self._next)]
 
     def _receive(self, event: Received) -> list[Action]:
-        """Pass an event on only if it is the very next one of this attempt."""
+        """Forward an event only if it has the next expected position of the current attempt."""
         if event.owner != f"{self._name}.{self._attempt}":
-            self._foreign += 1
+            self._mismatched_events += 1
             return [Read(self._attempt)]
         if event.position < self._next:
             return [Read(self._attempt)]
         if event.position > self._next:
             return self._resume()
         if event.end:
-            self._holders.clear()
+            self._memory_holders.clear()
             self._phase = Phase.DONE
             return [Finish()]
         self._next += 1
-        self._idle_resumes = 0
-        self._prefill_unused = False
+        self._resumes_without_progress = 0
+        self._has_unused_prefill = False
         return [Relay(event.position, event.data), Read(self._attempt)]
 
     def _resume(self) -> list[Action]:
-        """Read the decode again, or start another attempt where that is no use."""
+        """Resume the decode's stream, or retry the request if a resume limit is exceeded."""
         assert self._placement is not None
         self._resumes += 1
-        self._idle_resumes += 1
-        if self._resumes > _MAX_RESUMES or self._idle_resumes > _MAX_IDLE_RESUMES:
+        self._resumes_without_progress += 1
+        if (
+            self._resumes > _MAX_RESUMES
+            or self._resumes_without_progress > _MAX_RESUMES_WITHOUT_PROGRESS
+        ):
             failed = Failed(self._attempt, self._placement.decode, Cause.UNKNOWN)
-            return self._retry(failed)
+            return self._handle_failure(failed)
         resume = Resume(self._attempt, self._placement.decode, self._next)
         return [Retried("resume"), resume]
 
-    def _retry(self, event: Failed) -> list[Action]:
-        """Cancel what the failed attempt holds, then place again if that is allowed."""
+    def _handle_failure(self, event: Failed) -> list[Action]:
+        """Cancel the failed attempt, then request a new placement if a retry is allowed."""
         if self._resumes and event.cause is Cause.UNREACHABLE:
-            # It had the work before it was out of reach, so it may hold it still.
+            # The endpoint had accepted the order before it became unreachable, so it may still
+            # hold memory.
             event = event._replace(cause=Cause.UNKNOWN)
         if event.cause is Cause.UNKNOWN and self._ran is Ran.NO:
             self._ran = Ran.UNKNOWN
-        self._last_failed = event.endpoint.name
+        self._last_failed_name = event.endpoint.name
         if event.cause is not Cause.REFUSED:
-            self._excluded.add(event.endpoint.name)
-        actions = self._drop_attempt(event)
+            self._excluded_names.add(event.endpoint.name)
+        actions = self._cancel_attempt(event)
         if self._attempt + 1 >= self._limits.max_attempts or not self._budget.take():
             return actions + self._give_up(self._failure_refusal())
         self._phase = Phase.PLACING
-        self._resumes = self._idle_resumes = 0
-        # What refused may accept later, as when only the hand-over was too slow.
-        excluded = frozenset(self._excluded | {event.endpoint.name})
+        self._resumes = self._resumes_without_progress = 0
+        # An endpoint that refused is excluded only from this placement. It may accept later, for
+        # example if it refused only because the hand-over was too slow.
+        excluded = frozenset(self._excluded_names | {event.endpoint.name})
         return [*actions, Retried(event.cause.value), Place(excluded)]
 
-    def _place_again(self, refusal: Refusal) -> list[Action]:
-        """Forgive what failed before the last failure if nothing else is left."""
-        if self._excluded - {self._last_failed}:
-            self._excluded.clear()
-            return [Place(frozenset({self._last_failed}))]
-        return self._give_up(self._truthful(refusal))
+    def _handle_unplaced(self, refusal: Refusal) -> list[Action]:
+        """Handle a failed placement.
 
-    def _drop_attempt(self, event: Failed) -> list[Action]:
-        """Cancel every holder, but for an endpoint that surely holds nothing."""
+        If endpoints other than the last one that failed are excluded, request a
+        placement that excludes only the last one.
+        """
+        if self._excluded_names - {self._last_failed_name}:
+            self._excluded_names.clear()
+            return [Place(frozenset({self._last_failed_name}))]
+        return self._give_up(self._replace_if_may_have_run(refusal))
+
+    def _cancel_attempt(self, event: Failed) -> list[Action]:
+        """Cancel the attempt at every endpoint, except where it certainly holds no memory."""
         actions: list[Action] = []
-        if self._prefill_unused or event.cause is Cause.UNKNOWN:
+        if self._has_unused_prefill or event.cause is Cause.UNKNOWN:
             actions.append(Wasted(self._attempt))
-        for endpoint, attempt in self._holders:
-            if not self._holds_nothing(endpoint, event):
+        for endpoint, attempt in self._memory_holders:
+            if not self._holds_no_memory(endpoint, event):
                 actions.append(Cancel(endpoint, attempt))
-        self._holders.clear()
-        self._prefill_unused = False
+        self._memory_holders.clear()
+        self._has_unused_prefill = False
         return actions
 
-    def _holds_nothing(self, endpoint: Endpoint, event: Failed) -> bool:
-        """Tell whether a failure proves that an endpoint holds nothing."""
+    def _holds_no_memory(self, endpoint: Endpoint, event: Failed) -> bool:
+        """Check whether a failure proves that an endpoint holds no memory for the request."""
         if endpoint.name != event.endpoint.name or event.cause is Cause.UNKNOWN:
             return False
-        # One endpoint for both: a refused decode leaves the prefill's result there.
+        # If one endpoint runs both steps, a refused decode leaves the prefill result there.
         assert self._placement is not None
         is_prefill = endpoint.name == self._placement.prefill.name
         return self._phase is Phase.PREFILLING or not is_prefill
 
     def _give_up(self, refusal: Refusal) -> list[Action]:
-        return [*self._end(), Refuse(refusal)]
+        return [*self._cancel_and_end(), Refuse(refusal)]
 
-    def _end(self) -> list[Action]:
-        """Cancel everything that may hold memory; nothing happens afterwards."""
+    def _cancel_and_end(self) -> list[Action]:
+        """End the request and cancel it at every endpoint that may hold memory."""
         actions: list[Action] = []
-        if self._prefill_unused and self._next == 0:
+        if self._has_unused_prefill and self._next == 0:
             actions.append(Wasted(self._attempt))
-        actions += [Cancel(endpoint, attempt) for endpoint, attempt in self._holders]
-        self._holders.clear()
+        actions += [Cancel(endpoint, attempt) for endpoint, attempt in self._memory_holders]
+        self._memory_holders.clear()
         self._phase = Phase.DONE
         return actions
 
-    def _truthful(self, refusal: Refusal) -> Refusal:
-        """Keep a refusal from saying ``not run`` when an attempt may have run."""
+    def _replace_if_may_have_run(self, refusal: Refusal) -> Refusal:
+        """Replace a refusal that says ``not run`` if an attempt may have run."""
         if self._next or self._ran is not Ran.NO:
             return self._failure_refusal()
         return refusal
@@ -255,8 +264,8 @@
     def _deadline_refusal(self) -> Refusal:
         if self._next:
             return self._failure_refusal()
-        # An order that is out when the deadline passes may be running.
-        out = self._phase in (Phase.PREFILLING, Phase.DECODING)
-        if out or self._ran is not Ran.NO:
+        # An order that was sent and not yet answered at the deadline may be running.
+        was_sent = self._phase in (Phase.PREFILLING, Phase.DECODING)
+        if was_sent or self._ran is not Ran.NO:
             return Refusal(ErrorKind.DEADLINE_PASSED, "deadline passed while the request ran")
         return Refusal(ErrorKind.DEADLINE_NOT_RUN, "deadline passed before the request was placed")
--- a/cleatlink/request/machine_test.py
+++ b/cleatlink/request/machine_test.py
@@ -1,4 +1,4 @@
-"""The request machine under any order of events: its promises as invariants."""
+"""Tests of the model request state machine, including its invariants for any order of events."""
 
 import random
 
@@ -37,9 +37,9 @@
 LIMITS = Limits(1000, 1000, 1000, 10, 3, 0.1)
 P1, P2 = (Endpoint(name, name, "a", "prefill") for name in ("p1", "p2"))
 D1, D2 = (Endpoint(name, name, "a", "decode") for name in ("d1", "d2"))
-FIRST, SECOND = Placement(P1, D1, ""), Placement(P2, D2, "")
+FIRST_PLACEMENT, SECOND_PLACEMENT = Placement(P1, D1, ""), Placement(P2, D2, "")
 KV = KvHandle("p1", "p1", 1, (0,))
-LENGTH = 6
+MAX_POSITION = 6
 
 
 def make_machine(budget: float = 10.0) -> ModelMachine:
@@ -48,62 +48,62 @@
     return machine
 
 
-def streaming(machine: ModelMachine, tokens: int) -> None:
-    machine.handle(Placed(FIRST))
+def stream_tokens(machine: ModelMachine, tokens: int) -> None:
+    machine.handle(Placed(FIRST_PLACEMENT))
     machine.handle(PrefillDone(0, KV))
     machine.handle(Opened(0))
     for position in range(tokens):
         machine.handle(Received(0, "r.0", position, b"x", False))
 
 
-def kinds(actions: list[Action]) -> list[type]:
+def action_types(actions: list[Action]) -> list[type]:
     return [type(action) for action in actions]
 
 
-def test_plain_life() -> None:
+def test_request_without_failures_runs_to_completion() -> None:
     machine = make_machine()
-    assert machine.handle(Placed(FIRST)) == [Prefill(0, FIRST, 0)]
-    assert machine.handle(PrefillDone(0, KV)) == [Decode(0, FIRST, KV, 0)]
+    assert machine.handle(Placed(FIRST_PLACEMENT)) == [Prefill(0, FIRST_PLACEMENT, 0)]
+    assert machine.handle(PrefillDone(0, KV)) == [Decode(0, FIRST_PLACEMENT, KV, 0)]
     assert machine.handle(Opened(0)) == [Read(0)]
     assert machine.handle(Received(0, "r.0", 0, b"x", False)) == [Relay(0, b"x"), Read(0)]
     assert machine.handle(Received(0, "r.0", 1, b"", True)) == [Finish()]
     assert machine.phase is Phase.DONE
-    assert machine.holders == ()
+    assert machine.memory_holders == ()
 
 
-def test_late_first_answer_after_a_retry_is_not_passed_on() -> None:
+def test_events_of_an_earlier_attempt_are_not_forwarded() -> None:
     machine = make_machine()
-    machine.handle(Placed(FIRST))
+    machine.handle(Placed(FIRST_PLACEMENT))
     actions = machine.handle(Failed(0, P1, Cause.UNKNOWN))
     assert Cancel(P1, 0) in actions
-    machine.handle(Placed(SECOND))
+    machine.handle(Placed(SECOND_PLACEMENT))
     assert machine.handle(PrefillDone(0, KV)) == []
     machine.handle(PrefillDone(1, KV))
     assert machine.handle(Received(0, "r.0", 0, b"late", False)) == []
-    late_owner = machine.handle(Received(1, "r.0", 0, b"late", False))
-    assert late_owner == [Read(1)]
-    assert machine.foreign == 1
+    actions_for_earlier_attempt = machine.handle(Received(1, "r.0", 0, b"late", False))
+    assert actions_for_earlier_attempt == [Read(1)]
+    assert machine.mismatched_events == 1
 
 
-def test_short_answer_is_not_complete() -> None:
+def test_end_event_with_skipped_positions_resumes_the_stream() -> None:
     machine = make_machine()
-    streaming(machine, 2)
+    stream_tokens(machine, 2)
     assert machine.handle(Received(0, "r.0", 3, b"", True)) == [
         Retried("resume"),
         Resume(0, D1, 2),
     ]
 
 
-def test_refusal_after_prefill_cancels_the_kept_result() -> None:
+def test_refused_decode_cancels_the_prefill_result() -> None:
     machine = make_machine()
-    machine.handle(Placed(FIRST))
+    machine.handle(Placed(FIRST_PLACEMENT))
     machine.handle(PrefillDone(0, KV))
     actions = machine.handle(Failed(0, D1, Cause.REFUSED))
     assert Cancel(P1, 0) in actions
     assert Cancel(D1, 0) not in actions
 
 
-def test_one_endpoint_for_both_is_cancelled_when_it_refuses_the_decode() -> None:
+def test_endpoint_of_both_steps_is_cancelled_when_it_refuses_the_decode() -> None:
     both = Placement(P1, P1, "")
     machine = make_machine()
     machine.handle(Placed(both))
@@ -111,39 +111,41 @@
     assert Cancel(P1, 0) in machine.handle(Failed(0, P1, Cause.REFUSED))
 
 
-def test_out_of_reach_after_it_held_work_is_cancelled() -> None:
+def test_endpoint_that_becomes_unreachable_during_decode_is_cancelled() -> None:
     machine = make_machine()
-    streaming(machine, 2)
+    stream_tokens(machine, 2)
     machine.handle(Broken(0))
     assert Cancel(D1, 0) in machine.handle(Failed(0, D1, Cause.UNREACHABLE))
 
 
-def test_no_budget_no_retry() -> None:
+def test_exhausted_retry_budget_prevents_a_retry() -> None:
     machine = make_machine(budget=0.0)
-    machine.handle(Placed(FIRST))
+    machine.handle(Placed(FIRST_PLACEMENT))
     actions = machine.handle(Failed(0, P1, Cause.REFUSED))
-    assert kinds(actions) == [Refuse]
+    assert action_types(actions) == [Refuse]
     assert actions[-1].refusal.kind is ErrorKind.ENDPOINT_REFUSED  # type: ignore[union-attr]
 
 
-def test_no_place_after_an_attempt_that_may_have_run_does_not_say_not_run() -> None:
+def test_failed_placement_after_unknown_outcome_does_not_report_not_run() -> None:
     machine = make_machine()
-    machine.handle(Placed(FIRST))
+    machine.handle(Placed(FIRST_PLACEMENT))
     machine.handle(Failed(0, P1, Cause.UNKNOWN))
     actions = machine.handle(Unplaced(Refusal(ErrorKind.NO_ROOM, "")))
     assert ANSWERS[actions[-1].refusal.kind].ran == "unknown"  # type: ignore[union-attr]
 
 
-def test_deadline_while_an_order_is_out_does_not_say_not_run() -> None:
+def test_deadline_during_an_open_order_does_not_report_not_run() -> None:
     machine = make_machine()
     assert machine.handle(DeadlinePassed())[-1].refusal.kind is ErrorKind.DEADLINE_NOT_RUN  # type: ignore[union-attr]
     machine = make_machine()
-    machine.handle(Placed(FIRST))
+    machine.handle(Placed(FIRST_PLACEMENT))
     assert machine.handle(DeadlinePassed())[-1].refusal.kind is ErrorKind.DEADLINE_PASSED  # type: ignore[union-attr]
 
 
 EVENTS = st.one_of(
-    st.sampled_from([Placed(FIRST), Placed(SECOND), DeadlinePassed(), CallerGone()]),
+    st.sampled_from(
+        [Placed(FIRST_PLACEMENT), Placed(SECOND_PLACEMENT), DeadlinePassed(), CallerGone()]
+    ),
     st.sampled_from([Unplaced(Refusal(kind, "")) for kind in (ErrorKind.NO_ROOM,)]),
     st.builds(PrefillDone, st.integers(0, 3), st.just(KV)),
     st.builds(Failed, st.integers(0, 3), st.sampled_from([P1, P2, D1, D2]), st.sampled_from(Cause)),
@@ -153,7 +155,7 @@
         Received,
         st.integers(0, 3),
         st.sampled_from(["r.0", "r.1", "r.2", "other.0"]),
-        st.integers(0, LENGTH),
+        st.integers(0, MAX_POSITION),
         st.just(b"x"),
         st.booleans(),
     ),
@@ -161,7 +163,11 @@
 
 
 def is_possible(pending: Action | None, event: Event) -> bool:
-    """Only the answer to the pending action, or an outer event, can come; the rest is late."""
+    """Check whether an event can occur while an action is pending.
+
+    Possible events are the answers to the pending action, a passed deadline and a caller
+    that disconnects. Any other event is late.
+    """
     if isinstance(event, DeadlinePassed | CallerGone):
         return True
     match pending:
@@ -187,29 +193,29 @@
 
 
 @given(st.lists(EVENTS, max_size=60))
-def test_invariants_hold_in_any_order_of_events(events: list[Event]) -> None:
+def test_invariants_hold_for_any_order_of_events(events: list[Event]) -> None:
     machine = make_machine()
     pending: Action | None = Place(frozenset())
-    next_position, endings, ordered, cancelled = 0, 0, set(), set()
+    next_position, final_actions, ordered, cancelled = 0, 0, set(), set()
     definitely_refused: set[tuple[str, int]] = set()
     for event in events:
-        late = isinstance(event, PrefillDone | Failed | Opened | Received | Broken) and (
+        is_late = isinstance(event, PrefillDone | Failed | Opened | Received | Broken) and (
             event.attempt != machine.attempt
         )
-        if not late and not is_possible(pending, event):
+        if not is_late and not is_possible(pending, event):
             continue
-        if isinstance(event, Failed) and event.cause is not Cause.UNKNOWN and not late:
+        if isinstance(event, Failed) and event.cause is not Cause.UNKNOWN and not is_late:
             definitely_refused.add((event.endpoint.name, event.attempt))
         ran_before = machine.ran
         actions = machine.handle(event)
-        assert not late or actions == []
+        assert not is_late or actions == []
         for action in actions:
             match action:
                 case Relay(position, _):
                     assert position == next_position
                     next_position += 1
                 case Finish() | Refuse():
-                    endings += 1
+                    final_actions += 1
                     if isinstance(action, Refuse) and ANSWERS[action.refusal.kind].ran == "no":
                         assert ran_before is Ran.NO
                         assert next_position == 0
@@ -226,13 +232,15 @@
             pending = None
             finished = any(isinstance(action, Finish) for action in actions)
             if not finished and actions:
-                left = ordered - cancelled - definitely_refused
-                assert not left, f"may hold memory for ever: {left}"
-    assert endings <= 1
+                not_cancelled = ordered - cancelled - definitely_refused
+                assert not not_cancelled, (
+                    f"endpoints may hold memory without a time limit: {not_cancelled}"
+                )
+    assert final_actions <= 1
     assert machine.attempt < LIMITS.max_attempts
 
 
-def test_budget_bounds_retries_to_a_share_of_requests() -> None:
+def test_budget_limits_retries_to_a_share_of_requests() -> None:
     budget = RetryBudget(0.1, 0.0)
     rng = random.Random(1)
     retries = 0
--- a/cleatlink/request/notes.py
+++ b/cleatlink/request/notes.py
@@ -1,29 +1,31 @@
-"""Notes on requests in flight, kept for peers in case they die.
+"""Records of peers' requests in flight, used to cancel the work of instances that die.
 
-Before an instance orders work at an endpoint it sends a note of that to two
-peers. When it is confirmed dead, the peers cancel what it left behind. A note
-outlives its request's deadline by nothing: then the work is over anyhow.
+Before an instance sends an order to an endpoint, it sends a note that describes the
+request to two peers. When the instance is confirmed dead, these peers cancel its work at
+the endpoints. A note expires at the deadline of its request because the work has ended by then.
 """
 
 from typing import NamedTuple
 
 __all__ = ["Note", "NoteBook", "Orphan"]
 
-# After a death, this long for the caller to resume through another instance.
-GRACE_S = 2.0
+# Delay between an instance's death and the cancellation of its work, in seconds; a caller can
+# resume its request through another instance meanwhile.
+RESUME_GRACE_S = 2.0
+# Maximum number of notes kept by one instance.
 _MAX_NOTES = 50_000
 
 
 class Note(NamedTuple):
-    """One request in flight: where it may hold memory, and until when.
+    """One request in flight, the endpoints that may hold memory for it, and its deadline.
 
     Attributes:
         request: Name of the request.
-        owner: Name of the instance that relays it.
-        incarnation: That instance's incarnation.
-        attempt: Highest attempt ordered so far.
-        endpoints: Addresses of the endpoints which may hold memory.
-        expires_in_s: Seconds to the request's deadline when the note was sent.
+        owner: Name of the instance that relays the request.
+        incarnation: Incarnation of that instance.
+        attempt: Highest attempt for which an order was sent.
+        endpoints: Addresses of the endpoints that may hold memory.
+        expires_in_s: Seconds until the request's deadline at the time of sending.
     """
 
     request: str
@@ -35,7 +37,7 @@
 
 
 class Orphan(NamedTuple):
-    """Work of a dead instance that is to be cancelled at an endpoint."""
+    """Work of a dead instance that must be cancelled at an endpoint."""
 
     request: str
     attempt: int
@@ -43,58 +45,58 @@
     expires: float
 
 
-class _Kept(NamedTuple):
+class _StoredNote(NamedTuple):
     note: Note
     expires: float
 
 
 class NoteBook:
-    """Peers' notes; times are readings of the monotonic clock."""
+    """The notes received from peers; times are readings of the monotonic clock."""
 
     def __init__(self) -> None:
-        self._kept: dict[str, _Kept] = {}
-        self._dead: dict[tuple[str, int], float] = {}
+        self._notes: dict[str, _StoredNote] = {}
+        self._due_at: dict[tuple[str, int], float] = {}
 
     def __len__(self) -> int:
-        return len(self._kept)
+        return len(self._notes)
 
     def put(self, note: Note, now: float) -> None:
-        """Keep a note, adding to what is known of the same request."""
-        known = self._kept.get(note.request)
+        """Store a note, merged with the stored note of the same request."""
+        stored = self._notes.get(note.request)
         endpoints = set(note.endpoints)
         attempt = note.attempt
-        if known is not None:
-            endpoints |= set(known.note.endpoints)
-            attempt = max(attempt, known.note.attempt)
-        elif len(self._kept) >= _MAX_NOTES:
+        if stored is not None:
+            endpoints |= set(stored.note.endpoints)
+            attempt = max(attempt, stored.note.attempt)
+        elif len(self._notes) >= _MAX_NOTES:
             return
         merged = note._replace(endpoints=tuple(sorted(endpoints)), attempt=attempt)
-        self._kept[note.request] = _Kept(merged, now + note.expires_in_s)
+        self._notes[note.request] = _StoredNote(merged, now + note.expires_in_s)
 
     def drop(self, request: str) -> None:
-        """Forget a request that is over."""
-        self._kept.pop(request, None)
+        """Remove the note of a request that has ended."""
+        self._notes.pop(request, None)
 
     def declare_dead(self, owner: str, incarnation: int, now: float) -> None:
-        """Note that an incarnation is dead; its work is due after the grace."""
-        self._dead.setdefault((owner, incarnation), now + GRACE_S)
+        """Mark an incarnation as dead; its work is due for cancellation after a grace period."""
+        self._due_at.setdefault((owner, incarnation), now + RESUME_GRACE_S)
 
     def declare_alive(self, owner: str, incarnation: int) -> None:
-        """Take back a death: the instance was only slow or cut off."""
-        self._dead.pop((owner, incarnation), None)
+        """Remove the mark of a dead incarnation that was only slow or disconnected."""
+        self._due_at.pop((owner, incarnation), None)
 
     def take_due(self, now: float) -> list[Orphan]:
-        """Take the work that is to be cancelled now, and forget what expired."""
-        due = {owner for owner, at in self._dead.items() if at <= now}
+        """Remove and return the work to cancel now, and remove expired notes."""
+        due_incarnations = {owner for owner, due_at in self._due_at.items() if due_at <= now}
         orphans: list[Orphan] = []
-        for request, kept in list(self._kept.items()):
-            note = kept.note
-            if kept.expires <= now:
-                del self._kept[request]
-            elif (note.owner, note.incarnation) in due:
-                del self._kept[request]
+        for request, stored in list(self._notes.items()):
+            note = stored.note
+            if stored.expires <= now:
+                del self._notes[request]
+            elif (note.owner, note.incarnation) in due_incarnations:
+                del self._notes[request]
                 orphans += [
-                    Orphan(request, note.attempt, address, kept.expires)
+                    Orphan(request, note.attempt, address, stored.expires)
                     for address in note.endpoints
                 ]
         return orphans
--- a/cleatlink/request/notes_test.py
+++ b/cleatlink/request/notes_test.py
@@ -1,43 +1,47 @@
-"""Notes: what a dead instance left is cancelled once, what lives is left alone."""
+"""Tests that work of dead instances is cancelled once and other work is not cancelled."""
 
-from cleatlink.request.notes import GRACE_S, Note, NoteBook, Orphan
+from cleatlink.request.notes import RESUME_GRACE_S, Note, NoteBook, Orphan
 
 NOTE = Note("r", "e1", 1, 0, ("p1", "d1"), 30.0)
 
 
-def test_dead_owner_is_cancelled_after_the_grace() -> None:
-    book = NoteBook()
-    book.put(NOTE, 100.0)
-    book.declare_dead("e1", 1, 101.0)
-    assert book.take_due(101.0 + GRACE_S - 0.1) == []
-    assert book.take_due(101.0 + GRACE_S) == [
+def test_work_of_a_dead_instance_is_cancelled_once_after_the_grace_period() -> None:
+    notes = NoteBook()
+    notes.put(NOTE, 100.0)
+    notes.declare_dead("e1", 1, 101.0)
+    assert notes.take_due(101.0 + RESUME_GRACE_S - 0.1) == []
+    assert notes.take_due(101.0 + RESUME_GRACE_S) == [
         Orphan("r", 0, "d1", 130.0),
         Orphan("r", 0, "p1", 130.0),
     ]
-    assert book.take_due(200.0) == []
-
-
-def test_later_attempt_adds_its_endpoints() -> None:
-    book = NoteBook()
-    book.put(NOTE, 100.0)
-    book.put(NOTE._replace(attempt=1, endpoints=("p2", "d1")), 101.0)
-    book.put(NOTE, 101.0)
-    book.declare_dead("e1", 1, 102.0)
-    due = book.take_due(110.0)
-    assert {(orphan.address, orphan.attempt) for orphan in due} == {("p1", 1), ("p2", 1), ("d1", 1)}
-
-
-def test_alive_again_dropped_and_expired_are_left_alone() -> None:
-    book = NoteBook()
-    book.put(NOTE, 100.0)
-    book.declare_dead("e1", 1, 101.0)
-    book.declare_alive("e1", 1)
-    assert book.take_due(110.0) == []
-    book.declare_dead("e1", 2, 110.0)
-    assert book.take_due(115.0) == []
-    book.drop("r")
-    assert len(book) == 0
-    book.put(NOTE, 100.0)
-    book.declare_dead("e1", 1, 101.0)
-    assert book.take_due(131.0) == []
-    assert len(book) == 0
+    assert notes.take_due(200.0) == []
+
+
+def test_note_of_a_later_attempt_adds_its_endpoints() -> None:
+    notes = NoteBook()
+    notes.put(NOTE, 100.0)
+    notes.put(NOTE._replace(attempt=1, endpoints=("p2", "d1")), 101.0)
+    notes.put(NOTE, 101.0)
+    notes.declare_dead("e1", 1, 102.0)
+    orphans = notes.take_due(110.0)
+    assert {(orphan.address, orphan.attempt) for orphan in orphans} == {
+        ("p1", 1),
+        ("p2", 1),
+        ("d1", 1),
+    }
+
+
+def test_work_of_live_instances_and_removed_or_expired_notes_is_not_cancelled() -> None:
+    notes = NoteBook()
+    notes.put(NOTE, 100.0)
+    notes.declare_dead("e1", 1, 101.0)
+    notes.declare_alive("e1", 1)
+    assert notes.take_due(110.0) == []
+    notes.declare_dead("e1", 2, 110.0)
+    assert notes.take_due(115.0) == []
+    notes.drop("r")
+    assert len(notes) == 0
+    notes.put(NOTE, 100.0)
+    notes.declare_dead("e1", 1, 101.0)
+    assert notes.take_due(131.0) == []
+    assert len(notes) == 0
--- a/cleatlink/request/shared_budget_test.py
+++ b/cleatlink/request/shared_budget_test.py
@@ -1,12 +1,12 @@
-"""A retry budget while its bounds change."""
+"""Tests of the shared retry budget when its limits change."""
 
 from cleatlink.request.shared_budget import SharedRetryBudget
 
 
-def test_other_bounds_forget_no_extra_send() -> None:
+def test_changed_limits_keep_the_counted_extra_sends() -> None:
     budget = SharedRetryBudget(0.0, 10.0, 10.0)
-    taken = sum(budget.take(1, 0.1 * number) for number in range(20))
-    assert taken == 8
+    allowed = sum(budget.take(1, 0.1 * number) for number in range(20))
+    assert allowed == 8
     budget.change(0.0, 10.0, 10.0)
     assert not budget.take(1, 3.0)
     budget.change(0.0, 20.0, 10.0)
