--- a/cleatlink/members/__init__.py
+++ b/cleatlink/members/__init__.py
@@ -1,4 +1,4 @@
-"""Membership: who the other instances are and what each owns; no I/O."""
+"""Membership without I/O: state of the other instances, ownership of keys, leader election."""
 
 from cleatlink.members.view import Heartbeat, Members, Peer, PeerState, State
 
--- a/cleatlink/members/duplicates.py
+++ b/cleatlink/members/duplicates.py
@@ -1,21 +1,21 @@
-"""Tells what was heard already, where messages come on several ways and out of order."""
+"""Detects duplicate messages that arrive over several paths and out of order."""
 
 from collections.abc import Set
 
 __all__ = ["Duplicates"]
 
-# Messages of one sender that may overtake each other: several seconds of them.
-_WINDOW = 256
-_WINDOW_BITS = (1 << _WINDOW) - 1
+# Number of messages of one sender that may arrive out of order, sent over several seconds.
+_WINDOW_SIZE = 256
+_WINDOW_BITS = (1 << _WINDOW_SIZE) - 1
 
 
-class _Heard:
-    """What was heard of a sender; changed in place, since hundreds of messages come a second.
+class _ReceivedNumbers:
+    """Message numbers received from a sender; mutable because hundreds of messages arrive a second.
 
     Attributes:
-        incarnation: Grows with each start of the sender.
-        newest: Highest number.
-        earlier: Bits of the numbers below, the lowest bit that of the newest.
+        incarnation: Number that increases with each start of the sender.
+        newest: Highest number received.
+        earlier: Bit set of the received numbers; bit n stands for the number ``newest - n``.
     """
 
     __slots__ = ("earlier", "incarnation", "newest")
@@ -27,39 +27,45 @@
 
 
 class Duplicates:
-    """A window of the numbers that were heard, for each sender."""
+    """A sliding window of the received message numbers of each sender."""
 
     def __init__(self) -> None:
-        self._heard: dict[str, _Heard] = {}
+        self._received: dict[str, _ReceivedNumbers] = {}
 
     def __len__(self) -> int:
-        return len(self._heard)
+        return len(self._received)
 
     def is_new(self, sender: str, incarnation: int, number: int) -> bool:
-        """Tell whether a message was not heard yet, and count it as heard.
+        """Check whether a message has not been received yet, and record it as received.
+
+        A number below the window counts as received.
 
         Args:
-            sender: Who told it first.
-            incarnation: Start of the sender; what an earlier one told is never new.
-            number: Of the message, in the order in which the sender told.
+            sender: Original sender of the message.
+            incarnation: Incarnation of the sender; a message of an earlier one is never new.
+            number: Sequence number that the sender gave to the message.
         """
-        heard = self._heard.get(sender)
-        if heard is None or incarnation > heard.incarnation:
-            self._heard[sender] = _Heard(incarnation, number)
+        received = self._received.get(sender)
+        if received is None or incarnation > received.incarnation:
+            self._received[sender] = _ReceivedNumbers(incarnation, number)
             return True
-        if incarnation < heard.incarnation:
+        if incarnation < received.incarnation:
             return False
-        ahead = number - heard.newest
-        if ahead > 0:
-            heard.newest = number
-            heard.earlier = 1 if ahead >= _WINDOW else (heard.earlier << ahead | 1) & _WINDOW_BITS
+        offset = number - received.newest
+        if offset > 0:
+            received.newest = number
+            received.earlier = (
+                1 if offset >= _WINDOW_SIZE else (received.earlier << offset | 1) & _WINDOW_BITS
+            )
             return True
-        bit = 1 << -ahead
-        if -ahead >= _WINDOW or heard.earlier & bit:
+        bit = 1 << -offset
+        if -offset >= _WINDOW_SIZE or received.earlier & bit:
             return False
-        heard.earlier |= bit
+        received.earlier |= bit
         return True
 
     def keep(self, senders: Set[str]) -> None:
-        """Forget all but some senders."""
-        self._heard = {name: heard for name, heard in self._heard.items() if name in senders}
+        """Remove all senders except the given ones."""
+        self._received = {
+            name: received for name, received in self._received.items() if name in senders
+        }
--- a/cleatlink/members/duplicates_test.py
+++ b/cleatlink/members/duplicates_test.py
@@ -1,7 +1,7 @@
-"""What two reflectors both pass on counts once, in whatever order it comes.
+"""Tests that a message forwarded by two reflectors is processed once, in any order of arrival.
 
-Urgent messages overtake heartbeats, and one reflector the other: the highest number heard does
-not tell what was heard.
+Urgent messages can arrive before earlier heartbeats, and one reflector can be faster than the
+other, so the highest number received does not show which messages were received.
 """
 
 from hypothesis import given
@@ -11,29 +11,31 @@
 
 
 @given(st.permutations(list(range(1, 60)) * 2))
-def test_each_message_counts_once_in_any_order(order: list[int]) -> None:
-    seen = Duplicates()
-    assert sorted(number for number in order if seen.is_new("n", 1, number)) == list(range(1, 60))
+def test_each_message_is_new_once_in_any_order(order: list[int]) -> None:
+    duplicates = Duplicates()
+    assert sorted(number for number in order if duplicates.is_new("n", 1, number)) == list(
+        range(1, 60)
+    )
 
 
-def test_later_start_counts_anew_and_an_earlier_one_no_more() -> None:
-    seen = Duplicates()
-    assert seen.is_new("n", 1, 500)
-    assert seen.is_new("n", 2, 1)
-    assert not seen.is_new("n", 1, 501)
-    assert not seen.is_new("n", 2, 1)
+def test_new_incarnation_resets_the_numbers_and_earlier_ones_are_ignored() -> None:
+    duplicates = Duplicates()
+    assert duplicates.is_new("n", 1, 500)
+    assert duplicates.is_new("n", 2, 1)
+    assert not duplicates.is_new("n", 1, 501)
+    assert not duplicates.is_new("n", 2, 1)
 
 
-def test_what_is_far_behind_counts_as_heard() -> None:
-    seen = Duplicates()
-    assert seen.is_new("n", 1, 1_000)
-    assert not seen.is_new("n", 1, 1)
-    assert seen.is_new("n", 1, 999)
+def test_number_below_the_window_counts_as_received() -> None:
+    duplicates = Duplicates()
+    assert duplicates.is_new("n", 1, 1_000)
+    assert not duplicates.is_new("n", 1, 1)
+    assert duplicates.is_new("n", 1, 999)
 
 
-def test_those_that_are_gone_are_forgotten() -> None:
-    seen = Duplicates()
+def test_senders_that_are_not_kept_are_removed() -> None:
+    duplicates = Duplicates()
     for name in ("n1", "n2"):
-        seen.is_new(name, 1, 1)
-    seen.keep({"n2"})
-    assert len(seen) == 1
+        duplicates.is_new(name, 1, 1)
+    duplicates.keep({"n2"})
+    assert len(duplicates) == 1
--- a/cleatlink/members/leadership.py
+++ b/cleatlink/members/leadership.py
@@ -1,10 +1,10 @@
-"""Which instance gives orders: at most one at a time, without a store to agree in.
+"""Leader election: at most one instance orders role changes at a time, without a shared store.
 
-Each instance votes, in its heartbeats, for the lowest name that it hears. One
-leads for which more than half of all instances ever heard of vote, itself
-included. It gives its first order only after this has held for longer than an
-earlier leader can still count on its votes, plus the lease: whoever voted for
-both has taken its first vote back by then.
+Each instance votes in its heartbeats for the lowest name among the live instances,
+including itself. An instance is elected if more than half of all known instances vote for it,
+including itself. It sends its first order only after it has been elected without
+interruption for longer than an earlier leader can still rely on the votes it received, plus
+the lease. By then, every instance that voted for both has withdrawn its first vote.
 """
 
 from collections.abc import Mapping, Set
@@ -12,20 +12,21 @@
 
 __all__ = ["Hearing", "Leadership"]
 
-# An instance that did not run for so long may have missed anything.
-_PAUSE_S = 1.0
-# Time in which what one instance hears reaches another, by its next heartbeat.
-_SPREAD_S = 1.5
+# A longer interval between two updates counts as a pause of the instance, during which it may have
+# missed messages.
+_MAX_UPDATE_INTERVAL_S = 1.0
+# Time for a change seen by one instance to reach another in the next heartbeat, in seconds.
+_VOTE_PROPAGATION_S = 1.5
 
 
 class Hearing(NamedTuple):
-    """What an instance hears of its peers.
+    """State that an instance has received from its peers.
 
     Attributes:
-        votes: Peers that are heard now, with the instance that each votes for.
-        known: Instances that peers ever heard of.
-        members: The most instances that any of the peers that are heard knows.
-        left: Instances that said that they leave for good or for a restart.
+        votes: Live peers, with the instance that each votes for.
+        known: Instances known to peers at any time.
+        members: Highest number of instances known to any live peer.
+        left: Instances that reported that they stop or restart.
     """
 
     votes: Mapping[str, str]
@@ -35,58 +36,58 @@
 
 
 class Leadership:
-    """One instance's view of who leads."""
+    """One instance's view of the leader election."""
 
     def __init__(
         self, name: str, lease_s: float, silence_s: float, now: float, *, alone: bool = False
     ) -> None:
-        """Begin to judge.
+        """Start without a vote.
 
         Args:
-            name: This instance.
-            lease_s: Silence that orders of two instances must have between them.
-            silence_s: Time after which a silent peer counts as gone.
-            now: The time.
-            alone: Whether no other instance is expected; one that expects peers
-                and has heard none since its start may be cut off.
+            name: Name of this instance.
+            lease_s: Minimum time between orders of two different leaders.
+            silence_s: Time without a heartbeat after which a peer no longer counts as live.
+            now: The current time.
+            alone: Whether no other instance is expected. An instance that expects peers
+                and has received no heartbeat since its start may be disconnected.
         """
         self._name = name
         self._alone = alone
-        self._settle_s = lease_s + silence_s + _SPREAD_S
+        self._election_delay_s = lease_s + silence_s + _VOTE_PROPAGATION_S
         self._known: set[str] = {name}
         self._vote = ""
         self._elected_since: float | None = None
-        self._judged_at = now
+        self._updated_at = now
 
     @property
     def vote(self) -> str:
-        """Whom this instance votes for; empty while it can't tell."""
+        """Instance that this instance votes for; empty while it may be disconnected."""
         return self._vote
 
     @property
     def known(self) -> Set[str]:
-        """Instances ever heard of, but those that left."""
+        """All instances known at any time, except those that left."""
         return self._known
 
-    def judge(self, hearing: Hearing, now: float) -> bool:
-        """Take what is heard; tell whether this instance may give orders now."""
-        left = hearing.left - {self._name}
-        present = (hearing.votes.keys() - left) | {self._name}
-        self._known = (self._known | present | hearing.known) - left
-        cut_off = len(self._known) == 1 and not self._alone
-        self._vote = "" if cut_off else min(present)
-        paused = now - self._judged_at > _PAUSE_S
-        self._judged_at = now
-        if paused or not self._is_elected(hearing, present):
+    def judge(self, received: Hearing, now: float) -> bool:
+        """Update the election; return whether this instance may send orders now."""
+        left = received.left - {self._name}
+        live = (received.votes.keys() - left) | {self._name}
+        self._known = (self._known | live | received.known) - left
+        may_be_disconnected = len(self._known) == 1 and not self._alone
+        self._vote = "" if may_be_disconnected else min(live)
+        was_paused = now - self._updated_at > _MAX_UPDATE_INTERVAL_S
+        self._updated_at = now
+        if was_paused or not self._is_elected(received, live):
             self._elected_since = None
             return False
         if self._elected_since is None:
             self._elected_since = now
-        return now - self._elected_since >= self._settle_s
+        return now - self._elected_since >= self._election_delay_s
 
-    def _is_elected(self, hearing: Hearing, present: Set[str]) -> bool:
+    def _is_elected(self, received: Hearing, live: Set[str]) -> bool:
         if self._vote != self._name:
             return False
-        voters = [peer for peer in present if hearing.votes.get(peer) == self._name]
-        members = max(len(self._known), hearing.members)
-        return 2 * (len(voters) + 1) > members
+        voters = [peer for peer in live if received.votes.get(peer) == self._name]
+        member_count = max(len(self._known), received.members)
+        return 2 * (len(voters) + 1) > member_count
--- a/cleatlink/members/presence_test.py
+++ b/cleatlink/members/presence_test.py
@@ -1,9 +1,9 @@
-"""Which part of all instances is heard."""
+"""Tests of the share of instances that are sending heartbeats."""
 
 from cleatlink.members.presence import Presence
 
 
-def test_who_is_silent_counts_until_long_gone() -> None:
+def test_silent_instance_counts_until_its_retention_ends() -> None:
     presence = Presence()
     assert presence.heard_share(1.6, 0.0) == 1.0
     for name in ("b", "c", "d"):
@@ -14,7 +14,7 @@
     assert presence.heard_share(1.6, 400.0) == 1.0
 
 
-def test_who_leaves_by_its_own_word_is_not_missed() -> None:
+def test_instance_that_reported_its_stop_does_not_count() -> None:
     presence = Presence()
     presence.note_heard("b", 0.0)
     presence.note_heard("c", 0.0)
--- a/cleatlink/members/reflectors.py
+++ b/cleatlink/members/reflectors.py
@@ -1,8 +1,8 @@
-"""Which instances pass on what instances of a large fleet tell each other.
+"""Chooses the reflectors: instances that forward peer messages in a large fleet.
 
-A reflector gets what others tell its data centre and passes it on there in bundles. Nothing is
-decided by who reflects: an instance that is handed something passes it on, so that instances
-whose views differ may choose different ones.
+A reflector receives the messages for its data centre and forwards them there in bundles. The
+instances need not agree on the reflectors: an instance forwards every message that it receives for
+forwarding, so instances with different views may choose different reflectors.
 """
 
 from collections import defaultdict
@@ -13,24 +13,27 @@
 
 __all__ = ["Candidate", "ReflectorChoice", "rank"]
 
-# Two, so that one lost datagram or one dead reflector keeps nothing from anybody.
-_REFLECTORS = 2
-# Heartbeats come each second, and wait up to a quarter of one in a bundle.
-_SILENT_S = 1.6
-# A reflector of this data centre brings back what it is handed with its next bundle.
-_NO_ECHO_S = 2.0
-# One that brought nothing back is tried again after so long.
-_AVOIDED_S = 15.0
+# Reflectors for each data centre. With two, messages still arrive if one datagram is lost or one
+# reflector is dead.
+_REFLECTOR_COUNT = 2
+# Time without a heartbeat after which an instance can't be a reflector. Heartbeats are sent each
+# second and wait up to a quarter of a second in a bundle.
+_MAX_SILENCE_S = 1.6
+# Time in which a reflector of this data centre must return a message of this instance. It returns
+# messages with its next bundle.
+_ECHO_TIMEOUT_S = 2.0
+# Time after which a reflector that returned nothing is eligible again.
+_AVOIDANCE_S = 15.0
 
 
 class Candidate(NamedTuple):
-    """An instance that may reflect.
+    """An instance that can be chosen as a reflector.
 
     Attributes:
-        name: Its name.
-        data_centre: Where it runs.
-        size: Its part of processors, in cores.
-        silent_s: Seconds since it was heard; 0 for the instance that chooses.
+        name: Name of the instance.
+        data_centre: Data centre of the instance.
+        size: Processor share of the instance, in cores; 0 if it does not accept bundles.
+        silent_s: Seconds since its last message; 0 for the instance that chooses.
     """
 
     name: str
@@ -40,65 +43,72 @@
 
 
 def rank(candidates: Iterable[Candidate]) -> list[Candidate]:
-    """Order candidates: the largest first, and like ones spread by their names."""
+    """Sort candidates by size, the largest first, and by a hash of the name for equal sizes."""
     return sorted(
-        candidates, key=lambda item: (-item.size, xxhash.xxh64_intdigest(item.name.encode()))
+        candidates,
+        key=lambda candidate: (-candidate.size, xxhash.xxh64_intdigest(candidate.name.encode())),
     )
 
 
 class ReflectorChoice:
-    """One instance's choice; every method takes the time as an argument."""
+    """One instance's choice of reflectors; every method takes the time as an argument."""
 
     def __init__(self, data_centre: str) -> None:
-        """Start without any.
+        """Start without reflectors.
 
         Args:
-            data_centre: This instance's data centre, whose reflectors bring back what they get.
+            data_centre: This instance's data centre; its reflectors also return the messages
+                of this instance.
         """
         self._data_centre = data_centre
         self._chosen: dict[str, list[str]] = {}
-        # When reflectors of this data centre were first handed something, or brought it back.
+        # For each reflector of this data centre, when it was chosen or last returned a message.
         self._echoed_at: dict[str, float] = {}
         self._avoided_until: dict[str, float] = {}
 
     @property
     def chosen(self) -> dict[str, list[str]]:
-        """Names of the reflectors by data centre, the first one first."""
+        """Names of the reflectors by data centre, in order of preference."""
         return self._chosen
 
     def choose(self, candidates: Iterable[Candidate], now: float) -> bool:
-        """Choose anew; tells whether a data centre has another reflector than before."""
-        self._avoid_mute(now)
-        by_place: dict[str, list[Candidate]] = defaultdict(list)
-        for item in candidates:
-            if self._is_fit(item, now):
-                by_place[item.data_centre].append(item)
+        """Update the choice; return whether any data centre has a reflector that is new."""
+        self._avoid_unresponsive(now)
+        by_data_centre: dict[str, list[Candidate]] = defaultdict(list)
+        for candidate in candidates:
+            if self._is_eligible(candidate, now):
+                by_data_centre[candidate.data_centre].append(candidate)
         chosen = {
-            place: [item.name for item in rank(found)[:_REFLECTORS]]
-            for place, found in by_place.items()
+            data_centre: [candidate.name for candidate in rank(eligible)[:_REFLECTOR_COUNT]]
+            for data_centre, eligible in by_data_centre.items()
         }
-        is_new = any(
-            set(names) - set(self._chosen.get(place, [])) for place, names in chosen.items()
+        has_new = any(
+            set(names) - set(self._chosen.get(data_centre, []))
+            for data_centre, names in chosen.items()
         )
         self._chosen = chosen
-        near = chosen.get(self._data_centre, [])
-        self._echoed_at = {name: self._echoed_at.get(name, now) for name in near}
-        return is_new
+        local = chosen.get(self._data_centre, [])
+        self._echoed_at = {name: self._echoed_at.get(name, now) for name in local}
+        return has_new
 
     def note_echo(self, name: str, now: float) -> None:
-        """Note that an instance brought back what this one told."""
+        """Record that a reflector returned a message of this instance."""
         self._avoided_until.pop(name, None)
         if name in self._echoed_at:
             self._echoed_at[name] = now
 
-    def _avoid_mute(self, now: float) -> None:
-        """Leave reflectors of this data centre that bring nothing back."""
+    def _avoid_unresponsive(self, now: float) -> None:
+        """Exclude reflectors of this data centre that return no messages, for a limited time."""
         for name, echoed_at in self._echoed_at.items():
-            if now - echoed_at > _NO_ECHO_S:
-                self._avoided_until[name] = now + _AVOIDED_S
+            if now - echoed_at > _ECHO_TIMEOUT_S:
+                self._avoided_until[name] = now + _AVOIDANCE_S
         self._avoided_until = {
             name: until for name, until in self._avoided_until.items() if now < until
         }
 
-    def _is_fit(self, item: Candidate, now: float) -> bool:
-        return item.size > 0 and item.silent_s <= _SILENT_S and item.name not in self._avoided_until
+    def _is_eligible(self, candidate: Candidate, now: float) -> bool:
+        return (
+            candidate.size > 0
+            and candidate.silent_s <= _MAX_SILENCE_S
+            and candidate.name not in self._avoided_until
+        )
--- a/cleatlink/members/view.py
+++ b/cleatlink/members/view.py
@@ -1,8 +1,9 @@
-"""Who the other instances are: heard, suspect, dead, leaving.
+"""Tracks the other instances and their state: alive, suspect, dead or leaving.
 
-Two sources are joined. The platform's list says who should be there but lags;
-heartbeats say who is. A peer is dead only when it has been silent for long;
-one that is listed but silent may just be cut off, which matters to ownership.
+The view combines two sources. The platform's list names the instances that should
+run, with a delay; heartbeats show which instances do run. A peer counts as dead only after
+a long silence. A peer that is listed but silent may be running and only disconnected
+from this instance; this matters for the ownership of keys.
 """
 
 import math
@@ -16,17 +17,17 @@
 
 __all__ = ["Heartbeat", "Members", "Peer", "PeerState", "State"]
 
-# Heartbeats are so far apart; after two that were lost a peer is in doubt, and it is taken for
-# dead once others had time to say otherwise.
+# Interval between heartbeats. A peer is suspect after two lost heartbeats, and dead after a further
+# delay in which other instances can report that it is alive.
 HEARTBEAT_S = 1.0
-SUSPECT_S = 2.5
-DEAD_S = 4.5
-# Ownership is sure once the view has not changed for this long.
-SETTLE_S = 5.0
+SUSPECT_AFTER_S = 2.5
+DEAD_AFTER_S = 4.5
+# Time without a change of the membership after which ownership is confirmed, in seconds.
+OWNERSHIP_SETTLE_S = 5.0
 
 
 class State(StrEnum):
-    """What an instance says of itself."""
+    """State that an instance reports in its heartbeats."""
 
     STARTING = "starting"
     READY = "ready"
@@ -34,26 +35,26 @@
 
 
 class PeerState(StrEnum):
-    """What is believed of a peer."""
+    """Assumed state of a peer; ``NO_HEARTBEAT`` if it is listed but no heartbeat is stored."""
 
-    UNHEARD = "unheard"
+    NO_HEARTBEAT = "unheard"
     ALIVE = "alive"
     SUSPECT = "suspect"
     DEAD = "dead"
 
 
 class Heartbeat(NamedTuple):
-    """One instance's word to another.
+    """A heartbeat message from one instance to another.
 
     Attributes:
-        name: Sender.
-        incarnation: Grows with each start of the sender.
-        data_centre: Sender's data centre.
-        peer_address: Where the sender hears peers.
-        state: What the sender is doing.
+        name: Name of the sender.
+        incarnation: Number that increases with each start of the sender.
+        data_centre: Data centre of the sender.
+        peer_address: Address at which the sender receives messages of peers.
+        state: State of the sender.
         revision: Configuration revision in force at the sender.
-        leaving: Endpoints that the sender knows to be leaving.
-        members: Hash of the sender's membership in its data centre.
+        leaving: Endpoints that are leaving, as known to the sender.
+        members: Hash of the names of the instances that the sender sees in its data centre.
     """
 
     name: str
@@ -67,7 +68,7 @@
 
 
 class Peer(NamedTuple):
-    """One peer as believed now."""
+    """Assumed current state of one peer."""
 
     name: str
     address: str
@@ -77,16 +78,16 @@
 
 
 class Members:
-    """The view of one instance; times are readings of the monotonic clock."""
+    """One instance's view of the membership; times are readings of the monotonic clock."""
 
     def __init__(self, name: str, data_centre: str, now: float) -> None:
         self._name = name
         self._data_centre = data_centre
         self._started = now
         self._listed: dict[str, Instance] = {}
-        self._heard: dict[str, tuple[Heartbeat, float]] = {}
-        self._owner_since = now
-        self._owner_basis: tuple[str, ...] = ()
+        self._received: dict[str, tuple[Heartbeat, float]] = {}
+        self._unchanged_since = now
+        self._local_members: tuple[str, ...] = ()
 
     @property
     def name(self) -> str:
@@ -94,127 +95,137 @@
         return self._name
 
     def set_instances(self, instances: tuple[Instance, ...], now: float) -> None:
-        """Take the platform's list of instances."""
+        """Replace the platform's list of instances."""
         self._listed = {instance.name: instance for instance in instances}
-        self._note_change(now)
+        self._update_local_members(now)
 
     def hear(self, heartbeat: Heartbeat, now: float) -> bool:
-        """Take a heartbeat; one of an earlier incarnation is not taken."""
-        known = self._heard.get(heartbeat.name)
+        """Process a heartbeat; return False for one of this instance or an earlier incarnation."""
+        previous = self._received.get(heartbeat.name)
         if heartbeat.name == self._name:
             return False
-        if known is not None and heartbeat.incarnation < known[0].incarnation:
+        if previous is not None and heartbeat.incarnation < previous[0].incarnation:
             return False
-        self._heard[heartbeat.name] = (heartbeat, now)
-        self._note_change(now)
+        self._received[heartbeat.name] = (heartbeat, now)
+        self._update_local_members(now)
         return True
 
     def peers(self, now: float) -> list[Peer]:
-        """Every peer that is listed or was heard, but those known to be gone."""
-        names = sorted((set(self._listed) | set(self._heard)) - {self._name})
-        return [peer for peer in (self._peer(name, now) for name in names) if peer is not None]
+        """Return all peers that are listed or sent a heartbeat, except removed dead peers."""
+        names = sorted((set(self._listed) | set(self._received)) - {self._name})
+        return [
+            peer for peer in (self._describe_peer(name, now) for name in names) if peer is not None
+        ]
 
     def alive(self, now: float) -> list[Peer]:
-        """Peers heard lately."""
+        """Return the peers with a recent heartbeat."""
         return [peer for peer in self.peers(now) if peer.state is PeerState.ALIVE]
 
     def note_keepers(self, request: str, now: float, count: int = 2) -> list[Peer]:
-        """Peers that keep the notes of a request: near ones first."""
+        """Return the peers that keep the notes of a request, preferring this data centre."""
         alive = {peer.name: peer for peer in self.alive(now) if _is_staying(peer)}
-        ranked = [alive[name] for name in rank_names(request, alive)]
-        ranked.sort(key=lambda peer: peer.data_centre != self._data_centre)
-        return ranked[:count]
+        candidates = [alive[name] for name in rank_names(request, alive)]
+        candidates.sort(key=lambda peer: peer.data_centre != self._data_centre)
+        return candidates[:count]
 
     def forgive_silence(self, now: float) -> None:
-        """Start all peers' silence anew, after this instance itself was paused.
+        """Restart the silence timers of all peers after a pause of this instance.
 
-        Ownership starts anew as well: others may have taken over meanwhile.
+        Confirmation of ownership restarts as well because another instance may have
+        taken over during the pause.
         """
-        self._heard = {name: (heartbeat, now) for name, (heartbeat, _) in self._heard.items()}
-        self._owner_since = now
+        self._received = {name: (heartbeat, now) for name, (heartbeat, _) in self._received.items()}
+        self._unchanged_since = now
 
     def take_dead(self, now: float) -> list[tuple[str, int]]:
-        """Take peers that died since the last call, each with its incarnation."""
+        """Remove the peers that died and return them, each with its incarnation."""
         dead = [
             (name, heartbeat.incarnation)
-            for name, (heartbeat, at) in self._heard.items()
-            if now - at > DEAD_S
+            for name, (heartbeat, received_at) in self._received.items()
+            if now - received_at > DEAD_AFTER_S
         ]
         for name, _ in dead:
-            del self._heard[name]
+            del self._received[name]
         if dead:
-            self._note_change(now)
+            self._update_local_members(now)
         return dead
 
     def owner(self, key: str, data_centre: str, now: float) -> Peer | None:
-        """Give the owner of a key in its home data centre; None says unsure.
+        """Return the owner of a key in its home data centre; None if it is not certain.
 
-        The owner is ranked over all that are listed or heard there, also the
-        silent: a silent one may be cut off and still serving, so nobody else
-        may take its keys while the platform lists it. An instance that plans
-        to stop still owns its keys until it is gone from the list.
+        The owner is chosen from all instances that are listed or sent a heartbeat
+        there, including silent ones: a silent instance may be disconnected and still
+        serve requests, so no other instance may take over its keys while the platform
+        lists it. An instance with a planned stop owns its keys until it is removed
+        from the list.
         """
         members = {peer.name: peer for peer in self.peers(now) if peer.data_centre == data_centre}
         if data_centre == self._data_centre:
             members[self._name] = Peer(self._name, "", data_centre, PeerState.ALIVE, None)
         if not members:
             return None
-        first = members[rank_names(key, members)[0]]
-        return first if first.state is PeerState.ALIVE else None
+        owner = members[rank_names(key, members)[0]]
+        return owner if owner.state is PeerState.ALIVE else None
 
     def owner_since(self, now: float) -> float:
-        """Give since when this instance's ownership is sure; infinity if it is not.
+        """Return when this instance's ownership was confirmed; infinity if it is not confirmed.
 
-        It is sure when the instances of the data centre have been the same for
-        a while and all that are heard there say that they see the same ones.
+        Ownership is confirmed when the instances of the data centre have not changed
+        for ``OWNERSHIP_SETTLE_S`` and all live peers there report the same instances.
         """
-        self._note_change(now)
-        mine = self.members_hash(now)
+        self._update_local_members(now)
+        own_hash = self.members_hash(now)
         for peer in self.alive(now):
-            near = peer.data_centre == self._data_centre
-            if near and peer.heartbeat is not None and peer.heartbeat.members != mine:
+            is_local = peer.data_centre == self._data_centre
+            if is_local and peer.heartbeat is not None and peer.heartbeat.members != own_hash:
                 return math.inf
-        since = self._owner_since + SETTLE_S
-        return since if since <= now else math.inf
+        confirmed_at = self._unchanged_since + OWNERSHIP_SETTLE_S
+        return confirmed_at if confirmed_at <= now else math.inf
 
     def members_hash(self, now: float) -> int:
-        """Hash the membership of this data centre, to compare it with peers'."""
-        names = self._members_here(now)
+        """Return a hash of this data centre's membership, for comparison with peers."""
+        names = self._list_local_members(now)
         return hash_names(names)
 
-    def _members_here(self, now: float) -> tuple[str, ...]:
-        here = {peer.name for peer in self.peers(now) if peer.data_centre == self._data_centre}
-        return tuple(sorted(here | {self._name}))
+    def _list_local_members(self, now: float) -> tuple[str, ...]:
+        local_peers = {
+            peer.name for peer in self.peers(now) if peer.data_centre == self._data_centre
+        }
+        return tuple(sorted(local_peers | {self._name}))
 
-    def _note_change(self, now: float) -> None:
-        basis = self._members_here(now)
-        if basis != self._owner_basis:
-            self._owner_basis = basis
-            self._owner_since = now
+    def _update_local_members(self, now: float) -> None:
+        local_members = self._list_local_members(now)
+        if local_members != self._local_members:
+            self._local_members = local_members
+            self._unchanged_since = now
 
-    def _peer(self, name: str, now: float) -> Peer | None:
-        heard = self._heard.get(name)
+    def _describe_peer(self, name: str, now: float) -> Peer | None:
+        received = self._received.get(name)
         listed = self._listed.get(name)
-        if heard is None:
+        if received is None:
             if listed is None:
                 return None
-            return Peer(name, listed.peer_address, listed.data_centre, PeerState.UNHEARD, None)
-        heartbeat, at = heard
+            return Peer(name, listed.peer_address, listed.data_centre, PeerState.NO_HEARTBEAT, None)
+        heartbeat, received_at = received
         return Peer(
-            name, heartbeat.peer_address, heartbeat.data_centre, _judge(now - at), heartbeat
+            name,
+            heartbeat.peer_address,
+            heartbeat.data_centre,
+            _assess_silence(now - received_at),
+            heartbeat,
         )
 
 
 def hash_names(names: tuple[str, ...]) -> int:
-    """Hash names to 32 bits, alike on every instance."""
+    """Return a 32-bit hash of names that is the same on every instance."""
     return xxhash.xxh32_intdigest("/".join(names).encode())
 
 
-def _judge(silence_s: float) -> PeerState:
-    """Judge a peer by how long it has been silent."""
-    if silence_s > DEAD_S:
+def _assess_silence(silence_s: float) -> PeerState:
+    """Return the state of a peer from the time since its last heartbeat."""
+    if silence_s > DEAD_AFTER_S:
         return PeerState.DEAD
-    return PeerState.SUSPECT if silence_s > SUSPECT_S else PeerState.ALIVE
+    return PeerState.SUSPECT if silence_s > SUSPECT_AFTER_S else PeerState.ALIVE
 
 
 def _is_staying(peer: Peer) -> bool:
--- a/cleatlink/members/watchers.py
+++ b/cleatlink/members/watchers.py
@@ -1,30 +1,31 @@
-"""Which instances of a data centre watch the configuration service for the others.
+"""Chooses the instances of a data centre that watch the configuration service for the others.
 
-Every instance ranks the same names alike, so that they need not agree by messages: where they
-hear different peers, one more or one fewer watches until they hear the same again.
+Every instance ranks the same names in the same order, so no messages are needed to agree. While
+instances receive heartbeats from different peers, one more or one fewer instance may watch.
 """
 
 from collections.abc import Iterable
 
 import xxhash
 
-__all__ = ["WATCHERS", "is_watcher"]
+__all__ = ["WATCHER_COUNT", "is_watcher"]
 
-# With two, one may fail before the others notice; each more costs a call for each change.
-WATCHERS = 2
+# Number of watchers in a data centre. With two, the watch continues if one fails before the others
+# notice. Each additional watcher costs one call for each change.
+WATCHER_COUNT = 2
 
 
-def is_watcher(name: str, others: Iterable[str], count: int = WATCHERS) -> bool:
-    """Tell whether an instance is among those that watch.
+def is_watcher(name: str, others: Iterable[str], count: int = WATCHER_COUNT) -> bool:
+    """Check whether an instance is one of the watchers.
 
     Args:
-        name: The instance.
-        others: The other instances of its data centre that can watch.
-        count: How many watch.
+        name: Name of the instance.
+        others: Names of the other instances of its data centre that can watch.
+        count: Number of watchers.
     """
-    own = _rank(name)
-    return sum(_rank(other) < own for other in others) < count
+    own_key = _rank_key(name)
+    return sum(_rank_key(other) < own_key for other in others) < count
 
 
-def _rank(name: str) -> tuple[int, str]:
+def _rank_key(name: str) -> tuple[int, str]:
     return xxhash.xxh64_intdigest(name.encode()), name
