--- a/cleatlink/relay/peers/contract_test.py
+++ b/cleatlink/relay/peers/contract_test.py
@@ -1,7 +1,7 @@
-"""What instances tell each other stays readable across builds, both ways.
+"""Messages between instances stay compatible with earlier builds, in both directions.
 
-Bytes that each earlier build wrote lie beside this test. What this build writes is read by the
-earlier builds themselves, as they stand in the history.
+This build decodes the bytes that each earlier build encoded, which are stored in the folder
+``contract``. Earlier builds, extracted from the Git history, decode what this build encodes.
 """
 
 import json
@@ -14,40 +14,73 @@
 import msgspec
 import pytest
 
-from cleatlink.relay.peers.messages import decode_datagram, encode
+from cleatlink.relay.peers.messages import (
+    Beat,
+    Bundle,
+    Changes,
+    CrashNews,
+    EndpointHint,
+    EndpointPaceNews,
+    EndpointSpending,
+    NoticeNews,
+    PaceNews,
+    PlainCalls,
+    Roster,
+    ShedNews,
+    SourceNews,
+    Spending,
+    WaitNews,
+    WorkList,
+    decode_datagram,
+    encode,
+)
 from cleatlink.relay.peers.snapshots import Snapshot, decode_snapshot
 from soak.builds import LANDED, extract_build
 from tools import message_samples
 
-RECORDED = Path(__file__).parent / "contract"
+RECORDINGS = Path(__file__).parent / "contract"
 PROGRAM = Path(message_samples.__file__).resolve()
-# Messages by the build that first knew them; earlier ones count them as not understood.
-FIRST_KNOWN = {
-    "Bundle": "",
-    "CrashNews": "820ff69",
-    "EndpointPaceNews": "",
-    "EndpointSpending": "4207a6e",
-    "NoticeNews": "709868b",
-    "ShedNews": "",
-    "SourceNews": "",
-    "PlainCalls": "",
-    "Spending": "c558fa2",
-    "WorkList": "",
-    "WaitNews": "",
+# Message types by their names in the recorded files.
+RECORDED_TYPES: dict[str, type] = {
+    "Beat": Beat,
+    "Changes": Changes,
+    "CrashNews": CrashNews,
+    "EndpointHint": EndpointHint,
+    "EndpointSpending": EndpointSpending,
+    "NoticeNews": NoticeNews,
+    "PaceNews": PaceNews,
+    "Roster": Roster,
+    "Snapshot": Snapshot,
+    "Spending": Spending,
 }
-# Builds that read this one's snapshots. Earlier ones read a registration as a tuple of fewer
-# fields; they log that they can't fetch, and go by the configuration service.
-READ_SNAPSHOTS = ("820ff69", "709868b", "4207a6e")
+# The first build that decodes a message type, empty if no earlier build does. Builds before it
+# count such messages as not understood.
+FIRST_BUILDS = {
+    Bundle.__name__: "",
+    CrashNews.__name__: "820ff69",
+    EndpointPaceNews.__name__: "",
+    EndpointSpending.__name__: "4207a6e",
+    NoticeNews.__name__: "709868b",
+    ShedNews.__name__: "",
+    SourceNews.__name__: "",
+    PlainCalls.__name__: "",
+    Spending.__name__: "c558fa2",
+    WorkList.__name__: "",
+    WaitNews.__name__: "",
+}
+# Builds that decode this build's snapshots. Earlier ones decode a registration as a tuple of fewer
+# fields; they log that the fetch failed and rely on the configuration service.
+DECODE_SNAPSHOTS = ("820ff69", "709868b", "4207a6e")
 
 
 def recorded(build: str) -> dict[str, str]:
-    """Give the bytes that a build wrote, by the name of a message."""
-    samples: dict[str, str] = json.loads((RECORDED / f"{build}.json").read_text())
+    """Return the bytes that a build encoded, in hexadecimal, by the name of the message type."""
+    samples: dict[str, str] = json.loads((RECORDINGS / f"{build}.json").read_text())
     return samples
 
 
 def is_prefix(earlier: Any, later: Any) -> bool:
-    """Tell whether all that an earlier form says stands at the same places of a later one."""
+    """Check whether a later form has all values of an earlier form at the same positions."""
     if isinstance(earlier, list) and isinstance(later, list):
         pairs = zip(earlier, later, strict=False)
         return len(earlier) <= len(later) and all(is_prefix(one, other) for one, other in pairs)
@@ -58,21 +91,21 @@
     return bool(earlier == later)
 
 
-def in_plain(text: str) -> Any:
-    """Give what encoded bytes hold, as lists and maps."""
+def decode_untyped(text: str) -> Any:
+    """Decode an encoded message to lists and maps."""
     return msgspec.msgpack.decode(bytes.fromhex(text))
 
 
 @pytest.mark.parametrize("build", LANDED)
-def test_this_build_reads_what_earlier_ones_wrote(build: str) -> None:
+def test_this_build_decodes_messages_of_earlier_builds(build: str) -> None:
     samples = recorded(build)
     assert "Snapshot" in samples
     for name, text in samples.items():
         data = bytes.fromhex(text)
         message = decode_snapshot(data) if name == "Snapshot" else decode_datagram(data)
         assert message is not None, name
-        assert type(message).__name__ == name
-        assert is_prefix(in_plain(text), in_plain(encode(message).hex())), name
+        assert type(message) is RECORDED_TYPES[name]
+        assert is_prefix(decode_untyped(text), decode_untyped(encode(message).hex())), name
 
 
 @pytest.fixture(scope="module")
@@ -82,34 +115,34 @@
 
 
 @pytest.mark.parametrize("build", LANDED)
-def test_earlier_builds_read_what_this_one_writes(build: str, builds: dict[str, Path]) -> None:
-    tree = builds[build]
+def test_earlier_builds_decode_messages_of_this_build(build: str, builds: dict[str, Path]) -> None:
+    source_tree = builds[build]
     written = message_samples.write()
-    found = subprocess.run(
+    process = subprocess.run(
         [sys.executable, str(PROGRAM), "read"],
         input=json.dumps(written),
-        env={**os.environ, "PYTHONPATH": str(tree)},
-        cwd=tree,
+        env={**os.environ, "PYTHONPATH": str(source_tree)},
+        cwd=source_tree,
         capture_output=True,
         text=True,
         check=True,
     )
-    read: dict[str, str | None] = json.loads(found.stdout)
+    read: dict[str, str | None] = json.loads(process.stdout)
     for name, text in written.items():
-        understood = read[name]
+        decoded = read[name]
         if name == "Snapshot":
-            is_known = build in READ_SNAPSHOTS
+            is_expected = build in DECODE_SNAPSHOTS
         else:
-            first = FIRST_KNOWN.get(name, LANDED[0])
-            is_known = bool(first) and LANDED.index(build) >= LANDED.index(first)
-        assert (understood is not None) is is_known, name
-        if understood is not None:
-            assert is_prefix(in_plain(understood), in_plain(text)), name
+            first = FIRST_BUILDS.get(name, LANDED[0])
+            is_expected = bool(first) and LANDED.index(build) >= LANDED.index(first)
+        assert (decoded is not None) is is_expected, name
+        if decoded is not None:
+            assert is_prefix(decode_untyped(decoded), decode_untyped(text)), name
 
 
-def test_earlier_build_is_asked_itself(builds: dict[str, Path]) -> None:
-    """The sources that read are the earlier ones: they know fewer messages."""
-    found = subprocess.run(
+def test_subprocess_uses_sources_of_earlier_build(builds: dict[str, Path]) -> None:
+    """The subprocess must use the sources of the earlier build, which has fewer message types."""
+    process = subprocess.run(
         [sys.executable, str(PROGRAM), "write"],
         env={**os.environ, "PYTHONPATH": str(builds[LANDED[0]])},
         cwd=builds[LANDED[0]],
@@ -117,11 +150,12 @@
         text=True,
         check=True,
     )
-    assert json.loads(found.stdout) == recorded(LANDED[0])
-    assert message_samples.write().keys() > recorded(LANDED[0]).keys()
+    assert json.loads(process.stdout) == recorded(LANDED[0])
+    earlier = {RECORDED_TYPES[name].__name__ for name in recorded(LANDED[0])}
+    assert message_samples.write().keys() > earlier
 
 
-def test_what_is_no_message_is_none() -> None:
+def test_invalid_messages_are_not_decoded() -> None:
     assert decode_datagram(b"") is None
     assert decode_datagram(msgspec.msgpack.encode(["no such tag", 1])) is None
     assert decode_datagram(msgspec.msgpack.encode(["b", 1])) is None
@@ -129,7 +163,7 @@
         decode_snapshot(b"\x91\x01")
 
 
-def test_snapshot_without_eras_is_of_the_earlier_platform() -> None:
+def test_snapshot_without_eras_has_era_zero() -> None:
     snapshot = decode_snapshot(bytes.fromhex(recorded("820ff69")["Snapshot"]))
     assert isinstance(snapshot, Snapshot)
     assert {record.revision.era for record in snapshot.endpoint_records()} == {0}
--- a/cleatlink/relay/peers/endpoint_messages.py
+++ b/cleatlink/relay/peers/endpoint_messages.py
@@ -1,4 +1,7 @@
-"""What instances tell each other of endpoints: crashes, notices, limits, speeds, room and reach."""
+"""Messages between instances about the state of endpoints.
+
+They report crashes, notices, limits, speeds, rejections for overload and reachability.
+"""
 
 from enum import StrEnum
 
@@ -20,13 +23,13 @@
 
 
 class CrashItem(msgspec.Struct, array_like=True, frozen=True):
-    """A crash of an endpoint, and the requests that were in progress there.
+    """A crash of an endpoint and the requests that were in progress there.
 
     Attributes:
-        life: Name of the endpoint's life that ended.
-        age_s: Seconds since then.
-        suspects: Identities of the requests, with the seconds for which they had been.
-        cleared: Those that have been served since, and are no suspects any more.
+        life: Name of the endpoint incarnation that ended.
+        age_s: Seconds since the crash.
+        suspects: Identities of the requests, with the seconds for which each had been in progress.
+        cleared: Identities of requests that have been served since and are no longer suspects.
     """
 
     life: str
@@ -36,23 +39,27 @@
 
     @classmethod
     def of(cls, report: CrashReport) -> "CrashItem":
-        """Describe a report."""
+        """Build an item from a crash report."""
         suspects = sorted((name, round(s, 3)) for name, s in report.suspects.items())
         return cls(report.life, round(report.age_s, 3), suspects, sorted(report.cleared))
 
     def report(self) -> CrashReport:
-        """Give it as a report; a clock that runs backwards makes nothing younger than now."""
+        """Return the item as a crash report.
+
+        Negative ages, which a clock that runs backwards can produce, count as 0.
+        """
         suspects = {name: max(0.0, seconds) for name, seconds in self.suspects}
         return CrashReport(self.life, max(0.0, self.age_s), suspects, frozenset(self.cleared))
 
 
 class CrashNews(msgspec.Struct, array_like=True, frozen=True, tag="q"):
-    """What an instance knows of requests that crash endpoints.
+    """What the sender knows about requests that may crash endpoints.
 
     Attributes:
-        name: Sender.
-        crashes: Some of the crashes that it knows of.
-        trials: Requests that are tried carefully, with the seconds since then.
+        name: Name of the sender.
+        crashes: Some of the crashes that the sender knows of.
+        trials: Identities of quarantined requests that are being tried again, with the seconds
+            since each trial began.
     """
 
     name: str
@@ -61,12 +68,12 @@
 
 
 class NoticeNews(msgspec.Struct, array_like=True, frozen=True, tag="n"):
-    """What endpoints said of themselves in answers to the sender, or to others before.
+    """Notices that endpoints gave in answers to the sender or, earlier, to other instances.
 
     Attributes:
-        name: Sender.
-        leaving: Lives of endpoints that take no new work.
-        rests: Lives of endpoints that want a rest, with the seconds that are left of it.
+        name: Name of the sender.
+        leaving: Endpoint incarnations that accept no new work.
+        rests: Endpoint incarnations that asked for a back-off, with its remaining seconds.
     """
 
     name: str
@@ -75,18 +82,20 @@
 
 
 class EndpointSpending(msgspec.Struct, array_like=True, frozen=True, tag="l"):
-    """Limits that endpoints named, and what the sender took of them.
+    """Rate limits that endpoints reported, and the calls that the sender counted against them.
 
     Attributes:
-        name: Sender.
-        incarnation: Grows with each start of the sender.
-        words: Endpoints' lives with the calls a second that each takes from all instances, 0
-            for one that names no limit any more, and the seconds since it said so.
-        totals: Calls since the sender's start, by life; all, or those that changed lately.
-        returned: Calls of these that were not sent after all.
-        spenders: Of how many lives' limits the sender took something.
-        age_s: Seconds for which the sender has kept account.
-        levels: What is left of the limits, for a peer that starts; empty for others.
+        name: Name of the sender.
+        incarnation: Start number of the sender; it grows with each start.
+        words: Endpoint incarnations with the calls per second that each accepts from all
+            instances together, or 0 if it no longer reports a limit, and the seconds since
+            its report.
+        totals: Calls since the sender's start, by endpoint incarnation; all totals, or those that
+            changed recently.
+        returned: The part of ``totals`` that was returned because the calls were not sent.
+        spenders: Number of endpoint incarnations from whose limits the sender has taken units.
+        age_s: Seconds for which the sender has counted calls.
+        levels: Remaining units of each limit, for a peer that is starting; empty for others.
     """
 
     name: str
@@ -100,12 +109,12 @@
 
 
 class PaceItem(msgspec.Struct, array_like=True, frozen=True):
-    """A measurement of an endpoint, in steps that take a byte each.
+    """A speed measurement of an endpoint, quantised so that each field takes one byte.
 
     Attributes:
-        kind: What was measured, as in ``PaceKind``.
-        log: Logarithm of measured by expected time, in steps of 1/32.
-        age: Time since then, in steps of 0.5 s.
+        kind: What was measured, a value of ``PaceKind``.
+        log: Logarithm of the ratio of measured to expected time, in steps of 1/32.
+        age: Time since the measurement, in steps of 0.5 s.
     """
 
     kind: int
@@ -114,13 +123,15 @@
 
 
 class EndpointPaceNews(msgspec.Struct, array_like=True, frozen=True, tag="e"):
-    """What the sender itself measured of some endpoints lately, in place of what it told before.
+    """The sender's own recent speed measurements of some endpoints.
+
+    For each endpoint they replace the measurements that the sender reported earlier.
 
     Attributes:
-        name: Sender.
-        incarnation: Grows with each start of the sender.
-        number: Grows with each such message of the sender.
-        lives: Its newest measurements by the endpoint's life.
+        name: Name of the sender.
+        incarnation: Start number of the sender; it grows with each start.
+        number: Sequence number of the sender's messages of this type.
+        lives: The sender's newest measurements, by endpoint incarnation.
     """
 
     name: str
@@ -130,11 +141,11 @@
 
 
 class ShedNews(msgspec.Struct, array_like=True, frozen=True, tag="o"):
-    """Decodes that had no room for a stream just now.
+    """Decode endpoints that have just rejected a stream for lack of capacity.
 
     Attributes:
-        name: Sender.
-        refused: Names of the decodes with the size of the stream at its end, in tokens.
+        name: Name of the sender.
+        refused: Names of the decode endpoints, with the size of the stream at its end in tokens.
     """
 
     name: str
@@ -142,14 +153,14 @@
 
 
 class HintKind(StrEnum):
-    """What a hint says of an endpoint."""
+    """Problem that a hint reports for an endpoint."""
 
     UNREACHED = "unreached"
     SLOW = "slow"
 
 
 class EndpointHint(msgspec.Struct, array_like=True, frozen=True, tag="h"):
-    """What an instance met at an endpoint that others should not have to meet too."""
+    """A problem that the sender had with an endpoint, so that its peers can avoid it."""
 
     name: str
     endpoint: str
--- a/cleatlink/relay/peers/messages.py
+++ b/cleatlink/relay/peers/messages.py
@@ -1,4 +1,4 @@
-"""What instances tell each other: who is there, what they know, where they placed work."""
+"""Messages between instances: heartbeats, membership, usage of limits and shared state."""
 
 import msgspec
 
@@ -51,32 +51,32 @@
 
 
 class Beat(msgspec.Struct, array_like=True, frozen=True, tag="b"):
-    """An instance's heartbeat; it goes to every peer and has to stay small.
+    """Heartbeat of an instance; it is sent to every peer and has to stay small.
 
     Attributes:
-        name: Sender.
-        incarnation: Grows with each start of the sender.
-        data_centre: Sender's data centre.
-        address: Where the sender hears peers.
+        name: Name of the sender.
+        incarnation: Start number of the sender; it grows with each start.
+        data_centre: Data centre of the sender.
+        address: Address at which the sender receives messages from peers.
         leaving: Whether the sender is stopping.
-        table: Revision of the route table in force there.
-        newest: Number of the revision of the newest registration that it knows.
-        work: All its work.
-        fence: Highest fence of any order that the sender knows of.
-        switching: Endpoints that change their role, with the seconds that are left.
-        vote: Instance that the sender takes for the leader; empty for none.
-        members: How many instances the sender ever heard of.
-        totals: Units that the sender let pass since its start, by organisation, where that
-            changed lately.
-        spenders: How many organisations the sender let something pass for.
+        table: Revision of the route table that the sender uses.
+        newest: Revision number of the newest registration that the sender knows.
+        work: All work that the sender has placed and that has not ended.
+        fence: Highest fencing token of any order that the sender knows of.
+        switching: Endpoints that are changing their role, with the remaining seconds.
+        vote: Instance that the sender considers the leader; empty for none.
+        members: Number of instances that the sender has ever known.
+        totals: Units that the sender has admitted since its start, by organisation; only the
+            organisations whose total changed recently.
+        spenders: Number of organisations for which the sender has admitted units.
         age_s: Whole seconds since the sender's start.
-        era: Era of that revision.
-        limited_endpoints: Of how many endpoints' limits the sender took something.
-        finds_source: Whether the configuration service answered the sender last, and the sender
-            can watch it for others.
-        size: Part of processors that the sender has, in cores; 0 for one that takes no bundles.
-        number: Counts what the sender tells; 0 for one that does not count.
-        work_apart: Whether its work is told in messages of its own in place of here.
+        era: Era of the store revision that ``newest`` belongs to.
+        limited_endpoints: Number of endpoints from whose limits the sender has taken units.
+        finds_source: Whether the sender's last call to the configuration service was answered,
+            so that the sender can watch the service for other instances.
+        size: CPU capacity of the sender, in cores; 0 if the sender does not accept bundles.
+        number: Sequence number of the message; 0 if the sender does not number its messages.
+        work_apart: Whether the sender's work is sent in separate messages and ``work`` is empty.
     """
 
     name: str
@@ -103,30 +103,30 @@
 
     @property
     def newest_revision(self) -> StoreRevision:
-        """The revision of the newest registration that the sender knows."""
+        """Store revision of the newest registration that the sender knows."""
         return StoreRevision(self.era, self.newest)
 
 
 class Member(msgspec.Struct, array_like=True, frozen=True):
-    """An instance that the sender of a roster knows; without an address it is not heard."""
+    """An instance in a roster; the address is empty if the sender receives nothing from it."""
 
     name: str
     address: str
 
 
 class Roster(msgspec.Struct, array_like=True, frozen=True, tag="r"):
-    """The instances that an instance ever heard of; it goes to few peers at a time."""
+    """Membership list of the sender; it is sent to a few peers at a time."""
 
     name: str
     members: list[Member]
 
 
 class PaceNews(msgspec.Struct, array_like=True, frozen=True, tag="p"):
-    """What the sender knows of services' paces; it goes to few peers at a time.
+    """Service rates that the sender knows; the message is sent to a few peers at a time.
 
     Attributes:
-        name: Sender.
-        paces: What was measured by the name of a service, and how many seconds ago.
+        name: Name of the sender.
+        paces: Measured rates by service name, with the age of each measurement in seconds.
     """
 
     name: str
@@ -134,15 +134,15 @@
 
 
 class Spending(msgspec.Struct, array_like=True, frozen=True, tag="s"):
-    """What the sender let pass for organisations, told at once.
+    """Units that the sender has admitted for organisations, sent without waiting for a heartbeat.
 
     Attributes:
-        name: Sender.
-        incarnation: Grows with each start of the sender.
-        totals: Units since its start, by organisation.
-        levels: What is left of limits, for a peer that starts; empty for others.
-        age_s: Seconds for which the sender has kept account.
-        spenders: How many organisations the sender let something pass for.
+        name: Name of the sender.
+        incarnation: Start number of the sender; it grows with each start.
+        totals: Units admitted since the sender's start, by organisation.
+        levels: Remaining units of each limit, for a peer that is starting; empty for others.
+        age_s: Seconds for which the sender has counted admitted units.
+        spenders: Number of organisations for which the sender has admitted units.
     """
 
     name: str
@@ -154,15 +154,15 @@
 
 
 class BundleItem(msgspec.Struct, array_like=True, frozen=True):
-    """A message of an instance in a bundle.
+    """An encoded message of one instance in a bundle.
 
     Attributes:
-        sender: Who told it first.
-        incarnation: Grows with each start of that sender.
-        number: Counts what that sender tells.
-        age_ms: For how long it was held on its way, in milliseconds.
-        urgent: Whether it is passed on at once, in place of with the next bundle.
-        data: The message as it was encoded.
+        sender: Instance that created the message.
+        incarnation: Start number of that instance; it grows with each start.
+        number: Sequence number of the message at that instance.
+        age_ms: Total time for which the message was held on its way, in milliseconds.
+        urgent: Whether the message is forwarded at once instead of with the next bundle.
+        data: The encoded message.
     """
 
     sender: str
@@ -174,12 +174,12 @@
 
 
 class Bundle(msgspec.Struct, array_like=True, frozen=True, tag="d"):
-    """Messages of one or of many instances.
+    """Messages of one or more instances.
 
     Attributes:
-        name: Sender of the bundle.
-        pass_on: Whether the receiver passes its items on to the instances of its data centre.
-        items: The messages.
+        name: Name of the instance that sent the bundle.
+        pass_on: Whether the receiver forwards the items to the instances of its data centre.
+        items: The messages in the bundle.
     """
 
     name: str
@@ -188,15 +188,16 @@
 
 
 class SourceNews(msgspec.Struct, array_like=True, frozen=True, tag="g"):
-    """Registrations that changed, told by an instance that watches for its data centre.
+    """Changed registrations, sent by an instance that watches the service for its data centre.
 
     Attributes:
-        name: Sender.
-        era: Era of the revisions.
-        after: Who knows everything up to here completely knows it up to ``revision`` with this.
-        revision: Revision up to which the changes are told.
-        records: The changes.
-        found_ago_s: Seconds since the sender found the configuration service again.
+        name: Name of the sender.
+        era: Era of the store revisions.
+        after: Revision number that the changes follow: a receiver that knows all changes up to
+            it knows all changes up to ``revision`` after applying this message.
+        revision: Revision number up to which the message has all changes.
+        records: The changed registrations.
+        found_ago_s: Seconds since the configuration service became reachable for the sender again.
     """
 
     name: str
@@ -207,7 +208,7 @@
     found_ago_s: float
 
     def changes(self) -> list[EndpointRecord]:
-        """Give the changes as registrations."""
+        """Return the changed registrations as endpoint records."""
         return [
             EndpointRecord(
                 item.name, StoreRevision(self.era, item.revision), item.endpoint, item.fault
@@ -243,7 +244,7 @@
 
 
 def decode_datagram(data: bytes) -> Message | None:
-    """Decode a datagram; None if it is none of ours."""
+    """Decode a datagram; return None if it is not a known message."""
     try:
         return _DECODER.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
--- a/cleatlink/relay/peers/news.py
+++ b/cleatlink/relay/peers/news.py
@@ -1,4 +1,4 @@
-"""What is told to peers beside heartbeats: at once, again with heartbeats, and to who is new."""
+"""Interface of updates to peers that are sent in addition to heartbeats."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Sequence
@@ -9,30 +9,30 @@
 
 
 class NewsChannel(ABC):
-    """One kind of news.
+    """Source of one kind of update for peers.
 
-    Datagrams can be lost, and instances start anew or are cut off: so each heartbeat repeats
-    some of it to a few peers, and a peer that is new is told everything.
+    Datagrams can be lost, and instances can restart or be disconnected. Each heartbeat therefore
+    repeats some updates to a few peers, and a new peer receives the complete state.
     """
 
     @property
     def is_local(self) -> bool:
-        """Whether only peers of the own data centre are told."""
+        """Whether updates go only to peers of this instance's data centre."""
         return False
 
     @property
     def bears_delay(self) -> bool:
-        """Whether it may wait some tens of milliseconds for others on its way."""
+        """Whether updates may be delayed by some tens of milliseconds to be sent in bundles."""
         return True
 
     @abstractmethod
     async def next(self) -> Sequence[Message]:
-        """Wait for something to tell every peer, and give it."""
+        """Wait for updates and return the messages to send to every peer."""
 
     @abstractmethod
     def repeat(self) -> Sequence[Message]:
-        """Give what a heartbeat repeats to a few peers."""
+        """Return the messages that are repeated to a few peers with each heartbeat."""
 
     @abstractmethod
     def introduction(self) -> Sequence[Message]:
-        """Give everything, for a peer that is new."""
+        """Return messages with the complete state, for a new peer."""
--- a/cleatlink/relay/peers/plain_news.py
+++ b/cleatlink/relay/peers/plain_news.py
@@ -1,4 +1,4 @@
-"""Tells peers of this instance's plain calls, as totals, and takes theirs."""
+"""Exchanges totals of plain calls with peers."""
 
 import random
 
@@ -12,88 +12,91 @@
 
 __all__ = ["PlainNews"]
 
-# Seconds between two messages while a service is nearly full: a burst is known about as soon as
-# an endpoint's queue can grow.
-_BUSY_S = 0.25
-# Seconds between two messages otherwise: nothing is decided by them but the begin of a burst.
-_CALM_S = 0.5
-# Instances that started together tell at different moments: pauses differ by up to this share.
+# Pause between two messages while a service is nearly full, in seconds: peers learn of a burst
+# about as soon as an endpoint's queue can grow.
+_BUSY_PAUSE_S = 0.25
+# Interval between two messages otherwise, in seconds: these messages only serve to detect the
+# start of a burst.
+_IDLE_INTERVAL_S = 0.5
+# Pauses vary randomly by up to this share, so that instances that started together do not all
+# send at the same time.
 _JITTER_SHARE = 0.2
-# Items of each kind in one message, which stays below some 400 bytes; the rest follows.
-_MOST_DEMANDS = 6
-_MOST_ENDPOINTS = 8
-_MOST_RETURNS = 6
+# Maximum number of items of each kind in one message, which keeps it below about 400 bytes; the
+# other items are sent in the next messages.
+_MAX_DEMANDS = 6
+_MAX_ENDPOINTS = 8
+_MAX_RETURNS = 6
 
 
 class PlainNews(NewsChannel):
-    """One instance's side of what all know of plain calls."""
+    """Channel for the totals of plain calls of the instances."""
 
     def __init__(self, name: str, incarnation: int, capacity: Capacity) -> None:
-        """Start with nothing to tell.
+        """Initialise the channel without pending updates.
 
         Args:
-            name: This instance's name.
-            incarnation: Grows with each start of this instance.
-            capacity: What is believed of endpoints.
+            name: Name of this instance.
+            incarnation: Start number of this instance; it grows with each start.
+            capacity: Assumed capacity and load of endpoints.
         """
         self._name = name
         self._incarnation = incarnation
         self._capacity = capacity
         self._load = capacity.plain
         self._rng = random.Random(incarnation)
-        self._told_arrived: dict[Demand, int] = {}
-        self._told_endpoints: dict[str, EndpointTotals] = {}
-        self._told_at = trio.current_time()
+        self._reported_arrivals: dict[Demand, int] = {}
+        self._reported_endpoints: dict[str, EndpointTotals] = {}
+        self._reported_at = trio.current_time()
 
     async def next(self) -> list[PlainCalls]:
-        """Wait for something to tell every peer, and give it."""
+        """Wait for updates and return the messages to send to every peer."""
         if not self._capacity.switches.uses(Mechanism.PLAIN_ADMISSION):
             await trio.sleep_forever()
         while True:
-            await trio.sleep(_BUSY_S * (1 + _JITTER_SHARE * self._rng.random()))
+            await trio.sleep(_BUSY_PAUSE_S * (1 + _JITTER_SHARE * self._rng.random()))
             now = trio.current_time()
-            if not self._load.is_busy(now) and now - self._told_at < _CALM_S:
+            if not self._load.is_busy(now) and now - self._reported_at < _IDLE_INTERVAL_S:
                 continue
             message = self._changes(now)
             if message is not None:
-                self._told_at = now
+                self._reported_at = now
                 return [message]
 
     def repeat(self) -> list[PlainCalls]:
-        """Give nothing: what is lost is made up for by the next message."""
+        """Return no messages: the totals in the next message make up for a lost one."""
         return []
 
     def introduction(self) -> list[PlainCalls]:
-        """Give the totals, as a base for what a peer that is new hears later."""
-        arrived = dict(list(self._told_arrived.items())[:_MOST_DEMANDS])
-        endpoints = dict(list(self._told_endpoints.items())[:_MOST_ENDPOINTS])
+        """Return the totals, as a base from which a new peer computes later increases."""
+        arrived = dict(list(self._reported_arrivals.items())[:_MAX_DEMANDS])
+        endpoints = dict(list(self._reported_endpoints.items())[:_MAX_ENDPOINTS])
         if not arrived and not endpoints:
             return []
         return [self._message(arrived, endpoints, [], trio.current_time())]
 
     def _changes(self, now: float) -> PlainCalls | None:
-        """Give what changed since it was told; None if nothing did."""
+        """Return the changes since the last messages, or None if there are none."""
         arrived = {
             key: count
             for key, count in self._load.arrivals.items()
-            if self._told_arrived.get(key) != count
+            if self._reported_arrivals.get(key) != count
         }
         totals = self._load.totals(now)
-        told = {life: item for life, item in self._told_endpoints.items() if life in totals}
-        self._told_endpoints = told
-        endpoints = {life: item for life, item in totals.items() if told.get(life) != item}
-        returns = self._capacity.plain_returns.untold(_MOST_RETURNS, now)
+        reported = {life: item for life, item in self._reported_endpoints.items() if life in totals}
+        self._reported_endpoints = reported
+        endpoints = {life: item for life, item in totals.items() if reported.get(life) != item}
+        returns = self._capacity.plain_returns.untold(_MAX_RETURNS, now)
         if not arrived and not endpoints and not returns:
             return None
-        arrived = dict(list(arrived.items())[:_MOST_DEMANDS])
-        endpoints = dict(list(endpoints.items())[:_MOST_ENDPOINTS])
-        # What is told moves to the end, so that the rest comes first when it changes again.
+        arrived = dict(list(arrived.items())[:_MAX_DEMANDS])
+        endpoints = dict(list(endpoints.items())[:_MAX_ENDPOINTS])
+        # Reported items move to the end, so that the other items come first when they change again.
         for key, count in arrived.items():
-            self._told_arrived.pop(key, None)
-            self._told_arrived[key] = count
+            self._reported_arrivals.pop(key, None)
+            self._reported_arrivals[key] = count
         for life, item in endpoints.items():
-            told.pop(life, None)
-            told[life] = item
+            reported.pop(life, None)
+            reported[life] = item
         return self._message(arrived, endpoints, returns, now)
 
     def _message(
@@ -116,7 +119,7 @@
         )
 
     def take(self, news: PlainCalls) -> None:
-        """Take what a peer tells."""
+        """Record the totals and the refused requests of a peer."""
         now = trio.current_time()
         arrived = {Demand(service, rank): count for service, rank, count in news.arrived}
         endpoints = {
--- a/cleatlink/relay/peers/shed_news.py
+++ b/cleatlink/relay/peers/shed_news.py
@@ -1,4 +1,4 @@
-"""Tells peers at once of decodes that had no room, so that they do not ask there, too."""
+"""Reports decode endpoints without capacity to peers, so that they do not call them as well."""
 
 import trio
 
@@ -7,37 +7,42 @@
 
 __all__ = ["ShedNewsChannel"]
 
-# Refusals of one moment are told of together.
-_GATHER_S = 0.005
-# Decodes in one datagram.
-_MOST_TOLD = 16
+# Delay within which rejections are collected for one message, in seconds.
+_COALESCE_DELAY_S = 0.005
+# Maximum number of decode endpoints in one datagram.
+_MAX_ENDPOINTS = 16
 
 
 class ShedNewsChannel(NewsChannel):
-    """What this instance tells of refusals; what is lost costs a peer one call."""
+    """Channel for rejections for overload; a lost message costs a peer one rejected call."""
 
     def __init__(self, name: str) -> None:
         self._name = name
         self._refused: dict[str, int] = {}
-        self._wake = trio.Event()
+        self._changed = trio.Event()
 
     def tell(self, endpoint: str, tokens: int) -> None:
-        """Have peers told of a decode that had no room for a stream of so many tokens."""
+        """Queue a report of a decode endpoint that rejected a stream.
+
+        Args:
+            endpoint: Name of the decode endpoint.
+            tokens: Size of the stream at its end, in tokens.
+        """
         self._refused[endpoint] = min(tokens, self._refused.get(endpoint, tokens))
-        self._wake.set()
+        self._changed.set()
 
     async def next(self) -> list[ShedNews]:
-        """Wait for something to tell every peer, and give it."""
-        await self._wake.wait()
-        await trio.sleep(_GATHER_S)
-        self._wake = trio.Event()
+        """Wait for updates and return the messages to send to every peer."""
+        await self._changed.wait()
+        await trio.sleep(_COALESCE_DELAY_S)
+        self._changed = trio.Event()
         refused, self._refused = self._refused, {}
-        return [ShedNews(self._name, sorted(refused.items())[:_MOST_TOLD])]
+        return [ShedNews(self._name, sorted(refused.items())[:_MAX_ENDPOINTS])]
 
     def repeat(self) -> list[ShedNews]:
-        """Give nothing: a refusal is old news within a second."""
+        """Return no messages: a rejection is out of date within a second."""
         return []
 
     def introduction(self) -> list[ShedNews]:
-        """Give nothing, for the same reason."""
+        """Return no messages: a rejection is out of date within a second."""
         return []
--- a/cleatlink/relay/peers/waiting_messages.py
+++ b/cleatlink/relay/peers/waiting_messages.py
@@ -1,4 +1,4 @@
-"""What instances tell each other of requests that wait, and of plain calls."""
+"""Messages between instances about queued streams and plain calls."""
 
 import msgspec
 
@@ -10,21 +10,21 @@
     "WaitNews",
 ]
 
-# Longer than anything waits.
-_MOST_SPARE_S = 3600.0
+# Upper bound of the slack in a message, in seconds; it is longer than any stream waits.
+_MAX_SLACK_S = 3600.0
 
 
 class WaitItem(msgspec.Struct, array_like=True, frozen=True):
-    """Streams of one service and urgency that wait for room at the sender.
+    """Streams of one service and urgency that are queued for capacity at the sender.
 
     Attributes:
-        service: The service.
-        urgency: Larger goes first.
-        is_late: Whether they will be late even if they have room now.
-        streams: How many wait.
-        tokens: Memory that they hold at their ends, together.
-        oldest_s: Seconds since the first of them came.
-        spare_s: Seconds for which one of them can still wait and be in time.
+        service: Name of the service.
+        urgency: Streams with a larger value are served first.
+        is_late: Whether the streams will miss their targets even if they get capacity now.
+        streams: Number of queued streams.
+        tokens: Memory that the streams hold at their ends, in total.
+        oldest_s: Seconds since the oldest of the streams arrived.
+        spare_s: Slack: seconds that one of the streams can still wait and meet its target.
     """
 
     service: str
@@ -37,25 +37,27 @@
 
     @classmethod
     def of(cls, group: WaitingGroup) -> "WaitItem":
-        """Describe what waits."""
-        spare_s = round(min(_MOST_SPARE_S, group.spare_s), 2)
+        """Build an item from a group of queued streams."""
+        spare_s = round(min(_MAX_SLACK_S, group.spare_s), 2)
         oldest_s = round(group.oldest_s, 2)
         return cls(*group._replace(oldest_s=oldest_s, spare_s=spare_s))
 
     def group(self) -> WaitingGroup:
-        """Give it as what waits."""
+        """Return the item as a group of queued streams."""
         return WaitingGroup(*msgspec.structs.astuple(self))
 
 
 class WaitNews(msgspec.Struct, array_like=True, frozen=True, tag="w"):
-    """All that waits for room at the sender; it replaces what the sender told before.
+    """All streams that are queued for capacity at the sender.
+
+    A message replaces the earlier ones of the same sender.
 
     Attributes:
-        name: Sender.
-        incarnation: Grows with each start of the sender.
-        number: Grows with each message of the sender.
-        data_centre: Sender's data centre.
-        items: What waits, the most urgent first; bounded.
+        name: Name of the sender.
+        incarnation: Start number of the sender; it grows with each start.
+        number: Sequence number of the sender's messages of this type.
+        data_centre: Data centre of the sender.
+        items: Groups of queued streams, the most urgent first; their number is bounded.
     """
 
     name: str
@@ -66,16 +68,20 @@
 
 
 class PlainCalls(msgspec.Struct, array_like=True, frozen=True, tag="f"):
-    """The sender's plain calls, as totals since its start; all, or those that changed lately.
+    """Totals of the sender's plain calls since its start.
+
+    A message has all totals, or those that changed recently.
 
     Attributes:
-        name: Sender.
-        incarnation: Grows with each start of the sender.
-        age_s: Seconds since the sender's start.
-        arrived: Services, with a rank and the calls of that rank that callers made.
-        endpoints: Endpoints' lives, with the calls that ended there, the milliseconds that calls
-            were in progress there, and the calls that it refused.
-        returns: Requests that were refused just now, with the seconds until they may be back.
+        name: Name of the sender.
+        incarnation: Start number of the sender; it grows with each start.
+        age_s: Seconds since the start of the sender.
+        arrived: Services, each with a rank and the number of calls of that rank from callers.
+        endpoints: Endpoint incarnations, each with the number of calls that it completed, the
+            milliseconds for which calls were in progress there, summed over the calls, and
+            the number of calls that it refused.
+        returns: Identities of requests that have just been refused, with the seconds until their
+            callers may retry.
     """
 
     name: str
--- a/cleatlink/relay/peers/waiting_news.py
+++ b/cleatlink/relay/peers/waiting_news.py
@@ -1,4 +1,4 @@
-"""Tells peers what waits for room at this instance, and takes what they tell."""
+"""Exchanges the queued streams of all instances with peers."""
 
 import trio
 
@@ -8,72 +8,75 @@
 
 __all__ = ["WaitingNews"]
 
-# What finds room sooner is not told of.
-_GATHER_S = 0.1
-# Time between two messages.
-_PAUSE_S = 0.15
-# What still waits is told again so often, before it is believed less.
-_AGAIN_S = 0.5
-# Groups in one message; the least urgent are left out first.
-_MOST_ITEMS = 8
+# Delay before an update, in seconds; streams that get capacity within it are not reported.
+_COALESCE_DELAY_S = 0.1
+# Minimum pause between two messages, in seconds.
+_MIN_PAUSE_S = 0.15
+# Interval at which unchanged queued streams are reported again, in seconds; receivers discount
+# older reports.
+_REPORT_INTERVAL_S = 0.5
+# Maximum number of groups in one message; the least urgent ones are omitted first.
+_MAX_GROUPS = 8
 
 
 class WaitingNews(NewsChannel):
-    """One instance's side of waiting over all instances."""
+    """Channel for the streams that are queued for capacity at the instances."""
 
     def __init__(
         self, name: str, incarnation: int, data_centre: str, waiting: SharedWaiting
     ) -> None:
-        """Start with nothing to tell.
+        """Initialise the channel without pending updates.
 
         Args:
-            name: This instance's name.
-            incarnation: Grows with each start of this instance.
-            data_centre: Where this instance runs.
-            waiting: What waits, here and at others.
+            name: Name of this instance.
+            incarnation: Start number of this instance; it grows with each start.
+            data_centre: Data centre of this instance.
+            waiting: Queued streams of this instance and of its peers.
         """
         self._name = name
         self._incarnation = incarnation
         self._data_centre = data_centre
         self._waiting = waiting
         self._number = 0
-        self._is_told = False
-        self._wake = trio.Event()
+        self._has_reported_streams = False
+        self._changed = trio.Event()
         waiting.listen(self._note_changed)
 
     def _note_changed(self) -> None:
-        self._wake.set()
+        self._changed.set()
 
     async def next(self) -> list[WaitNews]:
-        """Wait for something to tell every peer, and give it."""
-        await trio.sleep(_PAUSE_S)
-        with trio.move_on_after(_AGAIN_S - _PAUSE_S if self._is_told else float("inf")):
-            await self._wake.wait()
-            await trio.sleep(_GATHER_S)
-        self._wake = trio.Event()
+        """Wait for updates and return the messages to send to every peer."""
+        await trio.sleep(_MIN_PAUSE_S)
+        with trio.move_on_after(
+            _REPORT_INTERVAL_S - _MIN_PAUSE_S if self._has_reported_streams else float("inf")
+        ):
+            await self._changed.wait()
+            await trio.sleep(_COALESCE_DELAY_S)
+        self._changed = trio.Event()
         if not self._waiting.is_in_use:
             return []
-        news = self._news()
-        if not news.items and not self._is_told:
+        news = self._message()
+        if not news.items and not self._has_reported_streams:
             return []
-        self._is_told = bool(news.items)
+        self._has_reported_streams = bool(news.items)
         return [news]
 
     def repeat(self) -> list[WaitNews]:
-        """Give nothing: what still waits is told again to all."""
+        """Return no messages: queued streams are reported to all peers repeatedly."""
         return []
 
     def introduction(self) -> list[WaitNews]:
-        """Give what waits, for a peer that is new."""
-        return [self._news()] if self._is_told else []
+        """Return the queued streams of this instance, for a new peer."""
+        return [self._message()] if self._has_reported_streams else []
 
-    def _news(self) -> WaitNews:
+    def _message(self) -> WaitNews:
         self._number += 1
-        items = [WaitItem.of(group) for group in self._waiting.own()[:_MOST_ITEMS]]
+        items = [WaitItem.of(group) for group in self._waiting.own()[:_MAX_GROUPS]]
         return WaitNews(self._name, self._incarnation, self._number, self._data_centre, items)
 
     def take(self, news: WaitNews) -> None:
-        """Take what waits at a peer."""
+        """Record the queued streams of a peer."""
         if news.name == self._name:
             return
         groups = tuple(item.group() for item in news.items)
--- a/cleatlink/relay/peers/waiting_news_test.py
+++ b/cleatlink/relay/peers/waiting_news_test.py
@@ -1,4 +1,4 @@
-"""Instances tell each other what waits, and nothing while nothing does."""
+"""Tests the exchange of queued streams between instances."""
 
 import trio
 
@@ -9,61 +9,63 @@
 GROUP = WaitingGroup("s", -1, False, 2, 6000, 0.5, 1.2)
 
 
-def shared(name: str, peers: int = 60) -> tuple[WaitingNews, SharedWaiting]:
-    """Give one instance's side, and what it knows."""
+def create_channel(name: str, peers: int = 60) -> tuple[WaitingNews, SharedWaiting]:
+    """Return the channel of an instance and the queue state that it shares."""
     waiting = SharedWaiting()
     waiting.note_peers(peers)
     return WaitingNews(name, 1, "a", waiting), waiting
 
 
-async def told(news: WaitingNews, within_s: float) -> list[WaitNews]:
-    """Give what is told within some seconds."""
-    found: list[WaitNews] = []
+async def collect(channel: WaitingNews, within_s: float) -> list[WaitNews]:
+    """Return the messages that a channel sends within ``within_s`` seconds."""
+    messages: list[WaitNews] = []
     with trio.move_on_after(within_s):
         while True:
-            found.extend(await news.next())
-    return found
+            messages.extend(await channel.next())
+    return messages
 
 
-async def test_what_waits_is_told_again_until_it_is_over(autojump_clock: object) -> None:
-    news, waiting = shared("n1")
+async def test_queued_streams_are_reported_repeatedly_until_the_queue_is_empty(
+    autojump_clock: object,
+) -> None:
+    channel, waiting = create_channel("n1")
     groups = [GROUP]
     waiting.attach(lambda: tuple(groups))
     waiting.note_changed()
-    first = await told(news, 2.0)
+    first = await collect(channel, 2.0)
     assert 3 <= len(first) <= 5
     assert all(message.items for message in first)
     groups.clear()
     waiting.note_changed()
-    last = await told(news, 2.0)
+    last = await collect(channel, 2.0)
     assert [message.items for message in last] == [[]]
 
 
-async def test_nothing_is_told_while_nothing_waits(autojump_clock: object) -> None:
-    news, waiting = shared("n1")
+async def test_no_messages_while_no_streams_are_queued(autojump_clock: object) -> None:
+    channel, waiting = create_channel("n1")
     waiting.note_changed()
-    assert await told(news, 5.0) == []
+    assert await collect(channel, 5.0) == []
 
 
-async def test_few_instances_tell_nothing(autojump_clock: object) -> None:
-    news, waiting = shared("n1", peers=16)
+async def test_small_group_sends_no_messages(autojump_clock: object) -> None:
+    channel, waiting = create_channel("n1", peers=16)
     waiting.attach(lambda: (GROUP,))
     waiting.note_changed()
-    assert await told(news, 5.0) == []
+    assert await collect(channel, 5.0) == []
 
 
-async def test_peer_takes_what_is_told(autojump_clock: object) -> None:
-    news, waiting = shared("n1")
-    other, heard = shared("n2")
+async def test_peer_counts_reported_streams_as_queued_ahead(autojump_clock: object) -> None:
+    channel, waiting = create_channel("n1")
+    peer, peer_waiting = create_channel("n2")
     waiting.attach(lambda: (GROUP,) * 20)
     waiting.note_changed()
-    message = (await told(news, 0.3))[0]
+    message = (await collect(channel, 0.3))[0]
     data = encode(message)
     assert len(data) < 400
     decoded = decode_datagram(data)
     assert isinstance(decoded, WaitNews)
-    other.take(decoded)
+    peer.take(decoded)
     claim = Claim("s", 1e9, False)
-    assert heard.ahead(claim, trio.current_time()) == Ahead(16, 3000)
-    news.take(decoded)
+    assert peer_waiting.ahead(claim, trio.current_time()) == Ahead(16, 3000)
+    channel.take(decoded)
     assert waiting.ahead(claim, trio.current_time()).streams == 0
--- a/cleatlink/relay/peers/work_messages.py
+++ b/cleatlink/relay/peers/work_messages.py
@@ -1,4 +1,4 @@
-"""What instances tell each other of the work that they placed."""
+"""Messages between instances about the work that they have placed."""
 
 import msgspec
 
@@ -15,17 +15,17 @@
 
 
 class WorkItem(msgspec.Struct, array_like=True, frozen=True):
-    """Work that an instance placed on an endpoint.
+    """Work that the sender has placed on an endpoint.
 
     Attributes:
-        key: The sender's name for it.
+        key: Identifier of the work, unique at the sender.
         endpoint: Name of the endpoint.
-        role: Role of the endpoint in it.
-        tokens: Its size.
-        left_s: Seconds until its expected end.
-        duration_s: Seconds that it is expected to take in all.
-        grows: Tokens of its size that come in the course of it.
-        suspicion: At how many crashes of endpoints its request was in progress.
+        role: Role in which the endpoint does the work.
+        tokens: Prompt tokens of a prefill; memory of a decode at its end, in tokens.
+        left_s: Seconds until the expected end of the work.
+        duration_s: Expected total duration of the work, in seconds.
+        grows: The part of ``tokens`` that is added while the work runs.
+        suspicion: Number of endpoint crashes during which the request was in progress.
     """
 
     key: str
@@ -39,7 +39,7 @@
 
     @classmethod
     def of(cls, key: str, work: Reservation, now: float) -> "WorkItem":
-        """Describe a reservation."""
+        """Build an item from a reservation."""
         left_s = round(work.ends_at - now, 3)
         duration_s = round(work.duration_s, 3)
         return cls(
@@ -54,7 +54,7 @@
         )
 
     def reservation(self, now: float) -> Reservation:
-        """Give it as a reservation; a role that is not known counts as plain."""
+        """Return the item as a reservation; an unknown role counts as plain."""
         return Reservation(
             self.endpoint,
             _ROLES.get(self.role, Role.PLAIN),
@@ -67,14 +67,14 @@
 
 
 class Changes(msgspec.Struct, array_like=True, frozen=True, tag="c"):
-    """Work that an instance has placed, and the keys of work that is over.
+    """Work that the sender has just placed, and the keys of work that has ended.
 
     Attributes:
-        name: Sender.
-        incarnation: Grows with each start of the sender.
-        placed: Work that has begun.
-        over: Keys of work that has ended.
-        number: Counts what the sender tells of work; 0 for one that does not count.
+        name: Name of the sender.
+        incarnation: Start number of the sender; it grows with each start.
+        placed: Work that has been placed.
+        over: Keys of the work that has ended.
+        number: Sequence number of the sender's work messages; 0 if it does not number them.
     """
 
     name: str
@@ -85,13 +85,13 @@
 
 
 class WorkList(msgspec.Struct, array_like=True, frozen=True, tag="k"):
-    """All work of an instance, in place of what was known of it.
+    """All work of the sender; it replaces what the receiver knew of the sender's work.
 
     Attributes:
-        name: Sender.
-        incarnation: Grows with each start of the sender.
-        work: All its work.
-        number: Counts what the sender tells of work.
+        name: Name of the sender.
+        incarnation: Start number of the sender; it grows with each start.
+        work: All work that the sender has placed and that has not ended.
+        number: Sequence number of the sender's work messages.
     """
 
     name: str
--- a/cleatlink/relay/peers/work_news_test.py
+++ b/cleatlink/relay/peers/work_news_test.py
@@ -1,4 +1,4 @@
-"""Who is told at once of work that an instance places."""
+"""Tests which peers receive changes of an instance's work at once."""
 
 from cleatlink.core.data import Role
 from cleatlink.core.routes import RoutedEndpoint
@@ -6,52 +6,56 @@
 from cleatlink.routing.capacity import Capacity
 from cleatlink.routing.reservation import Reservation
 
-PLACES = ("a", "b", "c")
+DATA_CENTRES = ("a", "b", "c")
 
 
-def fleet() -> Capacity:
+def create_capacity() -> Capacity:
     capacity = Capacity()
-    for place in PLACES:
-        endpoint = RoutedEndpoint(f"e-{place}", "127.0.0.1:1", place, "s", Role.DECODE, 8)
+    for data_centre in DATA_CENTRES:
+        endpoint = RoutedEndpoint(
+            f"e-{data_centre}", "127.0.0.1:1", data_centre, "s", Role.DECODE, 8
+        )
         capacity.set_endpoint(endpoint)
     return capacity
 
 
-def work(endpoint: str) -> Reservation:
+def decode_work(endpoint: str) -> Reservation:
     return Reservation(endpoint, Role.DECODE, 100, 5.0, 5.0)
 
 
-def test_few_peers_are_all_told_of_all() -> None:
-    capacity = fleet()
-    news = WorkNews("n", 1, "a", capacity)
-    capacity.reserve("k", work("e-a"))
-    assert set(news.changes(["k"], PLACES, 6, 0.0)) == set(PLACES)
+def test_all_peers_receive_all_changes_in_a_small_group() -> None:
+    capacity = create_capacity()
+    updates = WorkNews("n", 1, "a", capacity)
+    capacity.reserve("k", decode_work("e-a"))
+    assert set(updates.changes(["k"], DATA_CENTRES, 6, 0.0)) == set(DATA_CENTRES)
 
 
-def test_many_peers_are_told_of_work_near_them_and_of_its_end() -> None:
-    capacity = fleet()
-    news = WorkNews("n", 1, "a", capacity)
-    capacity.reserve("here", work("e-a"))
-    capacity.reserve("there", work("e-b"))
-    told = news.changes(["here", "there"], PLACES, 57, 0.0)
-    assert {place: [item.key for item in changes.placed] for place, changes in told.items()} == {
+def test_large_group_reports_changes_to_data_centres_of_endpoint_and_instance() -> None:
+    capacity = create_capacity()
+    updates = WorkNews("n", 1, "a", capacity)
+    capacity.reserve("here", decode_work("e-a"))
+    capacity.reserve("there", decode_work("e-b"))
+    sent = updates.changes(["here", "there"], DATA_CENTRES, 57, 0.0)
+    assert {
+        data_centre: [item.key for item in changes.placed] for data_centre, changes in sent.items()
+    } == {
         "a": ["here", "there"],
         "b": ["there"],
     }
     capacity.release("here")
     capacity.release("there")
-    told = news.changes(["here", "there"], PLACES, 57, 1.0)
-    assert {place: changes.over for place, changes in told.items()} == {
+    sent = updates.changes(["here", "there"], DATA_CENTRES, 57, 1.0)
+    assert {data_centre: changes.over for data_centre, changes in sent.items()} == {
         "a": ["here", "there"],
         "b": ["there"],
     }
 
 
-def test_work_of_no_endpoint_is_told_here() -> None:
-    capacity = fleet()
-    capacity.reserve("k", work("returns to s"))
-    assert set(WorkNews("n", 1, "a", capacity).changes(["k"], PLACES, 57, 0.0)) == {"a"}
+def test_work_without_known_endpoint_is_reported_in_own_data_centre() -> None:
+    capacity = create_capacity()
+    capacity.reserve("k", decode_work("returns to s"))
+    assert set(WorkNews("n", 1, "a", capacity).changes(["k"], DATA_CENTRES, 57, 0.0)) == {"a"}
 
 
-def test_nothing_is_told_where_nothing_changed() -> None:
-    assert WorkNews("n", 1, "a", fleet()).changes([], PLACES, 57, 0.0) == {}
+def test_no_message_without_changes() -> None:
+    assert WorkNews("n", 1, "a", create_capacity()).changes([], DATA_CENTRES, 57, 0.0) == {}
