--- a/cleatlink/relay/peers/endpoint_limit_news.py
+++ b/cleatlink/relay/peers/endpoint_limit_news.py
@@ -1,4 +1,4 @@
-"""Tells peers what endpoints said of their limits, and what this instance takes of them."""
+"""Exchanges the rate limits that endpoints report, and the calls counted against them."""
 
 import eliot
 import trio
@@ -10,78 +10,85 @@
 
 __all__ = ["EndpointLimitNews"]
 
-# Calls that are placed within so long of each other are told together.
-_GATHER_S = 0.002
-# Time between two messages, in seconds: an endpoint whose limit is high is told of in bunches.
-_PAUSE_S = 0.005
-# Heartbeats repeat the newest words, which a loss could have kept from somebody.
-_MOST_REPEATED = 32
-# Lives in one datagram: their names are bounded by what a store takes as a key.
-_MOST_LIVES = 200
+# Delay within which placed calls are collected for one message, in seconds.
+_COALESCE_DELAY_S = 0.002
+# Minimum pause between two messages, in seconds: calls to an endpoint with a high limit are
+# reported in batches.
+_MIN_PAUSE_S = 0.005
+# Maximum number of newest reports of limits that a heartbeat repeats, in case a message was lost.
+_MAX_REPEATED = 32
+# Maximum number of endpoint incarnations in one datagram. The length of their names is bounded by
+# the store's limit for keys.
+_MAX_INCARNATIONS = 200
 
 
 class EndpointLimitNews(NewsChannel):
-    """One instance's side of limits that endpoints name."""
+    """Channel for rate limits that endpoints report."""
 
     def __init__(self, name: str, incarnation: int, limits: EndpointLimits) -> None:
-        """Start with nothing to tell.
+        """Initialise the channel without pending updates.
 
         Args:
-            name: This instance's name.
-            incarnation: Grows with each start of this instance.
-            limits: The limits.
+            name: Name of this instance.
+            incarnation: Start number of this instance; it grows with each start.
+            limits: Limits of the endpoints.
         """
         self._name = name
         self._incarnation = incarnation
         self._limits = limits
-        self._changed: set[str] = set()
-        self._wake = trio.Event()
-        limits.listen(self._note_taken)
+        self._changed_incarnations: set[str] = set()
+        self._has_changes = trio.Event()
+        limits.listen(self._note_usage)
 
-    def _note_taken(self) -> None:
-        self._wake.set()
+    def _note_usage(self) -> None:
+        self._has_changes.set()
 
-    def tell_word(self, life: str) -> None:
-        """Have peers told that an endpoint names another limit, or none any more."""
-        self._changed.add(life)
-        self._wake.set()
+    def tell_word(self, incarnation: str) -> None:
+        """Queue a report that an endpoint has changed its limit, or no longer reports one."""
+        self._changed_incarnations.add(incarnation)
+        self._has_changes.set()
 
     @property
     def bears_delay(self) -> bool:
-        """No: what others took of a limit is counted until the next call is let pass."""
+        """False: calls of peers have to be counted before the next call is admitted."""
         return False
 
     async def next(self) -> list[EndpointSpending]:
-        """Wait for something to tell every peer, and give it."""
-        await trio.sleep(_PAUSE_S)
-        await self._wake.wait()
-        await trio.sleep(_GATHER_S)
-        self._wake = trio.Event()
+        """Wait for updates and return the messages to send to every peer."""
+        await trio.sleep(_MIN_PAUSE_S)
+        await self._has_changes.wait()
+        await trio.sleep(_COALESCE_DELAY_S)
+        self._has_changes = trio.Event()
         now = trio.current_time()
-        changed, self._changed = sorted(self._changed), set()
-        return [self._spending([self._limits.word(life, now) for life in changed], now)]
+        changed, self._changed_incarnations = sorted(self._changed_incarnations), set()
+        return [
+            self._message([self._limits.word(incarnation, now) for incarnation in changed], now)
+        ]
 
     def repeat(self) -> list[EndpointSpending]:
-        """Give what a heartbeat repeats to a few peers: what endpoints said to this instance."""
+        """Return the limits that endpoints reported to this instance, for a few peers."""
         now = trio.current_time()
-        words = self._limits.words(now, _MOST_REPEATED)
-        return [self._spending(words, now)] if words else []
+        reports = self._limits.words(now, _MAX_REPEATED)
+        return [self._message(reports, now)] if reports else []
 
     def introduction(self) -> list[EndpointSpending]:
-        """Give everything, for a peer that is new."""
+        """Return all known limits, totals and levels, for a new peer."""
         now = trio.current_time()
-        words = self._limits.words(now, _MOST_LIVES, all_known=True)
-        return [self._spending(words, now, whole=True)] if words else []
+        reports = self._limits.words(now, _MAX_INCARNATIONS, all_known=True)
+        return [self._message(reports, now, whole=True)] if reports else []
 
-    def _spending(
-        self, words: list[LimitWord], now: float, *, whole: bool = False
+    def _message(
+        self, reports: list[LimitWord], now: float, *, whole: bool = False
     ) -> EndpointSpending:
-        """Give what endpoints said, and what this instance took: all of it, or what changed."""
+        """Return a message with limits and this instance's totals: all, or the changed ones."""
         limits = self._limits
         return EndpointSpending(
             self._name,
             self._incarnation,
-            [(word.life, word.rate_per_s, word.age_s) for word in words[:_MOST_LIVES]],
+            [
+                (report.life, report.rate_per_s, report.age_s)
+                for report in reports[:_MAX_INCARNATIONS]
+            ],
             limits.totals(now, whole=whole),
             limits.returned(now, whole=whole),
             limits.spenders,
@@ -89,21 +96,26 @@
             limits.levels(now) if whole else {},
         )
 
-    def take(self, news: EndpointSpending) -> None:
-        """Take what a peer tells: first the limits, then what it took of them."""
+    def take(self, message: EndpointSpending) -> None:
+        """Apply the message of a peer: first the limits, then the calls counted against them."""
         now = trio.current_time()
-        for word in map(LimitWord._make, news.words):
-            if self._limits.note_told(word, now):
+        for report in map(LimitWord._make, message.words):
+            if self._limits.note_told(report, now):
                 eliot.log_message(
                     message_type="endpoint: names a limit, as a peer tells",
-                    endpoint=word.life,
-                    per_s=word.rate_per_s or None,
-                    age_s=word.age_s,
-                    peer=news.name,
+                    endpoint=report.life,
+                    per_s=report.rate_per_s or None,
+                    age_s=report.age_s,
+                    peer=message.name,
                 )
-        if news.levels:
-            self._limits.adopt(news.levels, news.age_s, now)
+        if message.levels:
+            self._limits.adopt(message.levels, message.age_s, now)
         totals = PeerTotals(
-            news.name, news.incarnation, news.totals, news.spenders, news.age_s, news.returned
+            message.name,
+            message.incarnation,
+            message.totals,
+            message.spenders,
+            message.age_s,
+            message.returned,
         )
         self._limits.take_totals(totals, now)
--- a/cleatlink/relay/peers/endpoint_pace_news.py
+++ b/cleatlink/relay/peers/endpoint_pace_news.py
@@ -1,4 +1,4 @@
-"""Tells peers what this instance measured of endpoints' speeds, and takes what they measured."""
+"""Exchanges measurements of endpoints' speeds with peers."""
 
 from collections.abc import Sequence
 
@@ -12,125 +12,138 @@
 
 __all__ = ["EndpointPaceTeller"]
 
-# Time between two messages, in seconds: some measurements of each busy endpoint.
-_PAUSE_S = 3.0
-# Endpoints in one datagram, so that it stays within a few hundred bytes.
-_MOST_LIVES = 8
-# Endpoints that are told of at a time.
-_MOST_CHANGED = 16
-# Endpoints that each of its peers tells one that is new of: together they know all.
-_MOST_INTRODUCED = 16
-# Steps in which logarithms and ages are told: one byte each.
+# Minimum pause between two messages, in seconds: each busy endpoint is measured several times
+# within it.
+_MIN_PAUSE_S = 3.0
+# Maximum number of endpoints in one datagram, which keeps it within a few hundred bytes.
+_MAX_ENDPOINTS = 8
+# Maximum number of changed endpoints that are reported at a time.
+_MAX_CHANGED = 16
+# Maximum number of endpoints that an instance reports to a new peer. The reports of all instances
+# together cover every endpoint.
+_MAX_INITIAL = 16
+# Quantisation steps of logarithms and ages in messages: each value takes one byte.
 _LOG_STEP = 1 / 32
 _AGE_STEP_S = 0.5
 _KINDS = {kind.value: kind for kind in PaceKind}
-# A speed that changed by less than this factor is not logged again.
-_LOGGED_FACTOR = 1.25
-# Lines about changed speeds at a time.
-_MOST_LINES = 8
+# Minimum factor by which a speed has to change to be logged again.
+_MIN_LOGGED_FACTOR = 1.25
+# Maximum number of log lines about changed speeds at a time.
+_MAX_LOG_LINES = 8
 
 
 class EndpointPaceTeller(NewsChannel):
-    """One instance's side of endpoints' speeds."""
+    """Channel for measurements of endpoints' speeds."""
 
     def __init__(
         self, name: str, incarnation: int, paces: EndpointPaces, metrics: RelayMetrics
     ) -> None:
-        """Start with nothing to tell.
+        """Initialise the channel without pending updates.
 
         Args:
-            name: This instance's name.
-            incarnation: Grows with each start of this instance.
-            paces: What is known of endpoints' speeds.
-            metrics: Shows the speeds.
+            name: Name of this instance.
+            incarnation: Start number of this instance; it grows with each start.
+            paces: Known speeds of the endpoints.
+            metrics: Metrics that export the speeds.
         """
         self._name = name
         self._incarnation = incarnation
         self._paces = paces
         self._metrics = metrics
         self._number = 0
-        # The newest message of each sender: incarnation and number.
-        self._newest: dict[str, tuple[int, int]] = {}
-        self._logged: dict[str, float] = {}
-        self._wake = trio.Event()
+        # Incarnation and sequence number of the newest message of each sender.
+        self._newest_received: dict[str, tuple[int, int]] = {}
+        self._logged_speeds: dict[str, float] = {}
+        self._has_changes = trio.Event()
         paces.listen(self._note_changed)
 
     def _note_changed(self) -> None:
-        self._wake.set()
+        self._has_changes.set()
 
     async def next(self) -> list[EndpointPaceNews]:
-        """Wait for something to tell every peer, and give it."""
-        await trio.sleep(_PAUSE_S)
-        self._show()
-        await self._wake.wait()
-        lives = self._paces.take_changed(_MOST_CHANGED)
-        if len(lives) < _MOST_CHANGED:
-            self._wake = trio.Event()
-        return self._messages(lives)
+        """Wait for updates and return the messages to send to every peer."""
+        await trio.sleep(_MIN_PAUSE_S)
+        self._export_speeds()
+        await self._has_changes.wait()
+        incarnations = self._paces.take_changed(_MAX_CHANGED)
+        if len(incarnations) < _MAX_CHANGED:
+            self._has_changes = trio.Event()
+        return self._messages(incarnations)
 
     def repeat(self) -> list[EndpointPaceNews]:
-        """Give what a heartbeat repeats to a few peers: the newest measurements."""
-        return self._messages(self._paces.own_lives(trio.current_time())[:_MOST_LIVES])
+        """Return the newest measurements of this instance, for a few peers."""
+        return self._messages(self._paces.own_lives(trio.current_time())[:_MAX_ENDPOINTS])
 
     def introduction(self) -> list[EndpointPaceNews]:
-        """Give what this instance measured last, for a peer that is new."""
-        return self._messages(self._paces.own_lives(trio.current_time())[:_MOST_INTRODUCED])
+        """Return the newest measurements of this instance, for a new peer."""
+        return self._messages(self._paces.own_lives(trio.current_time())[:_MAX_INITIAL])
 
-    def _messages(self, lives: Sequence[str]) -> list[EndpointPaceNews]:
-        """Give what was measured of some endpoints, in as many messages as it takes."""
+    def _messages(self, incarnations: Sequence[str]) -> list[EndpointPaceNews]:
+        """Return the measurements of some endpoints, split into messages of bounded size."""
         return [
-            self._message(lives[first : first + _MOST_LIVES])
-            for first in range(0, len(lives), _MOST_LIVES)
+            self._message(incarnations[start : start + _MAX_ENDPOINTS])
+            for start in range(0, len(incarnations), _MAX_ENDPOINTS)
         ]
 
-    def _message(self, lives: Sequence[str]) -> EndpointPaceNews:
+    def _message(self, incarnations: Sequence[str]) -> EndpointPaceNews:
         now = trio.current_time()
         self._number += 1
-        told = {
-            life: [_item(sample, now) for sample in self._paces.own(life, now)] for life in lives
+        items_by_incarnation = {
+            incarnation: [_item(sample, now) for sample in self._paces.own(incarnation, now)]
+            for incarnation in incarnations
         }
-        return EndpointPaceNews(self._name, self._incarnation, self._number, told)
-
-    def take(self, news: EndpointPaceNews) -> None:
-        """Take what a peer measured; what it told before, and comes late, is left."""
-        sent = (news.incarnation, news.number)
-        if news.name == self._name or sent <= self._newest.get(news.name, (0, 0)):
+        return EndpointPaceNews(self._name, self._incarnation, self._number, items_by_incarnation)
+
+    def take(self, message: EndpointPaceNews) -> None:
+        """Record the measurements of a peer; ignore messages that are older than its newest one."""
+        position = (message.incarnation, message.number)
+        if message.name == self._name or position <= self._newest_received.get(
+            message.name, (0, 0)
+        ):
             return
-        self._newest[news.name] = sent
+        self._newest_received[message.name] = position
         now = trio.current_time()
-        for life, items in news.lives.items():
-            self._paces.take(news.name, life, _samples(items, now))
+        for endpoint_incarnation, items in message.lives.items():
+            self._paces.take(message.name, endpoint_incarnation, _samples(items, now))
 
-    def _show(self) -> None:
-        """Show the speeds, and log those that changed."""
+    def _export_speeds(self) -> None:
+        """Export the speeds as metrics and log those that changed."""
         speeds = self._paces.speeds(trio.current_time())
         self._metrics.set_speeds(list(speeds.values()))
-        self._logged = {life: logged for life, logged in self._logged.items() if life in speeds}
-        changed = [life for life, speed in speeds.items() if self._is_new(life, speed)]
-        for life in changed[:_MOST_LINES]:
+        self._logged_speeds = {
+            incarnation: logged
+            for incarnation, logged in self._logged_speeds.items()
+            if incarnation in speeds
+        }
+        changed = [
+            incarnation
+            for incarnation, speed in speeds.items()
+            if self._has_changed(incarnation, speed)
+        ]
+        for incarnation in changed[:_MAX_LOG_LINES]:
             eliot.log_message(
                 message_type="endpoint: has another speed",
-                endpoint=life,
-                speed=round(speeds[life], 2),
-                before=round(self._logged.get(life, 1.0), 2),
-                samples=self._paces.count(life),
-                newest_ago_s=self._paces.newest_ago_s(life, trio.current_time()),
+                endpoint=incarnation,
+                speed=round(speeds[incarnation], 2),
+                before=round(self._logged_speeds.get(incarnation, 1.0), 2),
+                samples=self._paces.count(incarnation),
+                newest_ago_s=self._paces.newest_ago_s(incarnation, trio.current_time()),
             )
-            self._logged[life] = speeds[life]
+            self._logged_speeds[incarnation] = speeds[incarnation]
 
-    def _is_new(self, life: str, speed: float) -> bool:
-        logged = self._logged.get(life, 1.0)
-        return max(speed / logged, logged / speed) > _LOGGED_FACTOR
+    def _has_changed(self, incarnation: str, speed: float) -> bool:
+        logged = self._logged_speeds.get(incarnation, 1.0)
+        return max(speed / logged, logged / speed) > _MIN_LOGGED_FACTOR
 
 
 def _item(sample: PaceSample, now: float) -> PaceItem:
-    """Describe a measurement."""
+    """Build a message item from a measurement."""
     age = max(0, round((now - sample.at) / _AGE_STEP_S))
     return PaceItem(sample.kind.value, round(sample.log / _LOG_STEP), age)
 
 
 def _samples(items: Sequence[PaceItem], now: float) -> list[PaceSample]:
-    """Give what a peer measured; kinds that are not known are left."""
+    """Return the measurements of a peer; ignore unknown kinds."""
     return [
         PaceSample(now - max(0, item.age) * _AGE_STEP_S, _KINDS[item.kind], item.log * _LOG_STEP)
         for item in items
--- a/cleatlink/relay/peers/limit_news.py
+++ b/cleatlink/relay/peers/limit_news.py
@@ -1,4 +1,4 @@
-"""Tells peers what this instance let pass for organisations, and takes what they tell."""
+"""Exchanges the units that instances admit for organisations with peers."""
 
 import trio
 
@@ -10,15 +10,15 @@
 
 __all__ = ["LimitNews"]
 
-# Where little is left of a limit, what was let pass is told so often, in seconds: in the model
-# an organisation at eight times its limit fills its fullest window to 0.83 of what may pass.
-_SPENDING_S = 0.1
-# Organisations in one message to a peer that is new, far below what a datagram holds.
-_MOST_NAMES = 200
+# Interval between messages while little of a limit remains, in seconds. In a simulation, an
+# organisation at eight times its limit fills its fullest window to 0.83 of the admissible units.
+_USAGE_INTERVAL_S = 0.1
+# Maximum number of organisations in one message to a new peer, far below the size of a datagram.
+_MAX_ORGANISATIONS = 200
 
 
 class LimitNews(NewsChannel):
-    """One instance's side of limits that hold over all."""
+    """Channel for the usage of limits that hold over all instances together."""
 
     def __init__(
         self,
@@ -27,46 +27,50 @@
         limits: OrganisationLimits,
         endpoint_limits: SharedLimits,
     ) -> None:
-        """Start with nothing to tell.
+        """Initialise the channel without pending updates.
 
         Args:
-            name: This instance's name.
-            incarnation: Grows with each start of this instance.
-            limits: The limits of organisations.
-            endpoint_limits: Limits that the same instances share, and others tell of.
+            name: Name of this instance.
+            incarnation: Start number of this instance; it grows with each start.
+            limits: Limits of the organisations.
+            endpoint_limits: Limits of endpoints, which the same instances share; another channel
+                reports their usage.
         """
         self._endpoint_limits = endpoint_limits
         self._name = name
         self._incarnation = incarnation
         self._limits = limits
         self._presence = Presence()
-        self._is_spending = trio.Event()
+        self._has_urgent_usage = trio.Event()
 
     def note_spending(self) -> None:
-        """Have peers told soon: little is left of an organisation's limit."""
-        self._is_spending.set()
+        """Request a message to peers soon, because little of an organisation's limit remains."""
+        self._has_urgent_usage.set()
 
     async def next(self) -> list[Spending]:
-        """Wait until there is something to tell at once, and give it."""
-        await trio.sleep(_SPENDING_S)
-        await self._is_spending.wait()
-        self._is_spending = trio.Event()
+        """Wait until usage has to be reported at once and return the message to every peer."""
+        await trio.sleep(_USAGE_INTERVAL_S)
+        await self._has_urgent_usage.wait()
+        self._has_urgent_usage = trio.Event()
         now = trio.current_time()
-        return [self._spending(self._limits.totals(now), {}, now)]
+        return [self._message(self._limits.totals(now), {}, now)]
 
     def repeat(self) -> list[Spending]:
-        """Give nothing: heartbeats carry what was let pass."""
+        """Return no messages: heartbeats include the admitted units."""
         return []
 
     def introduction(self) -> list[Spending]:
-        """Give all that is known, for a peer that is new, in as many messages as it takes."""
+        """Return all totals and levels for a new peer, split into messages of bounded size."""
         now = trio.current_time()
         limits = self._limits
         totals, levels = limits.totals(now, whole=True), limits.levels(now)
         names = list(levels)
-        parts = [names[begin : begin + _MOST_NAMES] for begin in range(0, len(names), _MOST_NAMES)]
+        parts = [
+            names[start : start + _MAX_ORGANISATIONS]
+            for start in range(0, len(names), _MAX_ORGANISATIONS)
+        ]
         return [
-            self._spending(
+            self._message(
                 {name: totals[name] for name in part if name in totals},
                 {name: levels[name] for name in part},
                 now,
@@ -74,49 +78,60 @@
             for part in parts
         ]
 
-    def _spending(self, totals: dict[str, int], levels: dict[str, float], now: float) -> Spending:
+    def _message(self, totals: dict[str, int], levels: dict[str, float], now: float) -> Spending:
         limits = self._limits
         age_s = round(limits.age_s(now), 3)
         return Spending(self._name, self._incarnation, totals, levels, age_s, limits.spenders)
 
-    def take_spending(self, spending: Spending, now: float) -> None:
-        """Take what a peer let pass, and what is left of limits if it has seen more."""
-        if spending.levels:
-            self._limits.adopt(spending.levels, spending.age_s, now)
-        self._take_totals(spending, now)
+    def take_spending(self, usage: Spending, now: float) -> None:
+        """Record the units that a peer admitted, and its levels if it has counted for longer."""
+        if usage.levels:
+            self._limits.adopt(usage.levels, usage.age_s, now)
+        self._take_totals(usage, now)
+
+    def note_again(self, name: str, sent_at: float, now: float) -> bool:
+        """Record a heartbeat that equals the previous one of the peer.
 
-    def note_again(self, name: str, heard_at: float, now: float) -> bool:
-        """Note that a peer says the same as before; False if its heartbeat has to be taken."""
-        self._presence.note_heard(name, heard_at)
-        # Both are asked, also where the first does not know it.
-        known = [limits.note_again(name, now) for limits in (self._limits, self._endpoint_limits)]
-        return all(known)
+        Returns:
+            False if the heartbeat has to be decoded and recorded in full instead.
+        """
+        self._presence.note_heard(name, sent_at)
+        # The list makes both calls run, even if the first one returns False.
+        were_known = [
+            limits.note_again(name, now) for limits in (self._limits, self._endpoint_limits)
+        ]
+        return all(were_known)
 
-    def take_beat(self, beat: Beat, heard_at: float, now: float) -> None:
-        """Take what a peer let pass, and that it is there or leaves, by its own word.
+    def take_beat(self, heartbeat: Beat, sent_at: float, now: float) -> None:
+        """Record from a heartbeat the units that a peer admitted, and whether the peer is leaving.
 
-        After some heartbeats, :meth:`look` goes by who is heard then.
+        The share of reachable instances is updated separately, after some heartbeats.
 
         Args:
-            beat: The heartbeat.
-            heard_at: When it was told.
-            now: The time.
+            heartbeat: The heartbeat.
+            sent_at: Time at which the heartbeat was sent.
+            now: Current time.
         """
-        if beat.leaving:
-            self._presence.note_leaving(beat.name)
+        if heartbeat.leaving:
+            self._presence.note_leaving(heartbeat.name)
         else:
-            self._presence.note_heard(beat.name, heard_at)
-        self._take_totals(beat, now)
-        # It tells of endpoints' limits when it takes something; heartbeats tell that it did not.
-        took = PeerTotals(beat.name, beat.incarnation, {}, beat.limited_endpoints, beat.age_s)
-        self._endpoint_limits.take_totals(took, now)
-
-    def _take_totals(self, told: Beat | Spending, now: float) -> None:
-        totals = PeerTotals(told.name, told.incarnation, told.totals, told.spenders, told.age_s)
+            self._presence.note_heard(heartbeat.name, sent_at)
+        self._take_totals(heartbeat, now)
+        # The peer reports units of endpoints' limits when it takes them. Its heartbeats show that
+        # it took no others.
+        endpoint_totals = PeerTotals(
+            heartbeat.name, heartbeat.incarnation, {}, heartbeat.limited_endpoints, heartbeat.age_s
+        )
+        self._endpoint_limits.take_totals(endpoint_totals, now)
+
+    def _take_totals(self, message: Beat | Spending, now: float) -> None:
+        totals = PeerTotals(
+            message.name, message.incarnation, message.totals, message.spenders, message.age_s
+        )
         self._limits.take_totals(totals, now)
 
     def look(self, now: float) -> None:
-        """Go by the part of all instances that is heard now."""
+        """Update the share of instances that are reachable now, on which the limits depend."""
         share = self._presence.heard_share(HEARD_S, now)
         self._limits.note_heard(share, now)
         self._endpoint_limits.note_heard(share, now)
--- a/cleatlink/relay/peers/limit_news_test.py
+++ b/cleatlink/relay/peers/limit_news_test.py
@@ -1,4 +1,4 @@
-"""What who starts is told of organisations' limits."""
+"""Tests the state of organisations' limits that a starting instance receives."""
 
 import pytest
 import trio
@@ -17,23 +17,23 @@
 ORGANISATIONS = [Organisation(f"organisation-{n}", (), None, LIMIT) for n in range(3_000)]
 
 
-def open_limits(began_at: float) -> OrganisationLimits:
-    """Give the limits of all organisations at an instance that started then."""
-    limits = OrganisationLimits(EXACT, began_at)
+def create_limits(started_at: float) -> OrganisationLimits:
+    """Return the limits of all organisations at an instance that started at ``started_at``."""
+    limits = OrganisationLimits(EXACT, started_at)
     limits.use_table(ORGANISATIONS)
     return limits
 
 
-async def test_levels_of_many_organisations_reach_who_starts() -> None:
-    """Levels and totals of many organisations were one message that no datagram holds."""
+async def test_starting_instance_receives_levels_of_many_organisations() -> None:
+    """Guards against one message with all organisations, which is too large for a datagram."""
     now = trio.current_time()
-    limits, new_limits = open_limits(now - 500.0), open_limits(now)
+    limits, new_limits = create_limits(now - 500.0), create_limits(now)
     for organisation in ORGANISATIONS:
         assert limits.ask(organisation, 90, now).granted
-    told = LimitNews("n1", 1, limits, EndpointLimits(now)).introduction()
-    assert max(len(encode(news)) for news in told) < DATAGRAM_BYTES / 2
+    messages = LimitNews("n1", 1, limits, EndpointLimits(now)).introduction()
+    assert max(len(encode(message)) for message in messages) < DATAGRAM_BYTES / 2
     new = LimitNews("n2", 1, new_limits, EndpointLimits(now))
-    for news in told:
-        new.take_spending(news, now)
+    for message in messages:
+        new.take_spending(message, now)
     assert set(new_limits.levels(now).values()) == {10.0}
-    assert sum(len(news.totals) for news in told) == len(ORGANISATIONS)
+    assert sum(len(message.totals) for message in messages) == len(ORGANISATIONS)
--- a/cleatlink/relay/peers/plain_news.py
+++ b/cleatlink/relay/peers/plain_news.py
@@ -82,9 +82,17 @@
             if self._reported_arrivals.get(key) != count
         }
         totals = self._load.totals(now)
-        reported = {life: item for life, item in self._reported_endpoints.items() if life in totals}
+        reported = {
+            incarnation: item
+            for incarnation, item in self._reported_endpoints.items()
+            if incarnation in totals
+        }
         self._reported_endpoints = reported
-        endpoints = {life: item for life, item in totals.items() if reported.get(life) != item}
+        endpoints = {
+            incarnation: item
+            for incarnation, item in totals.items()
+            if reported.get(incarnation) != item
+        }
         returns = self._capacity.plain_returns.untold(_MAX_RETURNS, now)
         if not arrived and not endpoints and not returns:
             return None
@@ -94,9 +102,9 @@
         for key, count in arrived.items():
             self._reported_arrivals.pop(key, None)
             self._reported_arrivals[key] = count
-        for life, item in endpoints.items():
-            reported.pop(life, None)
-            reported[life] = item
+        for incarnation, item in endpoints.items():
+            reported.pop(incarnation, None)
+            reported[incarnation] = item
         return self._message(arrived, endpoints, returns, now)
 
     def _message(
@@ -112,22 +120,22 @@
             round(self._load.age_s(now), 3),
             [(key.service, key.rank, count) for key, count in arrived.items()],
             [
-                (life, totals.ended, int(1000 * totals.busy_s), totals.refused)
-                for life, totals in endpoints.items()
+                (incarnation, totals.ended, int(1000 * totals.busy_s), totals.refused)
+                for incarnation, totals in endpoints.items()
             ],
-            [(name, round(left_s, 2)) for name, left_s in returns],
+            [(identity, round(left_s, 2)) for identity, left_s in returns],
         )
 
-    def take(self, news: PlainCalls) -> None:
+    def take(self, calls: PlainCalls) -> None:
         """Record the totals and the refused requests of a peer."""
         now = trio.current_time()
-        arrived = {Demand(service, rank): count for service, rank, count in news.arrived}
+        arrived = {Demand(service, rank): count for service, rank, count in calls.arrived}
         endpoints = {
-            life: EndpointTotals(ended, busy_ms / 1000, refused)
-            for life, ended, busy_ms, refused in news.endpoints
+            endpoint_incarnation: EndpointTotals(ended, busy_ms / 1000, refused)
+            for endpoint_incarnation, ended, busy_ms, refused in calls.endpoints
         }
         self._load.take(
-            CallTotals(news.name, news.incarnation, news.age_s, arrived, endpoints), now
+            CallTotals(calls.name, calls.incarnation, calls.age_s, arrived, endpoints), now
         )
-        for name, left_s in news.returns:
-            self._capacity.plain_returns.expect_told(name, now + left_s)
+        for identity, left_s in calls.returns:
+            self._capacity.plain_returns.expect_told(identity, now + left_s)
--- a/cleatlink/relay/peers/source_news.py
+++ b/cleatlink/relay/peers/source_news.py
@@ -1,4 +1,4 @@
-"""What watchers of the configuration service tell the others of their data centre."""
+"""Reports registration changes from the configuration service to peers of the data centre."""
 
 from itertools import groupby
 from operator import attrgetter
@@ -14,31 +14,35 @@
 
 __all__ = ["SourceNewsChannel"]
 
-# Bytes of records in one message, below what a bundle holds.
-_MOST_BYTES = 16_000
+# Maximum size of the records in one message, in bytes; it is below the capacity of a bundle.
+_MAX_RECORDS_BYTES = 16_000
 _ENCODER = msgspec.msgpack.Encoder()
 
 
 class SourceNewsChannel(NewsChannel):
-    """Tells changes of registrations at once; who misses one asks the service itself."""
+    """Channel for registration changes.
+
+    Instances that watch the configuration service report changes at once. An instance that misses
+    a change requests it from the service itself.
+    """
 
     def __init__(self, name: str) -> None:
         self._name = name
-        self._waiting: list[SourceNews] = []
-        self._wake = trio.Event()
+        self._pending: list[SourceNews] = []
+        self._has_pending = trio.Event()
 
     @property
     def is_local(self) -> bool:
-        """Whether only peers of this data centre are told: each has watchers of its own."""
+        """True: each data centre has its own instances that watch the service."""
         return True
 
     def tell(self, after: StoreRevision, change: SourceChange, found_ago_s: float) -> None:
-        """Have the others told of a change.
+        """Queue messages about a change.
 
         Args:
-            after: What was known completely before it.
-            change: The change; one that is not of the same era, or is a whole list, is not told.
-            found_ago_s: Seconds since the service was found again.
+            after: Revision up to which all changes were known before this change.
+            change: The change. It is ignored if it is a whole list or belongs to another era.
+            found_ago_s: Seconds since the configuration service became reachable again.
         """
         revision = change.revision
         is_next = not change.whole and revision.era == after.era and revision > after
@@ -48,40 +52,41 @@
             RecordItem(item.name, item.revision.number, item.endpoint, item.fault)
             for item in change.records
         ]
-        *others, last = _split(records)
-        known = after.number
-        for part in others:
-            self._add(after.era, known, part[-1].revision, part, found_ago_s)
-            known = part[-1].revision
-        self._add(after.era, known, revision.number, last, found_ago_s)
-        self._wake.set()
+        *earlier_parts, last_part = _split(records)
+        known_revision = after.number
+        for part in earlier_parts:
+            self._add(after.era, known_revision, part[-1].revision, part, found_ago_s)
+            known_revision = part[-1].revision
+        self._add(after.era, known_revision, revision.number, last_part, found_ago_s)
+        self._has_pending.set()
 
     def _add(
         self, era: int, after: int, revision: int, records: list[RecordItem], found_ago_s: float
     ) -> None:
-        news = SourceNews(self._name, era, after, revision, records, round(found_ago_s, 3))
-        self._waiting.append(news)
+        message = SourceNews(self._name, era, after, revision, records, round(found_ago_s, 3))
+        self._pending.append(message)
 
     async def next(self) -> list[SourceNews]:
-        """Wait for something to tell, and give it."""
-        await self._wake.wait()
-        self._wake = trio.Event()
-        told, self._waiting = self._waiting, []
-        return told
+        """Wait for changes and return the messages to send to the peers of this data centre."""
+        await self._has_pending.wait()
+        self._has_pending = trio.Event()
+        messages, self._pending = self._pending, []
+        return messages
 
     def repeat(self) -> list[SourceNews]:
-        """Give nothing: heartbeats tell the newest revision, and who misses it asks."""
+        """Return no messages: a peer sees a missed revision in heartbeats and requests it."""
         return []
 
     def introduction(self) -> list[SourceNews]:
-        """Give nothing: who is new reads everything."""
+        """Return no messages: a new peer reads all registrations itself."""
         return []
 
 
 def _split(records: list[RecordItem]) -> list[list[RecordItem]]:
     """Split records, in the order of their revisions, into parts that fit a message each.
 
-    Those of one revision stay together: who knows a part counts its revisions as known.
+    Records of one revision stay together, because a receiver of a part regards all revisions of
+    the part as known.
     """
     by_revision = attrgetter("revision")
     parts: list[list[RecordItem]] = [[]]
@@ -89,7 +94,7 @@
     for _, group in groupby(sorted(records, key=by_revision), by_revision):
         items = list(group)
         length = len(_ENCODER.encode(items))
-        if parts[-1] and size + length > _MOST_BYTES:
+        if parts[-1] and size + length > _MAX_RECORDS_BYTES:
             parts.append([])
             size = 0
         parts[-1] += items
--- a/cleatlink/relay/peers/source_news_test.py
+++ b/cleatlink/relay/peers/source_news_test.py
@@ -1,4 +1,4 @@
-"""What watchers tell of changes, whatever the number and size of the records in one."""
+"""Tests reports of registration changes with different numbers and sizes of records."""
 
 import pytest
 import trio
@@ -17,63 +17,72 @@
 pytestmark = pytest.mark.virtual_time
 
 DATAGRAM_BYTES = 60_000
-FIRST = 10
+FIRST_REVISION = 10
 
 
-def record(number: int, size: int) -> EndpointRecord:
-    """Make a registration whose texts have a size."""
+def create_record(number: int, size: int) -> EndpointRecord:
+    """Create a registration whose texts have ``size`` characters."""
     name = f"e{number}"
     endpoint = RoutedEndpoint(name, "127.0.0.1:1", size * "z", size * "s", Role.PLAIN, 4)
     return EndpointRecord(name, StoreRevision(1, number), endpoint)
 
 
-def change_of(records: list[EndpointRecord], revision: int) -> SourceChange:
-    """Make a change."""
+def create_change(records: list[EndpointRecord], revision: int) -> SourceChange:
+    """Create a change that is not a whole list."""
     return SourceChange(None, records, StoreRevision(1, revision), whole=False)
 
 
-async def told_of(change: SourceChange) -> list[SourceNews]:
-    """Give what is told of a change."""
+async def report_change(change: SourceChange) -> list[SourceNews]:
+    """Return the messages that report a change."""
     channel = SourceNewsChannel("n1")
-    channel.tell(StoreRevision(1, FIRST), change, 60.0)
+    channel.tell(StoreRevision(1, FIRST_REVISION), change, 60.0)
     with trio.move_on_after(1.0):
         return await channel.next()
     return []
 
 
 @pytest.mark.parametrize(("count", "size"), [(1, 5), (151, 5), (2_000, 5), (150, 256), (600, 256)])
-async def test_change_of_any_size_is_told(count: int, size: int) -> None:
-    """A change with many or large records was told nobody, and each instance asked the service."""
-    records = [record(FIRST + 1 + number, size) for number in range(count)]
-    last = FIRST + count + 3
-    told = await told_of(change_of(records[::-1], last))
-    assert max(len(encode(news)) for news in told) < DATAGRAM_BYTES / 2
-    assert [news.after for news in told] == [FIRST, *(news.revision for news in told[:-1])]
-    assert told[-1].revision == last
-    assert [item for news in told for item in news.changes()] == records
-
-
-async def test_records_of_one_revision_are_told_together() -> None:
-    """Who had one part of a revision would count all of it as known."""
-    first = [record(FIRST + 1, 256)._replace(name=f"e{number}") for number in range(40)]
-    records = [*first, record(FIRST + 2, 256)]
-    told = await told_of(change_of(records, FIRST + 2))
-    assert [news.revision for news in told] == [FIRST + 1, FIRST + 2]
-
-
-async def test_change_without_records_or_with_an_unreadable_one_is_told() -> None:
+async def test_change_of_any_size_is_reported(count: int, size: int) -> None:
+    """Guards against dropped large changes, after which each instance would call the service."""
+    records = [create_record(FIRST_REVISION + 1 + number, size) for number in range(count)]
+    last = FIRST_REVISION + count + 3
+    messages = await report_change(create_change(records[::-1], last))
+    assert max(len(encode(message)) for message in messages) < DATAGRAM_BYTES / 2
+    assert [message.after for message in messages] == [
+        FIRST_REVISION,
+        *(message.revision for message in messages[:-1]),
+    ]
+    assert messages[-1].revision == last
+    assert [item for message in messages for item in message.changes()] == records
+
+
+async def test_records_of_one_revision_are_in_one_message() -> None:
+    """Guards against a split revision, of which a receiver of one part would miss the others."""
+    first = [
+        create_record(FIRST_REVISION + 1, 256)._replace(name=f"e{number}") for number in range(40)
+    ]
+    records = [*first, create_record(FIRST_REVISION + 2, 256)]
+    messages = await report_change(create_change(records, FIRST_REVISION + 2))
+    assert [message.revision for message in messages] == [FIRST_REVISION + 1, FIRST_REVISION + 2]
+
+
+async def test_change_without_records_or_with_unreadable_record_is_reported() -> None:
     fault = ReadFault(FaultKind.JSON, "no JSON")
-    unreadable = EndpointRecord("e", StoreRevision(1, FIRST + 1), None, fault)
+    unreadable = EndpointRecord("e", StoreRevision(1, FIRST_REVISION + 1), None, fault)
     for records in ([], [unreadable]):
-        (news,) = await told_of(change_of(records, FIRST + 1))
-        assert (news.after, news.revision, news.changes()) == (FIRST, FIRST + 1, records)
+        (message,) = await report_change(create_change(records, FIRST_REVISION + 1))
+        assert (message.after, message.revision, message.changes()) == (
+            FIRST_REVISION,
+            FIRST_REVISION + 1,
+            records,
+        )
 
 
 @pytest.mark.parametrize("members", [62, 195])
-async def test_large_change_costs_the_calls_of_those_who_watch(
+async def test_only_watching_instances_call_the_service_after_a_large_change(
     members: int, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """A change with more than 150 records cost a call of each instance, all at one moment."""
+    """Guards against a call of every instance at once after a change with over 150 records."""
     fleet = Fleet(members, 2)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(fleet.run)
--- a/cleatlink/relay/peers/waiting_news.py
+++ b/cleatlink/relay/peers/waiting_news.py
@@ -56,11 +56,11 @@
         self._changed = trio.Event()
         if not self._waiting.is_in_use:
             return []
-        news = self._message()
-        if not news.items and not self._has_reported_streams:
+        message = self._message()
+        if not message.items and not self._has_reported_streams:
             return []
-        self._has_reported_streams = bool(news.items)
-        return [news]
+        self._has_reported_streams = bool(message.items)
+        return [message]
 
     def repeat(self) -> list[WaitNews]:
         """Return no messages: queued streams are reported to all peers repeatedly."""
@@ -75,10 +75,12 @@
         items = [WaitItem.of(group) for group in self._waiting.own()[:_MAX_GROUPS]]
         return WaitNews(self._name, self._incarnation, self._number, self._data_centre, items)
 
-    def take(self, news: WaitNews) -> None:
+    def take(self, message: WaitNews) -> None:
         """Record the queued streams of a peer."""
-        if news.name == self._name:
+        if message.name == self._name:
             return
-        groups = tuple(item.group() for item in news.items)
-        report = WaitingReport(news.name, news.incarnation, news.number, news.data_centre, groups)
+        groups = tuple(item.group() for item in message.items)
+        report = WaitingReport(
+            message.name, message.incarnation, message.number, message.data_centre, groups
+        )
         self._waiting.note(report, trio.current_time())
