--- a/cleatlink/relay/peers/contract_test.py
+++ b/cleatlink/relay/peers/contract_test.py
@@ -70,7 +70,7 @@
 }
 # Builds that decode this build's snapshots. Earlier ones decode a registration as a tuple of fewer
 # fields; they log that the fetch failed and rely on the configuration service.
-DECODE_SNAPSHOTS = ("820ff69", "709868b", "4207a6e")
+SNAPSHOT_DECODERS = ("820ff69", "709868b", "4207a6e")
 
 
 def recorded(build: str) -> dict[str, str]:
@@ -131,7 +131,7 @@
     for name, text in written.items():
         decoded = read[name]
         if name == "Snapshot":
-            is_expected = build in DECODE_SNAPSHOTS
+            is_expected = build in SNAPSHOT_DECODERS
         else:
             first = FIRST_BUILDS.get(name, LANDED[0])
             is_expected = bool(first) and LANDED.index(build) >= LANDED.index(first)
--- a/cleatlink/relay/peers/endpoint_messages.py
+++ b/cleatlink/relay/peers/endpoint_messages.py
@@ -40,7 +40,9 @@
     @classmethod
     def of(cls, report: CrashReport) -> "CrashItem":
         """Build an item from a crash report."""
-        suspects = sorted((name, round(s, 3)) for name, s in report.suspects.items())
+        suspects = sorted(
+            (identity, round(seconds, 3)) for identity, seconds in report.suspects.items()
+        )
         return cls(report.life, round(report.age_s, 3), suspects, sorted(report.cleared))
 
     def report(self) -> CrashReport:
@@ -48,7 +50,7 @@
 
         Negative ages, which a clock that runs backwards can produce, count as 0.
         """
-        suspects = {name: max(0.0, seconds) for name, seconds in self.suspects}
+        suspects = {identity: max(0.0, seconds) for identity, seconds in self.suspects}
         return CrashReport(self.life, max(0.0, self.age_s), suspects, frozenset(self.cleared))
 
 
