--- a/cleatlink/routing/endpoint_pace.py
+++ b/cleatlink/routing/endpoint_pace.py
@@ -1,9 +1,10 @@
-"""How fast each endpoint is beside its service's usual pace.
+"""Speed of each endpoint relative to the usual speed of its service.
 
-One instance of many measures little of one endpoint, so measurements are shared: each
-instance tells its own newest ones, and all decide by the newest of everybody. They are
-logarithms of measured by expected time, of which the median counts, so that a wait that
-nobody saw, or one sick moment, moves nothing. Some that say 1.0 are added as a prior.
+In a large fleet one instance measures little of any one endpoint, so instances share their
+measurements: each sends its own newest samples to its peers, and all use the newest samples of the
+whole fleet. A sample is the logarithm of measured by expected time, and the median of the samples
+counts, so that an unseen queue or a single slow moment has no effect. A few samples of ratio 1.0
+are added as a prior.
 """
 
 import math
@@ -17,33 +18,35 @@
 
 __all__ = ["EndpointPaces", "PaceKind", "PaceSample"]
 
-# An instance tells so many of its newest measurements of an endpoint.
-_OWN_SAMPLES = 6
-# So many of the newest of all instances count: some seconds of a busy endpoint.
-_POOL = 32
-# Measurements that say 1.0, as a prior: a handful of others overcome them.
+# Number of its newest samples of an endpoint that an instance sends to its peers.
+_MAX_OWN_SAMPLES = 6
+# Number of the newest samples of all instances that count: some seconds of a busy endpoint.
+_MAX_POOL_SAMPLES = 32
+# Number of samples of ratio 1.0 that are added as a prior: a handful of measurements outweigh them.
 _PRIOR_SAMPLES = 3
-# Older ones count no more, in seconds: machines are moved, and neighbours change.
-_BELIEVED_S = 60.0
-# Of an endpoint that was measured so often within so many seconds, older ones don't count: they
-# were compared with what was expected then.
+# Older samples don't count, in seconds: machines are moved, and their neighbours change.
+_SAMPLE_MAX_AGE_S = 60.0
+# Where an endpoint has at least _MIN_FRESH_SAMPLES samples younger than _FRESH_S seconds, older
+# ones don't count: they were compared with the expectations of that time.
 _FRESH_S = 15.0
-_FRESH_SAMPLES = 8
-# An endpoint whose newest measurements are all off by this factor turned sick, or well again.
-_SICK_FACTOR = 2.5
-_SICK_SAMPLES = 5
-# Logarithm of a ratio: what is further off says no more than that it is far off.
-_MOST_LOG = 2.0
-# Endpoints that differ by less from the usual pace have it: logarithm.
-_NOTABLE_LOG = 0.12
-# An endpoint's streams are compared with those beside as many others: bands of its slots.
-_BANDS = 4
-# How long a computed speed is used again, in seconds: measurements come several times a second.
-_FIT_S = 1.0
+_MIN_FRESH_SAMPLES = 8
+# If each of the _STEP_SAMPLES newest samples deviates from the median by more than this factor,
+# in the same direction, the endpoint has just degraded or recovered.
+_STEP_FACTOR = 2.5
+_STEP_SAMPLES = 5
+# Bound of a sample, as a logarithm: larger deviations say no more than that they are large.
+_MAX_LOG_RATIO = 2.0
+# Smaller deviations from the usual speed are ignored, as a logarithm.
+_MIN_LOG_RATIO = 0.12
+# Number of load bands: token times of an endpoint are compared with those at a similar load,
+# measured as the share of its slots in use.
+_LOAD_BANDS = 4
+# How long a computed speed is cached, in seconds: samples arrive several times a second.
+_SPEED_CACHE_S = 1.0
 
 
 class PaceKind(IntEnum):
-    """What was measured; the numbers are told to peers."""
+    """What was measured; the numbers are sent to peers."""
 
     PROMPT = 1
     TOKENS = 2
@@ -64,72 +67,75 @@
     log: float
 
 
-class _Pooled(NamedTuple):
-    """A measurement with the instance that took it; empty for this one."""
+class _PooledSample(NamedTuple):
+    """A sample with the peer that took it; the peer is empty for this instance."""
 
-    at: float
-    log: float
-    sender: str
+    measured_at: float
+    log_ratio: float
+    peer: str
 
 
-class _Fit(NamedTuple):
-    """What was computed for an endpoint."""
+class _CachedSpeed(NamedTuple):
+    """The speed of an endpoint as last computed."""
 
-    at: float
+    computed_at: float
     speed: float
 
 
 class _LoadBands:
-    """Seconds a token on a service's engines, by how full they are."""
+    """Seconds per token on a service's engines, by the share of their slots in use."""
 
     def __init__(self) -> None:
-        self._bands = [Estimate(0.0) for _ in range(_BANDS)]
+        self._bands = [Estimate(0.0) for _ in range(_LOAD_BANDS)]
 
     def note(self, load: float, token_s: float) -> float | None:
-        """Learn from a stretch of a stream; gives what was expected of it, if anything."""
-        band = self._bands[min(_BANDS - 1, max(0, int(load * _BANDS)))]
+        """Record a stream segment and return the time that was expected, None if unknown."""
+        band = self._bands[min(_LOAD_BANDS - 1, max(0, int(load * _LOAD_BANDS)))]
         expected_s = band.value if band.count >= SETTLED else None
         band.note(token_s)
         return expected_s
 
 
 class EndpointPaces:
-    """What all instances measured of the endpoints, as far as this one knows."""
+    """Speed samples of endpoints, from this instance and its peers."""
 
     def __init__(self) -> None:
-        """Start without anything measured."""
+        """Start without samples."""
         self._own: dict[str, deque[PaceSample]] = {}
-        self._pools: dict[str, list[_Pooled]] = {}
-        self._bands: dict[str, _LoadBands] = {}
-        self._fits: dict[str, _Fit] = {}
+        self._pools: dict[str, list[_PooledSample]] = {}
+        self._load_bands: dict[str, _LoadBands] = {}
+        self._speeds: dict[str, _CachedSpeed] = {}
+        # Incarnations with own samples that were not yet sent to peers, in order.
         self._changed: dict[str, None] = {}
         self._on_changed: Callable[[], None] = _ignore
 
     def listen(self, on_changed: Callable[[], None]) -> None:
-        """Have somebody told of own measurements."""
+        """Set the function that is called after each measurement of this instance."""
         self._on_changed = on_changed
 
-    def note_tokens(self, life: str, service: str, token_s: float, load: float, now: float) -> None:
-        """Take the pace of a stretch of a stream.
+    def note_tokens(
+        self, incarnation: str, service: str, token_s: float, load: float, now: float
+    ) -> None:
+        """Record the time per token of a stream segment.
 
         Args:
-            life: The endpoint's life.
+            incarnation: The endpoint's incarnation.
             service: Its service.
-            token_s: Seconds a token.
+            token_s: Seconds per token.
             load: Share of the endpoint's slots that were in use.
             now: The time.
         """
         if not is_usable(token_s):
             return
-        expected_s = self._bands.setdefault(service, _LoadBands()).note(load, token_s)
+        expected_s = self._load_bands.setdefault(service, _LoadBands()).note(load, token_s)
         if expected_s is not None:
-            self.note(life, PaceKind.TOKENS, token_s / expected_s, now)
+            self.note(incarnation, PaceKind.TOKENS, token_s / expected_s, now)
 
-    def note(self, life: str, kind: PaceKind, ratio: float, now: float) -> None:
-        """Take a measurement of this instance.
+    def note(self, incarnation: str, kind: PaceKind, ratio: float, now: float) -> None:
+        """Record a measurement of this instance.
 
         Args:
-            life: The endpoint's life.
+            incarnation: The endpoint's incarnation.
             kind: What was measured.
             ratio: Measured by expected time.
             now: The time.
@@ -137,96 +143,98 @@
         if not is_usable(ratio):
             return
         sample = PaceSample(now, kind, _bounded(math.log(ratio)))
-        own = self._own.setdefault(life, deque(maxlen=_OWN_SAMPLES))
+        own = self._own.setdefault(incarnation, deque(maxlen=_MAX_OWN_SAMPLES))
         own.append(sample)
-        pool = self._pools.setdefault(life, [])
-        pool.append(_Pooled(now, sample.log, ""))
-        self._keep_newest(life, pool)
-        self._changed[life] = None
+        pool = self._pools.setdefault(incarnation, [])
+        pool.append(_PooledSample(now, sample.log, ""))
+        self._keep_newest(incarnation, pool)
+        self._changed[incarnation] = None
         self._on_changed()
 
-    def take(self, sender: str, life: str, samples: Sequence[PaceSample]) -> None:
-        """Take all that a peer measured of an endpoint lately, in place of what it told before."""
-        pool = [item for item in self._pools.get(life, ()) if item.sender != sender]
-        for at, _, log in samples[:_OWN_SAMPLES]:
-            if math.isfinite(log) and math.isfinite(at):
-                pool.append(_Pooled(at, _bounded(log), sender))
-        self._keep_newest(life, pool)
+    def take(self, peer: str, incarnation: str, samples: Sequence[PaceSample]) -> None:
+        """Replace a peer's earlier samples of an endpoint by its newest ones."""
+        pool = [item for item in self._pools.get(incarnation, ()) if item.peer != peer]
+        for measured_at, _, log_ratio in samples[:_MAX_OWN_SAMPLES]:
+            if math.isfinite(log_ratio) and math.isfinite(measured_at):
+                pool.append(_PooledSample(measured_at, _bounded(log_ratio), peer))
+        self._keep_newest(incarnation, pool)
 
-    def _keep_newest(self, life: str, pool: list[_Pooled]) -> None:
+    def _keep_newest(self, incarnation: str, pool: list[_PooledSample]) -> None:
         pool.sort()
-        del pool[:-_POOL]
-        self._pools[life] = pool
+        del pool[:-_MAX_POOL_SAMPLES]
+        self._pools[incarnation] = pool
 
-    def own(self, life: str, now: float) -> list[PaceSample]:
-        """Give what this instance measured of an endpoint lately."""
-        return [item for item in self._own.get(life, ()) if now - item.at < _BELIEVED_S]
+    def own(self, incarnation: str, now: float) -> list[PaceSample]:
+        """Return this instance's recent samples of an endpoint."""
+        return [
+            item for item in self._own.get(incarnation, ()) if now - item.at < _SAMPLE_MAX_AGE_S
+        ]
 
     def own_lives(self, now: float) -> list[str]:
-        """Give the lives that this instance measured lately, the newest first."""
-        newest = {life: own[-1].at for life, own in self._own.items()}
-        known = [life for life, at in newest.items() if now - at < _BELIEVED_S]
-        return sorted(known, key=lambda life: -newest[life])
-
-    def take_changed(self, most: int) -> list[str]:
-        """Give lives that this instance measured since they were given, some at the most."""
-        lives = list(self._changed)[:most]
-        for life in lives:
-            del self._changed[life]
-        return lives
-
-    def forget(self, life: str) -> None:
-        """Forget a life that is over."""
-        for known in (self._own, self._pools, self._fits, self._changed):
-            known.pop(life, None)
-
-    def speed(self, life: str, now: float) -> float:
-        """Give how fast an endpoint is beside its service's usual pace; 1.0 if not known."""
-        pool = self._pools.get(life)
+        """Return the incarnations that this instance measured recently, newest first."""
+        newest = {incarnation: own[-1].at for incarnation, own in self._own.items()}
+        recent = [incarnation for incarnation, at in newest.items() if now - at < _SAMPLE_MAX_AGE_S]
+        return sorted(recent, key=lambda incarnation: -newest[incarnation])
+
+    def take_changed(self, limit: int) -> list[str]:
+        """Remove and return up to ``limit`` incarnations with own samples since the last call."""
+        incarnations = list(self._changed)[:limit]
+        for incarnation in incarnations:
+            del self._changed[incarnation]
+        return incarnations
+
+    def forget(self, incarnation: str) -> None:
+        """Drop the samples of an incarnation that has ended."""
+        for by_incarnation in (self._own, self._pools, self._speeds, self._changed):
+            by_incarnation.pop(incarnation, None)
+
+    def speed(self, incarnation: str, now: float) -> float:
+        """Return an endpoint's speed relative to its service's usual one; 1.0 if unknown."""
+        pool = self._pools.get(incarnation)
         if not pool:
             return 1.0
-        fit = self._fits.get(life)
-        if fit is None or not 0 <= now - fit.at < _FIT_S:
-            fit = self._fits[life] = _Fit(now, _speed(pool, now))
-        return fit.speed
+        cached = self._speeds.get(incarnation)
+        if cached is None or not 0 <= now - cached.computed_at < _SPEED_CACHE_S:
+            cached = self._speeds[incarnation] = _CachedSpeed(now, _speed(pool, now))
+        return cached.speed
 
     def speeds(self, now: float) -> Mapping[str, float]:
-        """Give the speeds of the endpoints of which something was measured."""
-        return {life: self.speed(life, now) for life in self._pools}
-
-    def count(self, life: str) -> int:
-        """Give how many measurements of an endpoint are known."""
-        return len(self._pools.get(life, ()))
-
-    def newest_ago_s(self, life: str, now: float) -> float | None:
-        """Give how many seconds ago an endpoint was last measured; None if it never was."""
-        pool = self._pools.get(life)
-        return round(now - pool[-1].at, 2) if pool else None
-
-
-def _speed(pool: Sequence[_Pooled], now: float) -> float:
-    """Give the speed that the newest measurements of all instances show."""
-    fresh = [item.log for item in pool if now - item.at < _FRESH_S]
-    believed = [item.log for item in pool if now - item.at < _BELIEVED_S]
-    logs = fresh if len(fresh) >= _FRESH_SAMPLES else believed
-    slowness = median([*logs, *[0.0] * _PRIOR_SAMPLES])
-    newest = logs[-_SICK_SAMPLES:]
-    if len(newest) == _SICK_SAMPLES and _is_apart(newest, slowness):
+        """Return the speeds of all endpoints that have samples."""
+        return {incarnation: self.speed(incarnation, now) for incarnation in self._pools}
+
+    def count(self, incarnation: str) -> int:
+        """Return the number of samples of an endpoint."""
+        return len(self._pools.get(incarnation, ()))
+
+    def newest_ago_s(self, incarnation: str, now: float) -> float | None:
+        """Return the age of an endpoint's newest sample in seconds; None without samples."""
+        pool = self._pools.get(incarnation)
+        return round(now - pool[-1].measured_at, 2) if pool else None
+
+
+def _speed(pool: Sequence[_PooledSample], now: float) -> float:
+    """Return the speed that the newest samples of all instances show."""
+    fresh = [item.log_ratio for item in pool if now - item.measured_at < _FRESH_S]
+    recent = [item.log_ratio for item in pool if now - item.measured_at < _SAMPLE_MAX_AGE_S]
+    log_ratios = fresh if len(fresh) >= _MIN_FRESH_SAMPLES else recent
+    slowness = median([*log_ratios, *[0.0] * _PRIOR_SAMPLES])
+    newest = log_ratios[-_STEP_SAMPLES:]
+    if len(newest) == _STEP_SAMPLES and _is_step(newest, slowness):
         slowness = median(newest)
-    return 1.0 if abs(slowness) < _NOTABLE_LOG else math.exp(-slowness)
+    return 1.0 if abs(slowness) < _MIN_LOG_RATIO else math.exp(-slowness)
 
 
-def _is_apart(logs: Sequence[float], slowness: float) -> bool:
-    """Tell whether measurements are all far above, or all far below, what counted so far."""
-    far = math.log(_SICK_FACTOR)
-    return min(logs) - slowness > far or slowness - max(logs) > far
+def _is_step(log_ratios: Sequence[float], slowness: float) -> bool:
+    """Check whether all samples are far above, or all far below, the median so far."""
+    step = math.log(_STEP_FACTOR)
+    return min(log_ratios) - slowness > step or slowness - max(log_ratios) > step
 
 
-def _bounded(log: float) -> float:
-    if -_MOST_LOG <= log <= _MOST_LOG:
-        return log
-    return math.copysign(_MOST_LOG, log)
+def _bounded(log_ratio: float) -> float:
+    if -_MAX_LOG_RATIO <= log_ratio <= _MAX_LOG_RATIO:
+        return log_ratio
+    return math.copysign(_MAX_LOG_RATIO, log_ratio)
 
 
 def _ignore() -> None:
-    """Stand for somebody who listens."""
+    """Do nothing: the default listener."""
--- a/cleatlink/routing/endpoint_pace_test.py
+++ b/cleatlink/routing/endpoint_pace_test.py
@@ -1,4 +1,4 @@
-"""Speeds of endpoints, from what many instances measured a little of."""
+"""Speeds of endpoints, estimated from a few samples of each of many instances."""
 
 import math
 import random
@@ -14,23 +14,23 @@
 from cleatlink.routing.mechanisms import Mechanism, Switches
 
 
-def told(ratio: float, at: float, kind: PaceKind = PaceKind.PROMPT) -> PaceSample:
+def sample(ratio: float, at: float, kind: PaceKind = PaceKind.PROMPT) -> PaceSample:
     return PaceSample(at, kind, math.log(ratio))
 
 
-def test_measurements_of_many_instances_tell_the_speed_that_one_cannot() -> None:
-    """Each of 90 instances measured an engine of 1.7 once; one of them does not know it."""
+def test_samples_of_many_instances_show_a_speed_that_one_sample_does_not() -> None:
+    """90 instances each measured an engine of speed 1.7 once; one sample alone is not enough."""
     rng = random.Random(1)
     paces = EndpointPaces()
     paces.note("fast", PaceKind.PROMPT, 1 / 1.7, 1.0)
     assert paces.speed("fast", 1.0) == 1.0
     for number in range(90):
         ratio = math.exp(rng.gauss(0.0, 0.3)) / 1.7
-        paces.take(f"i{number}", "fast", [told(ratio, 1.0 + number / 100)])
+        paces.take(f"i{number}", "fast", [sample(ratio, 1.0 + number / 100)])
     assert paces.speed("fast", 3.0) == pytest.approx(1.7, rel=0.2)
 
 
-def test_few_measurements_and_small_differences_change_nothing() -> None:
+def test_few_samples_and_small_deviations_have_no_effect() -> None:
     paces = EndpointPaces()
     for at in range(2):
         paces.note("a", PaceKind.TOKENS, 1.4, at)
@@ -38,11 +38,11 @@
     for at in range(20):
         paces.note("b", PaceKind.TOKENS, 1.08, at)
     assert paces.speed("b", 20.0) == 1.0
-    assert paces.speed("never heard of", 20.0) == 1.0
+    assert paces.speed("has no samples", 20.0) == 1.0
 
 
-def test_sick_endpoint_is_followed_within_its_next_calls_and_back() -> None:
-    """A median of some seconds would take an engine for quick long after it hangs."""
+def test_degraded_endpoint_is_detected_within_five_calls_and_so_is_its_recovery() -> None:
+    """A median over some seconds alone would rate an engine as fast long after it hangs."""
     paces = EndpointPaces()
     for at in range(30):
         paces.note("a", PaceKind.TOKENS, 1.0, at)
@@ -55,8 +55,8 @@
     assert paces.speed("a", 42.0) == 1.0
 
 
-def test_what_was_measured_against_an_early_guess_counts_no_more_once_there_is_better() -> None:
-    """A service's pace was guessed at twice what it is; its engines looked fast for a minute."""
+def test_samples_relative_to_an_early_prior_are_dropped_once_there_are_fresh_ones() -> None:
+    """A prior of twice the real service time made engines appear fast for a minute."""
     paces = EndpointPaces()
     for number in range(20):
         paces.note("a", PaceKind.PROMPT, 0.5, number / 10)
@@ -66,37 +66,37 @@
     assert paces.speed("a", 18.0) == 1.0
 
 
-def test_a_single_wait_that_nobody_saw_is_no_speed() -> None:
+def test_occasional_unseen_queueing_does_not_change_the_speed() -> None:
     paces = EndpointPaces()
     for at in range(12):
         paces.note("a", PaceKind.PROMPT, 6.0 if at % 4 == 0 else 1.0, at)
     assert paces.speed("a", 12.0) == 1.0
 
 
-def test_old_measurements_and_those_of_a_life_before_count_no_more() -> None:
+def test_old_samples_and_samples_of_an_earlier_incarnation_do_not_count() -> None:
     capacity = Capacity()
     first = RoutedEndpoint("e#1", "127.0.0.1:1", "a", "s", Role.DECODE, 8)
     capacity.set_endpoint(first)
     paces = capacity.endpoint_paces
-    for sender in range(8):
-        paces.take(f"i{sender}", "e#1", [told(2.0, 1.0)])
+    for peer in range(8):
+        paces.take(f"i{peer}", "e#1", [sample(2.0, 1.0)])
     assert capacity.speed("e#1", 2.0) == pytest.approx(0.5)
     assert capacity.speed("e#1", 90.0) == 1.0
     capacity.remove_endpoint("e#1")
     assert paces.speed("e#1", 2.0) == 1.0
 
 
-def test_what_was_told_twice_counts_once() -> None:
+def test_samples_received_twice_count_once() -> None:
     once, often = EndpointPaces(), EndpointPaces()
     for times, paces in ((1, once), (9, often)):
         for _ in range(times):
-            paces.take("i1", "a", [told(3.0, 1.0), told(3.0, 2.0)])
+            paces.take("i1", "a", [sample(3.0, 1.0), sample(3.0, 2.0)])
     assert often.count("a") == once.count("a") == 2
     assert often.speed("a", 3.0) == once.speed("a", 3.0) == 1.0
 
 
-def test_streams_are_compared_with_those_beside_as_many_others() -> None:
-    """Tokens come more slowly in a burst, on every engine: none of them is slow for that."""
+def test_token_times_are_compared_at_a_similar_load() -> None:
+    """Under a burst, tokens take longer on every engine; this must not count as a slow engine."""
     paces = EndpointPaces()
     for number in range(40):
         paces.note_tokens("a", "s", 0.002, 0.1, float(number))
@@ -108,30 +108,30 @@
     assert paces.speed("b", 60.0) < 0.7
 
 
-def test_switched_off_all_are_as_their_service() -> None:
+def test_all_endpoints_have_the_usual_speed_while_the_mechanism_is_switched_off() -> None:
     capacity = Capacity(Switches(frozenset({Mechanism.ENDPOINT_PACE})))
-    for sender in range(8):
-        capacity.endpoint_paces.take(f"i{sender}", "e", [told(2.0, 1.0)])
+    for peer in range(8):
+        capacity.endpoint_paces.take(f"i{peer}", "e", [sample(2.0, 1.0)])
     assert capacity.speed("e", 2.0) == 1.0
 
 
-LOGS = st.floats(-9, 9)
-SAMPLES = st.lists(st.builds(PaceSample, st.floats(0, 50), st.sampled_from(PaceKind), LOGS))
+LOG_RATIOS = st.floats(-9, 9)
+SAMPLES = st.lists(st.builds(PaceSample, st.floats(0, 50), st.sampled_from(PaceKind), LOG_RATIOS))
 
 
 @given(st.lists(st.tuples(st.integers(0, 5), SAMPLES), max_size=20), st.randoms())
-def test_bounds_hold_whatever_is_told(
+def test_speed_and_sample_count_stay_bounded_for_any_samples_of_peers(
     messages: list[tuple[int, list[PaceSample]]], rng: random.Random
 ) -> None:
     paces = EndpointPaces()
-    for sender, samples in messages:
+    for peer, samples in messages:
         for _ in range(rng.randint(1, 2)):
-            paces.take(f"i{sender}", "a", samples)
+            paces.take(f"i{peer}", "a", samples)
     assert 1 / 8 < paces.speed("a", 50.0) < 8
     assert paces.count("a") <= 32
 
 
-def test_nonsense_is_left() -> None:
+def test_unusable_measurements_are_ignored() -> None:
     paces = EndpointPaces()
     for ratio in (0.0, -1.0, math.inf, math.nan):
         paces.note("a", PaceKind.PLAIN, ratio, 1.0)
--- a/cleatlink/routing/pace_test.py
+++ b/cleatlink/routing/pace_test.py
@@ -1,4 +1,4 @@
-"""Learned paces: quick to learn, slow to be misled, over the whole range of engines."""
+"""Estimated service times: fast to adapt, robust against outliers, on engines of any speed."""
 
 import math
 import random
@@ -13,7 +13,7 @@
 
 
 @given(st.floats(0.0002, 0.02), st.integers(1, 64))
-def test_pace_of_tokens_is_known_after_one_stretch(token_s: float, event_tokens: int) -> None:
+def test_token_time_is_known_after_one_segment(token_s: float, event_tokens: int) -> None:
     pace = ServicePace()
     pace.expect(0.9, 0.3, event_tokens)
     pace.note_tokens(90, 90 * token_s)
@@ -22,7 +22,7 @@
 
 
 @given(st.floats(5, 60), st.integers(50, 30_000))
-def test_pace_of_prompts_is_known_after_one_prefill(tokens_ms: float, tokens: int) -> None:
+def test_prompt_time_is_known_after_one_prefill(tokens_ms: float, tokens: int) -> None:
     pace = ServicePace()
     taken_s = tokens / tokens_ms / 1000
     pace.note_prompt(tokens, 0.0, taken_s)
@@ -30,7 +30,7 @@
 
 
 @given(st.floats(0.005, 0.2), st.floats(5, 60))
-def test_fixed_part_of_a_prompt_is_told_from_the_part_of_its_tokens(
+def test_base_time_of_a_prompt_is_separated_from_the_time_per_token(
     base_s: float, tokens_ms: float
 ) -> None:
     pace, rng = ServicePace(), random.Random(1)
@@ -42,27 +42,27 @@
         assert pace.prompt_s(tokens) == pytest.approx(expected_s, rel=0.05)
 
 
-def test_waits_that_were_not_seen_do_not_pass_for_the_time_of_prompts() -> None:
+def test_unseen_queueing_does_not_raise_the_prompt_time() -> None:
     pace, rng = ServicePace(), random.Random(1)
     for _ in range(200):
-        # Half of the prompts found others that this instance had not heard of.
+        # Half of the prompts were queued behind prompts that this instance did not know of.
         waited_s = rng.choice((0.0, rng.uniform(0.1, 1.0)))
         pace.note_prompt(3000, 0.0, 0.1 + waited_s)
     assert 0.09 < pace.prompt_s(3000) < 0.2
 
 
-def test_queues_that_are_seen_too_long_do_not_make_prompts_look_quick() -> None:
+def test_overestimated_queues_do_not_lower_the_prompt_time() -> None:
     pace, rng = ServicePace(), random.Random(1)
     for _ in range(4):
         pace.note_prompt(1500, 0.0, 0.3)
     for _ in range(300):
         queue_s = rng.choice((0.0, 0.4))
-        # Half of what was seen had been computed already.
+        # Half of the estimated queue had been computed already.
         pace.note_prompt(1500, queue_s, 0.3 + queue_s / 2)
     assert pace.prompt_s(1500) == pytest.approx(0.3, rel=0.02)
 
 
-def test_prompts_that_take_longer_for_good_are_followed() -> None:
+def test_prompt_time_follows_a_permanent_slowdown() -> None:
     pace = ServicePace()
     for _ in range(10):
         pace.note_prompt(3000, 0.0, 0.1)
@@ -71,7 +71,7 @@
     assert pace.prompt_s(3000) == pytest.approx(0.3, rel=0.1)
 
 
-def test_pace_follows_engines_that_change() -> None:
+def test_token_time_follows_engines_that_change() -> None:
     pace = ServicePace()
     for _ in range(20):
         pace.note_tokens(100, 0.5)
@@ -80,7 +80,7 @@
     assert pace.token_s == pytest.approx(0.01, rel=0.05)
 
 
-def test_one_sick_engine_does_not_spoil_the_pace_of_the_others() -> None:
+def test_one_outlier_does_not_distort_the_token_time() -> None:
     pace = ServicePace()
     for _ in range(20):
         pace.note_tokens(100, 0.5)
@@ -88,7 +88,7 @@
     assert pace.token_s < 0.0065
 
 
-def test_prior_gives_way_to_what_was_measured_but_not_back() -> None:
+def test_measurements_replace_the_prior_and_a_new_prior_does_not_replace_them() -> None:
     pace = ServicePace()
     pace.expect(1.0, 0.5, 10)
     assert pace.token_s == pytest.approx(0.01)
@@ -100,7 +100,7 @@
     assert pace.start_s == pytest.approx(0.05)
 
 
-def test_lengths_are_corrected_by_how_far_callers_are_off() -> None:
+def test_output_lengths_are_corrected_by_the_bias_of_callers_estimates() -> None:
     pace = ServicePace()
     rng = random.Random(1)
     for _ in range(400):
@@ -109,7 +109,7 @@
     assert pace.length_spread == pytest.approx(0.3, rel=0.35)
 
 
-def test_a_hint_that_is_always_right_leaves_no_spread() -> None:
+def test_exact_length_estimates_leave_no_spread() -> None:
     pace = ServicePace()
     for _ in range(100):
         pace.note_length(1000, 1000)
@@ -118,14 +118,14 @@
 
 
 @given(st.lists(st.floats(allow_nan=True, allow_infinity=True), max_size=30))
-def test_an_estimate_stays_positive_and_finite(samples: list[float]) -> None:
+def test_estimate_stays_positive_and_finite(samples: list[float]) -> None:
     estimate = Estimate(1.0)
     for sample in samples:
         estimate.note(sample)
     assert 0 < estimate.value < float("inf")
 
 
-def measured() -> ServicePace:
+def measured_pace() -> ServicePace:
     pace = ServicePace()
     for number in range(8):
         pace.note_tokens(100, 0.5)
@@ -135,27 +135,27 @@
     return pace
 
 
-def test_instance_without_measurements_takes_over_what_a_peer_measured() -> None:
-    news = measured().summary(10.0)
-    assert news is not None
+def test_instance_without_measurements_adopts_a_peers_summary() -> None:
+    peer_summary = measured_pace().summary(10.0)
+    assert peer_summary is not None
     fresh = ServicePace()
     assert not fresh.is_known
     assert fresh.summary(10.0) is None
-    fresh.adopt(*news, now=10.0)
+    fresh.adopt(*peer_summary, now=10.0)
     assert fresh.is_known
     assert fresh.token_s == pytest.approx(0.005)
     assert fresh.prompt_s(4000) == pytest.approx(0.24, rel=0.02)
     assert fresh.start_s == pytest.approx(0.06)
     assert fresh.length_ratio == pytest.approx(0.8)
-    # It tells others in turn, with the age of the measurement, until that is old.
-    told = fresh.summary(25.0)
-    assert told is not None
-    assert told[1] == pytest.approx(15.0)
+    # It forwards the summary with the age of the measurement until that is too old.
+    forwarded = fresh.summary(25.0)
+    assert forwarded is not None
+    assert forwarded[1] == pytest.approx(15.0)
     assert fresh.summary(41.0) is None
 
 
-def test_own_measurements_and_newer_ones_go_before_what_peers_tell() -> None:
-    pace = measured()
+def test_own_and_newer_measurements_take_precedence_over_a_peers_summary() -> None:
+    pace = measured_pace()
     slow = PaceSummary(0.5, 1.0, 0.01, 2.0, 3.0, 1.0)
     pace.adopt(slow, 0.0, 100.0)
     assert pace.token_s == pytest.approx(0.005)
@@ -170,19 +170,19 @@
     assert fresh.token_s == pytest.approx(0.005, rel=0.3)
 
 
-def test_nothing_is_taken_over_where_nothing_is_learned() -> None:
+def test_no_summary_is_adopted_while_learning_is_switched_off() -> None:
     pace = ServicePace(Switches({Mechanism.LEARNED_PACE}))
     before = pace.token_s, pace.prompt_s(1000)
     pace.adopt(PaceSummary(0.5, 1.0, 0.01, 2.0, 3.0, 1.0), 0.0, 100.0)
     assert (pace.token_s, pace.prompt_s(1000)) == before
 
 
-def test_slow_pace_follows_the_slowest_tenth_and_forgets_it() -> None:
+def test_slow_token_time_follows_the_slowest_tenth_of_recent_segments() -> None:
     pace = ServicePace()
     assert pace.slow_token_s == math.inf
     for _ in range(15):
         pace.note_tokens(10, 0.01)
-    # A few quick ones say nothing of slow ones.
+    # A few fast segments don't show how slow engines can be.
     assert pace.slow_token_s == math.inf
     for number in range(60):
         pace.note_tokens(10, 0.04 if number % 5 == 0 else 0.01)
@@ -192,38 +192,38 @@
     assert pace.slow_token_s == pytest.approx(0.001)
 
 
-def test_slow_pace_of_an_instance_that_was_told_is_known() -> None:
-    teacher, newcomer = ServicePace(), ServicePace()
+def test_slow_token_time_is_known_after_a_peers_summary() -> None:
+    measuring, restarted = ServicePace(), ServicePace()
     for _ in range(6):
-        teacher.note_tokens(10, 0.05)
-        teacher.note_prompt(1000, 0.0, 0.1)
-    told = teacher.summary(1.0)
-    assert told is not None
-    newcomer.adopt(told[0], told[1], 1.0)
-    assert newcomer.slow_token_s == pytest.approx(0.01)
+        measuring.note_tokens(10, 0.05)
+        measuring.note_prompt(1000, 0.0, 0.1)
+    peer_summary = measuring.summary(1.0)
+    assert peer_summary is not None
+    restarted.adopt(peer_summary[0], peer_summary[1], 1.0)
+    assert restarted.slow_token_s == pytest.approx(0.01)
 
 
-def test_new_route_table_does_not_take_back_what_a_peer_told() -> None:
-    """A prior replaces a prior, never what was measured somewhere.
+def test_new_route_table_does_not_replace_a_peers_measurements_by_a_prior() -> None:
+    """A prior replaces only a prior, never a measurement of this instance or of a peer.
 
-    On engines of 25 ms a token, instances that had been started anew were told so by their
-    peers. Then a configuration came, the pace fell back to what the route promises (0.9 ms),
-    was told on as measured, and streams of 14 s were taken during stops as if they took 3 s:
+    Restarted instances adopted the token time of engines (25 ms) from their peers. A new
+    configuration then reset it to the route's prior (0.9 ms), which was reported to peers as
+    measured, and stopping instances began streams of 14 s that they expected to take 3 s:
 
         {"left_s":6.9,"needs_s":256.9,"message_type":"relay: is left to others by the stop"}
         {"left_s":4.3,"needs_s":3.2,"message_type":"relay: is left to others by the stop"}
     """
-    teacher, newcomer = ServicePace(), ServicePace()
+    measuring, restarted = ServicePace(), ServicePace()
     for _ in range(6):
-        teacher.note_tokens(64, 64 * 0.025)
-        teacher.note_prompt(1000, 0.0, 0.1)
-        teacher.note_start(0.4)
-    told = teacher.summary(1.0)
-    assert told is not None
-    newcomer.adopt(told[0], told[1], 1.0)
-    newcomer.expect(0.9, 0.3, 64)
-    assert newcomer.token_s == pytest.approx(0.025)
-    assert newcomer.start_s == pytest.approx(0.4)
-    told_on = newcomer.summary(2.0)
-    assert told_on is not None
-    assert told_on[0].token_s == pytest.approx(0.025)
+        measuring.note_tokens(64, 64 * 0.025)
+        measuring.note_prompt(1000, 0.0, 0.1)
+        measuring.note_start(0.4)
+    peer_summary = measuring.summary(1.0)
+    assert peer_summary is not None
+    restarted.adopt(peer_summary[0], peer_summary[1], 1.0)
+    restarted.expect(0.9, 0.3, 64)
+    assert restarted.token_s == pytest.approx(0.025)
+    assert restarted.start_s == pytest.approx(0.4)
+    forwarded = restarted.summary(2.0)
+    assert forwarded is not None
+    assert forwarded[0].token_s == pytest.approx(0.025)
