--- a/cleatlink/routing/demand.py
+++ b/cleatlink/routing/demand.py
@@ -1,8 +1,8 @@
-"""What streams asked of a service lately, and how many would be late with given roles.
+"""Recent demand on a service, and the share of streams that would be late with given roles.
 
-Arrivals are counted by short steps with the tokens of their prompts and answers, not with
-the time that these take: paces that are learned later hold for all of them. The rates of
-the last seconds, calm ones and bursts, each count as often as they were seen.
+Arrivals are counted in short steps, with the tokens of their prompts and outputs rather than the
+time that these take, so that service times that are estimated later apply to all of them. Each
+rate of the last seconds counts as often as it occurred, in calm periods and in bursts.
 """
 
 import math
@@ -18,24 +18,24 @@
 
 __all__ = ["MEMORY_S", "STEPS_A_SECOND", "DemandMeter", "RoleDemand", "StreamPromise"]
 
-# Seconds of arrivals that are remembered: longer than a burst and the calm between two,
-# shorter than the hours in which demand moves with the day.
+# Length of the window of arrivals, in seconds: longer than a burst and the calm period between two
+# bursts, shorter than the hours over which demand changes in the course of a day.
 MEMORY_S = 30.0
-# Steps in which arrivals are counted. A burst lasts for seconds: by whole ones, what is foreseen
-# would hang on where seconds begin.
+# Counting steps per second. A burst lasts for seconds: with steps of one second, the forecast would
+# depend on where the steps begin.
 STEPS_A_SECOND = 10
-# Rates are means over so many seconds at the least: what a queue of some prompts evens out.
-_SPAN_S = 3
-# Shares of the prompts that decodes compute, of which the best is taken.
-_DIRECT_SHARES = (0.0, 0.1, 0.2, 0.35, 0.5, 0.75, 1.0)
+# Shortest averaging window of a rate, in seconds: a queue of a few prompts absorbs shorter peaks.
+_MIN_RATE_WINDOW_S = 3
+# Candidate shares of the prompts that decode engines compute; the best one is used.
+_DECODE_PROMPT_SHARES = (0.0, 0.1, 0.2, 0.35, 0.5, 0.75, 1.0)
 
 
 class StreamPromise(NamedTuple):
-    """What the routes of a service promise together: the shortest of each.
+    """The strictest latency targets among the routes of a service.
 
     Attributes:
-        target_s: Time within which a stream begins.
-        event_gap_s: Longest pause between events.
+        target_s: Time within which a stream should begin.
+        event_gap_s: Longest permitted gap between events.
     """
 
     target_s: float = math.inf
@@ -43,25 +43,25 @@
 
     @classmethod
     def of(cls, routes: Iterable[Route]) -> "StreamPromise":
-        """Give what some routes promise together."""
-        found = list(routes)
-        target_s = min((route.target_s for route in found), default=math.inf)
-        return cls(target_s, min((route.event_gap_s for route in found), default=math.inf))
+        """Return the strictest targets of some routes."""
+        listed = list(routes)
+        target_s = min((route.target_s for route in listed), default=math.inf)
+        return cls(target_s, min((route.event_gap_s for route in listed), default=math.inf))
 
 
 class RoleDemand(NamedTuple):
     """Demand on one service's engines.
 
     Attributes:
-        rates: Streams that arrived a second, one figure for each step of the last seconds.
-        place_rates: The same, each as the mean over as long as a stream holds its place: a
-            burst that is shorter than that fills only so many places.
-        prompt_s: Seconds that a prefill takes for a prompt, on the average.
-        stream_s: Seconds for which a stream holds its place at a decode, on the average.
-        places: Streams of average size that fit on a decode at once.
-        slack_s: Seconds that a stream may wait, and take longer, and be in time.
-        shares_prompts: Whether decodes may compute prompts beside prefills.
-        requests: Streams that were counted.
+        rates: Arrivals per second, one value for each step of the window.
+        place_rates: The same, each averaged over the time for which a stream occupies a decode
+            slot: a shorter burst occupies only part of the slots.
+        prompt_s: Mean seconds that a prefill engine takes for a prompt.
+        stream_s: Mean seconds for which a stream occupies a slot of a decode engine.
+        places: Number of streams of mean size that a decode engine runs at once.
+        slack_s: Seconds by which a stream may be delayed and still meet its target.
+        shares_prompts: Whether decode engines may compute prompts besides prefill engines.
+        requests: Number of streams that were counted.
     """
 
     rates: tuple[float, ...]
@@ -75,12 +75,12 @@
 
     @property
     def seconds(self) -> float:
-        """Seconds of arrivals that were counted."""
+        """Length of the counted window in seconds."""
         return len(self.rates) / STEPS_A_SECOND
 
     @property
     def rate(self) -> float:
-        """Mean arrivals a second."""
+        """Mean arrivals per second."""
         return sum(self.rates) / len(self.rates) if self.rates else 0.0
 
     def late_share(
@@ -92,18 +92,18 @@
     ) -> float:
         """Estimate the share of streams that are late or refused with given roles.
 
-        Decodes compute the share of the prompts that is best computed there.
+        Decode engines are assumed to compute the share of the prompts that is best computed there.
 
         Args:
-            prefills: Engines that compute prompts.
-            decodes: Engines that run streams.
-            prefill_speed: Mean speed of the prefills beside the service's usual one.
-            decode_speed: Mean speed of the decodes.
+            prefills: Number of prefill engines.
+            decodes: Number of decode engines.
+            prefill_speed: Mean speed of the prefill engines relative to the service's usual one.
+            decode_speed: Mean speed of the decode engines, likewise.
         """
         return _late_share(self._at(prefill_speed, decode_speed), prefills, decodes)
 
     def _at(self, prefill_speed: float, decode_speed: float) -> "_SpeedDemand":
-        """Give the demand on engines of given speeds."""
+        """Return the demand on engines of given speeds."""
         prompt_s = self.prompt_s / prefill_speed
         return _SpeedDemand(
             self.rates,
@@ -120,21 +120,23 @@
 
 
 class _SpeedDemand(NamedTuple):
-    """Demand on engines of given speeds; as in ``RoleDemand`` but for these.
+    """Demand on engines of given speeds.
+
+    The fields that are not listed are the same as in ``RoleDemand``.
 
     Attributes:
-        prompt_s: Seconds that a prefill takes for a prompt.
-        direct_s: Seconds that a decode takes for one.
-        stream_s: Seconds for which a stream holds its place.
-        prompt_slack_s: Seconds that a prompt may wait at a prefill and be in time.
-        slack_s: Seconds that a stream may wait for a place and be in time.
-        usual_prompt_s: Seconds that a prefill of the usual speed takes for a prompt.
+        prompt_s: Seconds that a prefill engine takes for a prompt.
+        decode_prompt_s: Seconds that a decode engine takes for a prompt.
+        stream_s: Seconds for which a stream occupies a decode slot.
+        prompt_slack_s: Seconds that a prompt may wait at a prefill engine and still be in time.
+        slack_s: Seconds that a stream may wait for a decode slot and still be in time.
+        usual_prompt_s: Seconds that a prefill engine of the usual speed takes for a prompt.
     """
 
     rates: tuple[float, ...]
     place_rates: tuple[float, ...]
     prompt_s: float
-    direct_s: float
+    decode_prompt_s: float
     stream_s: float
     places: float
     prompt_slack_s: float
@@ -142,43 +144,51 @@
     shares_prompts: bool
     usual_prompt_s: float
 
-    def prompts_in_time(self, rate: float, share: float, prefills: int, decodes: int) -> float:
-        """Estimate the share of prompts that are done in time.
+    def prompts_in_time(
+        self, rate: float, decode_share: float, prefills: int, decodes: int
+    ) -> float:
+        """Estimate the share of prompts that are computed in time.
 
         Args:
-            rate: Prompts a second.
-            share: Share of them that decodes compute.
-            prefills: Engines that compute prompts apart.
-            decodes: Engines that compute them beside their streams.
+            rate: Prompts per second.
+            decode_share: Share of them that decode engines compute.
+            prefills: Number of prefill engines.
+            decodes: Number of decode engines, which compute prompts beside their streams.
         """
-        apart = in_time_share((1 - share) * rate, self.prompt_s, prefills, self.prompt_slack_s)
-        slack_s = self.slack_s - (self.direct_s - self.usual_prompt_s)
-        beside = in_time_share(share * rate, self.direct_s, decodes, slack_s)
-        return (1 - share) * apart + share * beside
+        at_prefills = in_time_share(
+            (1 - decode_share) * rate, self.prompt_s, prefills, self.prompt_slack_s
+        )
+        slack_s = self.slack_s - (self.decode_prompt_s - self.usual_prompt_s)
+        at_decodes = in_time_share(decode_share * rate, self.decode_prompt_s, decodes, slack_s)
+        return (1 - decode_share) * at_prefills + decode_share * at_decodes
 
 
-# A plan compares the same numbers of engines several times, and each figure takes milliseconds.
+# A role plan compares the same numbers of engines several times, and each result takes
+# milliseconds to compute.
 @lru_cache(maxsize=64)
 def _late_share(demand: _SpeedDemand, prefills: int, decodes: int) -> float:
-    shares = _DIRECT_SHARES if demand.shares_prompts else (0.0,)
+    shares = _DECODE_PROMPT_SHARES if demand.shares_prompts else (0.0,)
     if not prefills:
         shares = (1.0,)
-    places = max(1, round(demand.places * decodes))
-    prompts = {
+    slots = max(1, round(demand.places * decodes))
+    prompt_share_in_time = {
         rate: max(demand.prompts_in_time(rate, share, prefills, decodes) for share in shares)
         for rate in set(demand.rates)
     }
-    placed = {
-        rate: in_time_share(rate, demand.stream_s, places, demand.slack_s)
+    stream_share_in_time = {
+        rate: in_time_share(rate, demand.stream_s, slots, demand.slack_s)
         for rate in set(demand.place_rates)
     }
     pairs = zip(demand.rates, demand.place_rates, strict=True)
-    late = sum(rate * (1.0 - placed[place_rate] * prompts[rate]) for rate, place_rate in pairs)
+    late = sum(
+        rate * (1.0 - stream_share_in_time[slot_rate] * prompt_share_in_time[rate])
+        for rate, slot_rate in pairs
+    )
     return late / sum(demand.rates) if late else 0.0
 
 
 class _Step(NamedTuple):
-    """Streams that arrived within one step."""
+    """Number of streams that arrived within one step, and their tokens."""
 
     number: int
     streams: int
@@ -187,7 +197,7 @@
 
 
 class DemandMeter:
-    """Counts the streams that arrive."""
+    """Counts arriving streams over a sliding window."""
 
     def __init__(self) -> None:
         self._steps: deque[_Step] = deque()
@@ -197,59 +207,60 @@
 
         Args:
             prompt: Tokens of its prompt.
-            output: Tokens of its answer, as estimated.
+            output: Estimated tokens of its output.
             now: The time.
         """
-        number = _number(now)
+        number = _step_number(now)
         last = _Step(number, 0, 0, 0)
         if self._steps and self._steps[-1].number >= number:
             last = self._steps.pop()
         self._steps.append(
             _Step(last.number, last.streams + 1, last.prompt + prompt, last.output + output)
         )
-        self._forget(number)
+        self._drop_old_steps(number)
 
     @property
     def requests(self) -> int:
-        """Streams that are remembered."""
+        """Number of streams in the window."""
         return sum(item.streams for item in self._steps)
 
     @property
     def mean_prompt(self) -> float:
-        """Tokens of a prompt, on the average."""
+        """Mean tokens of a prompt."""
         return sum(item.prompt for item in self._steps) / max(1, self.requests)
 
     @property
     def mean_output(self) -> float:
-        """Tokens of an answer, on the average."""
+        """Mean estimated tokens of an output."""
         return sum(item.output for item in self._steps) / max(1, self.requests)
 
-    def rates(self, now: float, span_s: float = 0.0) -> tuple[float, ...]:
-        """Give the arrivals a second in each whole step since the oldest remembered.
+    def rates(self, now: float, window_s: float = 0.0) -> tuple[float, ...]:
+        """Return the arrivals per second for each complete step of the window.
 
         Args:
             now: The time.
-            span_s: Each figure is the mean of at least so many seconds that end with it.
+            window_s: Shortest averaging window of each rate, in seconds; it ends with the step.
         """
-        end = _number(now)
-        self._forget(end)
+        end = _step_number(now)
+        self._drop_old_steps(end)
         if not self._steps:
             return ()
-        span_s = max(_SPAN_S, round(span_s))
-        span = int(span_s * STEPS_A_SECOND)
+        window_s = max(_MIN_RATE_WINDOW_S, round(window_s))
+        window_steps = int(window_s * STEPS_A_SECOND)
         streams = {step.number: step.streams for step in self._steps}
         counts = [streams.get(number, 0) for number in range(self._steps[0].number, end)]
-        # Streams that arrived by the end of each step.
+        # Cumulative arrivals by the end of each step.
         arrived = [0, *accumulate(counts)]
         return tuple(
-            (arrived[at] - arrived[max(0, at - span)]) / span_s for at in range(1, len(arrived))
+            (arrived[at] - arrived[max(0, at - window_steps)]) / window_s
+            for at in range(1, len(arrived))
         )
 
-    def _forget(self, number: int) -> None:
+    def _drop_old_steps(self, number: int) -> None:
         while self._steps and self._steps[0].number < number - MEMORY_S * STEPS_A_SECOND:
             self._steps.popleft()
 
 
-def _number(now: float) -> int:
-    """Give the number of the step that a time lies in."""
+def _step_number(now: float) -> int:
+    """Return the number of the step that contains a time."""
     return int(now * STEPS_A_SECOND)
--- a/cleatlink/routing/forecast.py
+++ b/cleatlink/routing/forecast.py
@@ -1,9 +1,8 @@
-"""Foresees when a stream that finds no room now will find some.
+"""Forecast of when a decode endpoint has capacity for a stream that fits nowhere now.
 
-Room comes when streams that run come to their ends. Those that wait at this
-instance, and those that were asked to come back to any, take theirs first.
-The forecast gives each of them, in turn, the endpoint that has room for it
-soonest, and then this stream.
+Capacity is freed when running streams end. Streams that wait at this instance, and refused streams
+that were asked to retry at any instance, are served first. The forecast assigns each of them in
+turn to the endpoint that has capacity for it first, and then does the same for the given stream.
 """
 
 import math
@@ -18,17 +17,19 @@
 
 __all__ = ["RoomForecast", "StreamDemand"]
 
-# Each costs a look at all endpoints of the service, again and again while a stream waits.
-_MOST_AHEAD = 32
+# Number of streams ahead that are simulated one by one. Each of them costs a check of all endpoints
+# of the service, repeated while a stream waits.
+_MAX_SIMULATED = 32
 
 
 class StreamDemand(NamedTuple):
-    """What a stream needs of a decode.
+    """What a stream needs of a decode endpoint.
 
     Attributes:
-        tokens: Memory that it holds at its end.
-        duration_s: How long it should take on an endpoint of the usual speed.
-        prompt_s: How long the decode computes its prompt; 0 if a prefill does.
+        tokens: Memory that it occupies at its end, in tokens.
+        duration_s: Expected duration on an endpoint of the usual speed.
+        prompt_s: Time for which the decode endpoint computes its prompt; 0 if a prefill endpoint
+            does.
     """
 
     tokens: int
@@ -36,8 +37,8 @@
     prompt_s: float = 0.0
 
 
-class _Opening:
-    """How an endpoint's room opens with time."""
+class _EndpointForecast:
+    """Future free capacity of one endpoint."""
 
     def __init__(
         self,
@@ -59,19 +60,19 @@
         self._ends = sorted(ends)
         self._freed = [0, *accumulate(freed for _, freed in self._ends)]
 
-    def opens_at(self, stream: StreamDemand, now: float) -> float:
-        """Give when there is room for a stream.
+    def free_at(self, stream: StreamDemand, now: float) -> float:
+        """Return when the endpoint has a free slot and memory for a stream.
 
-        One that is larger than the memory gets an endpoint that has nothing else to do.
+        A stream that is larger than the memory is assigned to an idle endpoint.
         """
         needed = bisect_left(self._freed, stream.tokens - self._tokens)
         needed = min(max(needed, 1 - self._slots), len(self._ends))
-        opens_at = self._ends[needed - 1][0] if needed > 0 else now
-        opens_at = max(opens_at, self._full_until)
-        return max(opens_at, self._prompts_until) if stream.prompt_s else opens_at
+        free_at = self._ends[needed - 1][0] if needed > 0 else now
+        free_at = max(free_at, self._full_until)
+        return max(free_at, self._prompts_until) if stream.prompt_s else free_at
 
-    def take(self, stream: StreamDemand, at: float) -> None:
-        """Give room to a stream, to be freed when it ends."""
+    def assign(self, stream: StreamDemand, at: float) -> None:
+        """Assign a slot and memory to a stream until its end."""
         if self._pause_s:
             self._full_until = max(at, self._full_until) + self._pause_s
         self._tokens -= stream.tokens
@@ -83,69 +84,69 @@
 
 
 class RoomForecast:
-    """What is foreseen of the room at a service's decodes."""
+    """Forecast of the free capacity of a service's decode endpoints."""
 
     def __init__(self, service: str, traits: EngineTraits, capacity: Capacity, now: float) -> None:
         self._now = now
         spread = capacity.pace(service).length_spread
-        self._openings = [
-            _open(endpoint.name, traits, capacity, spread, now)
+        self._endpoints = [
+            _endpoint_forecast(endpoint.name, traits, capacity, spread, now)
             for endpoint in capacity.candidates(service, Role.DECODE, now)
         ]
 
     def room_in_s(self, stream: StreamDemand, ahead: Iterable[StreamDemand] = ()) -> float | None:
-        """Estimate when a stream finds room.
+        """Estimate how long a stream waits for a free slot and memory.
 
         Args:
             stream: The stream.
             ahead: Streams that are served before it.
 
         Returns:
-            Seconds from now, or None if no endpoint of the service decodes.
+            Seconds from now, or None if the service has no decode endpoint.
         """
         for earlier in ahead:
-            self._place(earlier)
-        opens_at = self._place(stream)
-        return opens_at - self._now if math.isfinite(opens_at) else None
+            self._assign(earlier)
+        free_at = self._assign(stream)
+        return free_at - self._now if math.isfinite(free_at) else None
 
     def room_behind_s(self, stream: StreamDemand, ahead: Sequence[StreamDemand]) -> float | None:
-        """Estimate when a stream finds room behind any number of others.
+        """Estimate how long a stream waits behind any number of others.
 
-        Where they are many, some are served in full detail, and the others take as long
-        for each.
+        Of a long queue, only the first streams are simulated, and the wait is extrapolated in
+        proportion to the length of the queue.
 
         Args:
             stream: The stream.
             ahead: Streams that are served before it.
         """
-        seen = ahead[:_MOST_AHEAD]
-        room_in_s = self.room_in_s(stream, seen)
-        if room_in_s is None or len(seen) == len(ahead):
-            return room_in_s
-        return room_in_s * len(ahead) / len(seen)
-
-    def _place(self, stream: StreamDemand) -> float:
-        """Give a stream the endpoint that has room for it first, and tell when."""
+        simulated = ahead[:_MAX_SIMULATED]
+        wait_s = self.room_in_s(stream, simulated)
+        if wait_s is None or len(simulated) == len(ahead):
+            return wait_s
+        return wait_s * len(ahead) / len(simulated)
+
+    def _assign(self, stream: StreamDemand) -> float:
+        """Assign a stream to the endpoint that is free for it first, and return when."""
         best_at, best = math.inf, None
-        for opening in self._openings:
-            opens_at = opening.opens_at(stream, self._now)
-            if opens_at < best_at:
-                best_at, best = opens_at, opening
+        for endpoint in self._endpoints:
+            free_at = endpoint.free_at(stream, self._now)
+            if free_at < best_at:
+                best_at, best = free_at, endpoint
         if best is not None:
-            best.take(stream, best_at)
+            best.assign(stream, best_at)
         return best_at
 
 
-def _open(
+def _endpoint_forecast(
     name: str, traits: EngineTraits, capacity: Capacity, spread: float, now: float
-) -> _Opening:
+) -> _EndpointForecast:
     placed = capacity.placed(name, Role.DECODE)
     ends = [(item.expected_end(now), item.tokens) for item in placed]
-    held = capacity.peak_memory(name, [], now, spread)
+    used = capacity.peak_memory(name, [], now, spread)
     prompts_until = capacity.free_at(name, Role.PREFILL, now)
-    tokens = min(traits.memory_tokens - held, capacity.free_tokens(name, now) - 1)
+    tokens = min(traits.memory_tokens - used, capacity.free_tokens(name, now) - 1)
     slots = traits.slots - len(placed)
-    return _Opening(
+    return _EndpointForecast(
         tokens,
         slots,
         ends,
--- a/cleatlink/routing/notices.py
+++ b/cleatlink/routing/notices.py
@@ -1,148 +1,167 @@
-"""The one place for what endpoints say of themselves: that they leave, or want a rest.
+"""Notices of endpoints about themselves: that they are leaving, or request a back-off.
 
-Everything is kept by life, with who told it and when, and outlives the endpoint's registration:
-an entry that lapses and returns changes nothing of what the endpoint itself said.
+An endpoint that is leaving accepts no new work until its incarnation ends. A back-off is a time for
+which an endpoint wants no new calls. All notices are kept by incarnation, with their source and
+time. They are independent of the endpoint's registration: a registration that expires and is
+renewed does not change them.
 """
 
 from enum import StrEnum
 from typing import NamedTuple
 
-__all__ = ["EndpointNotices", "Leaving", "NoticeSource"]
+__all__ = ["EndpointNotices", "LeavingNotice", "NoticeSource"]
 
-# A life that left is remembered for so long after its last word: many times what an endpoint
-# serves on for, and what a copy of the registrations can be behind.
-_KEPT_S = 600.0
-# After a rest so many calls may be in progress at an endpoint, doubled with each answer, until
-# there are as many as connections are kept for: all callers at once would only be turned away.
-_FIRST_TRIES = 1
-_MOST_TRIES = 16
-# An endpoint that nobody tried for so long after its rest is like any other again.
-_CAREFUL_S = 30.0
+# How long a leaving notice is kept after its last report, in seconds: many times as long as a
+# leaving endpoint still serves, and as a copy of the registrations can lag behind.
+_LEAVING_KEPT_S = 600.0
+# Number of calls that may be in progress at an endpoint right after a back-off. It is doubled with
+# each answer, and the limit ends beyond _MAX_TRIAL_CALLS, the number of connections that are kept
+# open. Without the limit all callers would call at once and be refused again.
+_MIN_TRIAL_CALLS = 1
+_MAX_TRIAL_CALLS = 16
+# How long after a back-off the limit of calls ends if it was not lifted before, in seconds.
+_TRIAL_S = 30.0
 
 
 class NoticeSource(StrEnum):
-    """Who told that an endpoint leaves."""
+    """Source of the notice that an endpoint is leaving."""
 
     REGISTRATION = "registration"
     ANSWER = "answer"
     PEER = "peer"
 
 
-class Leaving(NamedTuple):
-    """The word that an endpoint takes no new work; it holds to the end of its life.
+class LeavingNotice(NamedTuple):
+    """Notice that an endpoint accepts no new work; valid until the end of its incarnation.
 
     Attributes:
-        source: Who told it first.
-        told_at: When it was told last.
+        source: Source of the first report.
+        reported_at: Time of the last report.
     """
 
     source: NoticeSource
-    told_at: float
+    reported_at: float
 
 
-class _Rest:
-    """A time for which an endpoint wants nothing, and the careful tries after it."""
+class _Backoff:
+    """A back-off of an endpoint, and the limited calls after it."""
 
-    __slots__ = ("allowed", "tries", "until")
+    __slots__ = ("calls", "max_calls", "until")
 
     def __init__(self, until: float) -> None:
         self.until = until
-        self.allowed = _FIRST_TRIES
-        self.tries: set[str] = set()
+        self.max_calls = _MIN_TRIAL_CALLS
+        self.calls: set[str] = set()
 
 
 class EndpointNotices:
-    """What is known of lives' leaving and rests."""
+    """Leaving notices and back-offs of endpoints, by incarnation."""
 
     def __init__(self) -> None:
-        self._leaving: dict[str, Leaving] = {}
-        self._rests: dict[str, _Rest] = {}
-        self._told_rests: dict[str, float] = {}
-
-    def note_leaving(self, life: str, source: NoticeSource, now: float) -> bool:
-        """Note that an endpoint takes no new work; tells whether that is new."""
-        known = self._leaving.get(life)
-        self._leaving[life] = Leaving(source if known is None else known.source, now)
+        self._leaving: dict[str, LeavingNotice] = {}
+        self._backoffs: dict[str, _Backoff] = {}
+        # Ends of back-offs that endpoints requested from peers.
+        self._peer_backoffs: dict[str, float] = {}
+
+    def note_leaving(self, incarnation: str, source: NoticeSource, now: float) -> bool:
+        """Record that an endpoint is leaving; return whether this was unknown before."""
+        known = self._leaving.get(incarnation)
+        self._leaving[incarnation] = LeavingNotice(source if known is None else known.source, now)
         return known is None
 
-    def is_leaving(self, life: str) -> bool:
-        """Tell whether an endpoint takes no new work."""
-        return life in self._leaving
+    def is_leaving(self, incarnation: str) -> bool:
+        """Check whether an endpoint is leaving."""
+        return incarnation in self._leaving
 
-    def note_rest(self, life: str, rest_s: float, now: float) -> bool:
-        """Note that an endpoint wants nothing for some time; tells whether a rest begins.
+    def note_rest(self, incarnation: str, backoff_s: float, now: float) -> bool:
+        """Record that an endpoint requests a back-off; return whether a new back-off begins.
 
-        Without it, one of three endpoints that asked for 4 s got 3 calls of one instance within
-        that time; now none.
+        Without back-offs, one of three endpoints that requested 4 s got 3 calls of one instance
+        within that time; with them, it got none.
         """
-        known = self._rests.get(life)
+        known = self._backoffs.get(incarnation)
         begins = known is None or known.until <= now
         if known is None:
-            known = self._rests[life] = _Rest(now)
-        known.until = max(known.until, now + rest_s)
-        known.allowed = _FIRST_TRIES
+            known = self._backoffs[incarnation] = _Backoff(now)
+        known.until = max(known.until, now + backoff_s)
+        known.max_calls = _MIN_TRIAL_CALLS
         return begins
 
-    def newest_leaving(self, most: int) -> list[str]:
-        """Give the lives that leave, from the one of which it was told last."""
-        lives = sorted(self._leaving, key=lambda life: self._leaving[life].told_at, reverse=True)
-        return lives[:most]
+    def newest_leaving(self, limit: int) -> list[str]:
+        """Return up to ``limit`` incarnations that are leaving.
 
-    def leaving_sources(self, most: int) -> dict[str, str]:
-        """Give who told first of lives that leave, from the one of which it was told last."""
-        return {life: self._leaving[life].source.value for life in self.newest_leaving(most)}
+        The last reported ones come first.
+        """
+        incarnations = sorted(
+            self._leaving, key=lambda name: self._leaving[name].reported_at, reverse=True
+        )
+        return incarnations[:limit]
+
+    def leaving_sources(self, limit: int) -> dict[str, str]:
+        """Return the first sources of up to ``limit`` leaving notices, by incarnation.
+
+        The last reported ones come first.
+        """
+        return {
+            incarnation: self._leaving[incarnation].source.value
+            for incarnation in self.newest_leaving(limit)
+        }
 
     def resting(self, now: float) -> list[str]:
-        """Give the lives that want nothing now."""
-        return [life for life, rest in self._rests.items() if rest.until > now]
-
-    def note_told_rest(self, life: str, until: float, now: float) -> None:
-        """Note that an endpoint asked a peer for a rest: others are better places for a while."""
-        self._told_rests = {name: at for name, at in self._told_rests.items() if at > now}
-        self._told_rests[life] = max(until, self._told_rests.get(life, 0.0))
-
-    def is_told_to_rest(self, life: str, now: float) -> bool:
-        """Tell whether an endpoint asked a peer for a rest that is not over."""
-        return self._told_rests.get(life, 0.0) > now
-
-    def rests_until(self, life: str) -> float:
-        """Give when an endpoint's rest ends or ended; 0 if it asked for none lately."""
-        rest = self._rests.get(life)
-        return 0.0 if rest is None else rest.until
-
-    def may_begin(self, life: str, now: float) -> bool:
-        """Tell whether an endpoint may get one more call: not in its rest, few after it."""
-        rest = self._rests.get(life)
-        return rest is None or (now >= rest.until and len(rest.tries) < rest.allowed)
-
-    def begin_work(self, life: str, key: str) -> None:
-        """Note that work begins at an endpoint."""
-        rest = self._rests.get(life)
-        if rest is not None:
-            rest.tries.add(key)
-
-    def end_work(self, life: str, key: str) -> None:
-        """Note that work at an endpoint is over."""
-        rest = self._rests.get(life)
-        if rest is not None:
-            rest.tries.discard(key)
-
-    def note_served(self, life: str, now: float) -> None:
-        """Note that an endpoint took a call: after a rest it may get more."""
-        rest = self._rests.get(life)
-        if rest is None or now < rest.until:
+        """Return the incarnations that are in a back-off now."""
+        return [
+            incarnation for incarnation, backoff in self._backoffs.items() if backoff.until > now
+        ]
+
+    def note_told_rest(self, incarnation: str, until: float, now: float) -> None:
+        """Record a back-off that an endpoint requested from a peer; others are preferred to it."""
+        self._peer_backoffs = {name: end for name, end in self._peer_backoffs.items() if end > now}
+        self._peer_backoffs[incarnation] = max(until, self._peer_backoffs.get(incarnation, 0.0))
+
+    def is_told_to_rest(self, incarnation: str, now: float) -> bool:
+        """Check whether an endpoint is in a back-off that it requested from a peer."""
+        return self._peer_backoffs.get(incarnation, 0.0) > now
+
+    def rests_until(self, incarnation: str) -> float:
+        """Return when an endpoint's back-off ends or ended; 0 without a recent one."""
+        backoff = self._backoffs.get(incarnation)
+        return 0.0 if backoff is None else backoff.until
+
+    def may_begin(self, incarnation: str, now: float) -> bool:
+        """Check whether an endpoint may get another call: none in its back-off, few after it."""
+        backoff = self._backoffs.get(incarnation)
+        return backoff is None or (now >= backoff.until and len(backoff.calls) < backoff.max_calls)
+
+    def begin_work(self, incarnation: str, key: str) -> None:
+        """Record that work begins at an endpoint."""
+        backoff = self._backoffs.get(incarnation)
+        if backoff is not None:
+            backoff.calls.add(key)
+
+    def end_work(self, incarnation: str, key: str) -> None:
+        """Record that work at an endpoint has ended."""
+        backoff = self._backoffs.get(incarnation)
+        if backoff is not None:
+            backoff.calls.discard(key)
+
+    def note_served(self, incarnation: str, now: float) -> None:
+        """Record that an endpoint served a call: after a back-off it may get more at a time."""
+        backoff = self._backoffs.get(incarnation)
+        if backoff is None or now < backoff.until:
             return
-        rest.allowed *= 2
-        if rest.allowed > _MOST_TRIES:
-            del self._rests[life]
+        backoff.max_calls *= 2
+        if backoff.max_calls > _MAX_TRIAL_CALLS:
+            del self._backoffs[incarnation]
 
     def forget(self, now: float) -> None:
-        """Forget lives that left long ago, and rests that are long over."""
+        """Drop leaving notices and back-offs that are long over."""
         self._leaving = {
-            life: leaving
-            for life, leaving in self._leaving.items()
-            if now - leaving.told_at < _KEPT_S
+            incarnation: leaving
+            for incarnation, leaving in self._leaving.items()
+            if now - leaving.reported_at < _LEAVING_KEPT_S
         }
-        self._rests = {
-            life: rest for life, rest in self._rests.items() if now - rest.until < _CAREFUL_S
+        self._backoffs = {
+            incarnation: backoff
+            for incarnation, backoff in self._backoffs.items()
+            if now - backoff.until < _TRIAL_S
         }
--- a/cleatlink/routing/notices_test.py
+++ b/cleatlink/routing/notices_test.py
@@ -1,4 +1,4 @@
-"""What endpoints say of themselves, kept by life: leaving to its end, rests for their time."""
+"""Notices of endpoints: leaving lasts for the incarnation, a back-off for its time."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -13,23 +13,23 @@
 
 
 def endpoint(name: str, *, leaving: bool = False) -> RoutedEndpoint:
-    """Give a plain endpoint."""
+    """Return a plain endpoint."""
     return RoutedEndpoint(name, "127.0.0.1:1", "a", SERVICE, Role.PLAIN, 4, leaving)
 
 
 def candidates(capacity: Capacity, now: float) -> list[str]:
-    """Give the names of those that may get a call now."""
+    """Return the names of the endpoints that may get a call now."""
     found = capacity.candidates(SERVICE, Role.PLAIN, now)
     return [item.name for item in found if not capacity.is_full(item.name, now)]
 
 
-def test_leaving_outlives_registrations() -> None:
+def test_leaving_notice_outlives_the_registration() -> None:
     capacity = Capacity()
     capacity.set_endpoint(endpoint("x"))
     assert capacity.notices.note_leaving("x", NoticeSource.ANSWER, 0.0)
     assert not capacity.notices.note_leaving("x", NoticeSource.PEER, 0.0)
     assert not capacity.takes_work("x")
-    # Its entry lapses and returns, or is written anew without the word.
+    # Its registration expires and is renewed, or is replaced by one without the notice.
     capacity.remove_endpoint("x")
     capacity.set_endpoint(endpoint("x"))
     assert not capacity.takes_work("x")
@@ -37,7 +37,7 @@
     assert capacity.opens_in_s(SERVICE, Role.PLAIN, 1.0) is None
 
 
-def test_rest_is_kept_to_its_end_and_the_longest_counts() -> None:
+def test_back_off_lasts_to_its_end_and_the_longest_request_counts() -> None:
     capacity = Capacity()
     capacity.set_endpoint(endpoint("x"))
     capacity.set_endpoint(endpoint("y"))
@@ -48,7 +48,7 @@
     assert candidates(capacity, 3.0) == ["x", "y"]
 
 
-def test_endpoint_that_failed_is_tried_rather_than_one_that_rests() -> None:
+def test_endpoint_that_failed_is_preferred_to_one_in_a_back_off() -> None:
     capacity = Capacity()
     capacity.set_endpoint(endpoint("x"))
     capacity.set_endpoint(endpoint("y"))
@@ -57,7 +57,7 @@
     assert candidates(capacity, 0.1) == ["y"]
 
 
-def test_where_all_rest_the_first_end_is_told() -> None:
+def test_first_end_is_returned_while_all_endpoints_are_in_a_back_off() -> None:
     capacity = Capacity()
     capacity.set_endpoint(endpoint("x"))
     capacity.set_endpoint(endpoint("y"))
@@ -67,14 +67,14 @@
     assert capacity.opens_in_s(SERVICE, Role.PLAIN, 0.5) == 1.5
 
 
-def test_after_a_rest_one_call_goes_first_then_twice_as_many_with_each_answer() -> None:
+def test_calls_after_a_back_off_start_at_one_and_double_with_each_answer() -> None:
     capacity = Capacity()
     capacity.set_endpoint(endpoint("x"))
     capacity.notices.note_rest("x", 1.0, 0.0)
     begun = 0
 
     def fill() -> int:
-        """Begin calls while one may; gives how many."""
+        """Begin as many calls as are permitted; return their number."""
         nonlocal begun
         first = begun
         while candidates(capacity, 1.5) == ["x"] and begun - first < 50:
@@ -95,7 +95,7 @@
     assert fill() == 50
 
 
-def test_answer_within_a_rest_does_not_end_it() -> None:
+def test_answer_within_a_back_off_does_not_end_it() -> None:
     notices = EndpointNotices()
     notices.note_rest("x", 1.0, 0.0)
     for _ in range(9):
@@ -103,7 +103,7 @@
     assert not notices.may_begin("x", 0.99)
 
 
-def test_what_is_long_ago_is_forgotten() -> None:
+def test_old_notices_are_dropped() -> None:
     notices = EndpointNotices()
     notices.note_leaving("x", NoticeSource.ANSWER, 0.0)
     notices.note_rest("y", 1.0, 0.0)
@@ -116,13 +116,13 @@
 
 
 @given(st.lists(st.tuples(st.floats(0, 50), st.floats(0.01, 20)), min_size=1, max_size=20))
-def test_no_call_begins_in_any_rest(words: list[tuple[float, float]]) -> None:
+def test_no_call_begins_during_any_back_off(requests: list[tuple[float, float]]) -> None:
     notices = EndpointNotices()
-    for said_at, rest_s in sorted(words):
-        notices.note_rest("x", rest_s, said_at)
-        notices.note_served("x", said_at)
-    last_at = max(said_at for said_at, _ in words)
-    for said_at, rest_s in words:
-        now = max(last_at, said_at + rest_s * 0.999)
-        if now < said_at + rest_s:
+    for requested_at, backoff_s in sorted(requests):
+        notices.note_rest("x", backoff_s, requested_at)
+        notices.note_served("x", requested_at)
+    last_at = max(requested_at for requested_at, _ in requests)
+    for requested_at, backoff_s in requests:
+        now = max(last_at, requested_at + backoff_s * 0.999)
+        if now < requested_at + backoff_s:
             assert not notices.may_begin("x", now)
--- a/cleatlink/routing/outcomes.py
+++ b/cleatlink/routing/outcomes.py
@@ -1,28 +1,29 @@
-"""What calls to endpoints came to lately, and which endpoints are avoided for it."""
+"""Recent outcomes of calls to endpoints, and which endpoints are avoided because of them."""
 
 import math
 
 __all__ = ["EndpointOutcomes"]
 
-# An endpoint that failed is avoided for this long, doubled for each failure in a row.
+# Back-off after a failure of an endpoint, in seconds; doubled for each further failure in a row.
 _AVOID_S = 0.5
-# The longest; an endpoint that is back is found within it.
-_MOST_AVOID_S = 8.0
-# An endpoint that had no room gets nothing new for so long, doubled for each time in a row:
-# what was believed of its room is wrong then, and nothing tells when it will be right.
+# Upper limit of this back-off, in seconds: an endpoint that recovers is tried again within it.
+_MAX_AVOID_S = 8.0
+# Back-off after an endpoint refused work for lack of capacity, in seconds; doubled for each further
+# refusal in a row. The estimate of its capacity is wrong then, and it is unknown for how long.
 _FULL_AVOID_S = 0.15
-_MOST_FULL_AVOID_S = 1.2
-# Failures in a row after which an endpoint counts as out of reach.
-_OUT_OF_REACH_FAILURES = 3
-# What peers could not reach is avoided for so long, unless it answered here just now.
-_HINT_S = 0.8
-_REACHED_S = 0.5
-# An endpoint that several instances found slow gets nothing new for so long.
-_SLOW_S = 2.5
+_MAX_FULL_AVOID_S = 1.2
+# Number of failures from which on an endpoint counts as unreachable.
+_UNREACHABLE_FAILURES = 3
+# An endpoint that peers could not reach is avoided for _PEER_FAILURE_AVOID_S seconds, unless a call
+# of this instance to it succeeded within the last _RECENT_SUCCESS_S seconds.
+_PEER_FAILURE_AVOID_S = 0.8
+_RECENT_SUCCESS_S = 0.5
+# An endpoint that several instances found slow is avoided for this time, in seconds.
+_SLOW_AVOID_S = 2.5
 
 
 class _Outcomes:
-    """What calls to one endpoint came to lately."""
+    """Recent outcomes of calls to one endpoint."""
 
     __slots__ = (
         "avoid_until",
@@ -43,67 +44,67 @@
 
 
 class EndpointOutcomes:
-    """Outcomes by endpoint; every method takes the time as an argument."""
+    """Recent outcomes by endpoint; methods that depend on the time take it as an argument."""
 
     def __init__(self) -> None:
         self._outcomes: dict[str, _Outcomes] = {}
 
     def forget(self, name: str) -> None:
-        """Forget an endpoint."""
+        """Drop the outcomes of an endpoint."""
         self._outcomes.pop(name, None)
 
     def note_success(self, name: str, now: float) -> None:
-        """Note that an endpoint did what it was asked."""
+        """Record a successful call."""
         outcomes = self._of(name)
-        # One that failed often is trusted again by degrees.
+        # After repeated failures, each success cancels only one of them.
         outcomes.failures = max(0, outcomes.failures - 1)
         outcomes.avoid_until = 0.0
         outcomes.succeeded_at = now
 
     def note_unreached_by_peers(self, name: str, now: float) -> None:
-        """Note that peers that share this instance's links can't reach an endpoint."""
+        """Record that peers with the same network links could not reach an endpoint."""
         outcomes = self._of(name)
-        if now - outcomes.succeeded_at > _REACHED_S:
-            outcomes.avoid_until = max(outcomes.avoid_until, now + _HINT_S)
+        if now - outcomes.succeeded_at > _RECENT_SUCCESS_S:
+            outcomes.avoid_until = max(outcomes.avoid_until, now + _PEER_FAILURE_AVOID_S)
 
     def note_failure(self, name: str, now: float) -> None:
-        """Note that an endpoint failed; it is avoided for a while."""
+        """Record a failure; the endpoint is avoided for the back-off time."""
         outcomes = self._of(name)
-        avoid_s = min(_MOST_AVOID_S, _AVOID_S * 2**outcomes.failures)
+        avoid_s = min(_MAX_AVOID_S, _AVOID_S * 2**outcomes.failures)
         outcomes.failures += 1
         outcomes.avoid_until = now + avoid_s
 
     def note_slow(self, name: str, now: float) -> None:
-        """Note that several instances found an endpoint slow."""
-        self._of(name).slow_until = now + _SLOW_S
+        """Record that several instances found an endpoint slow."""
+        self._of(name).slow_until = now + _SLOW_AVOID_S
 
     def note_full(self, name: str, now: float) -> None:
-        """Note that an endpoint had no room just now."""
+        """Record that an endpoint refused work for lack of capacity."""
         outcomes = self._of(name)
-        full_s = min(_MOST_FULL_AVOID_S, _FULL_AVOID_S * 2**outcomes.refusals)
+        full_s = min(_MAX_FULL_AVOID_S, _FULL_AVOID_S * 2**outcomes.refusals)
         outcomes.refusals += 1
         outcomes.full_until = now + full_s
 
     def note_room(self, name: str) -> None:
-        """Note that an endpoint had room just now."""
+        """Record that an endpoint accepted work; this resets the back-off after refusals."""
         outcomes = self._outcomes.get(name)
         if outcomes is not None:
             outcomes.refusals = 0
 
     def is_out_of_reach(self, name: str, now: float) -> bool:
-        """Tell whether an endpoint has failed so often that it counts as out of reach."""
+        """Check whether an endpoint counts as unreachable after repeated failures."""
         outcomes = self._outcomes.get(name)
-        if outcomes is None or outcomes.failures < _OUT_OF_REACH_FAILURES:
+        if outcomes is None or outcomes.failures < _UNREACHABLE_FAILURES:
             return False
         return now < outcomes.avoid_until
 
     def is_avoided(self, name: str, now: float) -> bool:
-        """Tell whether an endpoint failed or was slow just now."""
+        """Check whether an endpoint is avoided because it failed or was slow."""
         outcomes = self._outcomes.get(name)
         return outcomes is not None and now < max(outcomes.avoid_until, outcomes.slow_until)
 
     def full_until(self, name: str) -> float:
-        """Give until when an endpoint gets nothing new because it had no room."""
+        """Return the end of the back-off after an endpoint refused work for lack of capacity."""
         outcomes = self._outcomes.get(name)
         return outcomes.full_until if outcomes is not None else 0.0
 
--- a/cleatlink/routing/own_pauses_test.py
+++ b/cleatlink/routing/own_pauses_test.py
@@ -1,9 +1,9 @@
-"""Pauses of an instance, as looks that come late show them."""
+"""Pauses of a process, detected by a periodic check that runs late."""
 
 from cleatlink.routing.own_pauses import OwnPauses
 
 
-def test_look_in_time_shows_no_pause() -> None:
+def test_check_on_time_shows_no_pause() -> None:
     pauses = OwnPauses()
     assert not pauses.any_since(0.0, 10.0)
     pauses.expect_look(1.0)
@@ -11,7 +11,7 @@
     assert not pauses.any_since(0.0, 1.05)
 
 
-def test_what_was_measured_across_a_pause_does_not_count() -> None:
+def test_pause_is_reported_for_times_that_began_before_its_end() -> None:
     pauses = OwnPauses()
     pauses.expect_look(1.0)
     assert pauses.look(1.5) == 0.5
@@ -20,8 +20,8 @@
     assert not pauses.any_since(1.6, 1.65)
 
 
-def test_pause_is_known_before_the_look_that_it_delays() -> None:
-    """Tasks run in any order after a pause: an answer may be read before the look comes."""
+def test_pause_is_detected_before_the_delayed_check_runs() -> None:
+    """Tasks run in any order after a pause: a response may be read before the check runs."""
     pauses = OwnPauses()
     pauses.expect_look(1.0)
     assert pauses.any_since(1.3, 1.4)
--- a/cleatlink/routing/pace.py
+++ b/cleatlink/routing/pace.py
@@ -80,13 +80,13 @@
 
     def __init__(self, switches: Switches | None = None) -> None:
         self._switches = switches or Switches()
-        learn = LEARN_SHARE if self._switches.uses(Mechanism.LEARNED_PACE) else 0.0
-        self._token_s = Estimate(_PRIOR_TOKEN_S, learn)
-        self._prompt_s = PromptTime(_PRIOR_PROMPT_TOKEN_S, learn)
-        self._start_s = Estimate(_PRIOR_START_S, learn)
-        self._length_ratio = Estimate(1.0, learn)
-        self._length_variance = Estimate(_PRIOR_LENGTH_SPREAD**2, learn)
-        self._plain_s = Estimate(0.0, learn=0.2)
+        learning_rate = LEARN_SHARE if self._switches.uses(Mechanism.LEARNED_PACE) else 0.0
+        self._token_s = Estimate(_PRIOR_TOKEN_S, learning_rate)
+        self._prompt_s = PromptTime(_PRIOR_PROMPT_TOKEN_S, learning_rate)
+        self._start_s = Estimate(_PRIOR_START_S, learning_rate)
+        self._length_ratio = Estimate(1.0, learning_rate)
+        self._length_variance = Estimate(_PRIOR_LENGTH_SPREAD**2, learning_rate)
+        self._plain_s = Estimate(0.0, learning_rate=0.2)
         # Seconds per token of recent stream segments.
         self._segments_s: deque[float] = deque(maxlen=_RECENT_SEGMENTS)
         # When the adopted summary of a peer was measured.
--- a/cleatlink/routing/returns.py
+++ b/cleatlink/routing/returns.py
@@ -1,9 +1,9 @@
-"""Streams that were refused for want of room and are expected back.
+"""Streams that were refused for lack of capacity and are expected to be retried.
 
-A refusal names a time at which there should be room. Until shortly after it a caller that
-comes back, to whichever instance, is known by what it asks for, and so is the time at which
-it asked first. No room is kept for it: it is late by then as a rule, and those that can
-still be in time go first.
+A refusal names a retry time at which capacity should be free. Until shortly after it, every
+instance recognises a retry by the content of its request, and knows when the first attempt was
+refused. No capacity is reserved for a retry: it usually misses its target by then, and streams
+that can still meet theirs take precedence.
 """
 
 from typing import NamedTuple
@@ -13,74 +13,92 @@
 from cleatlink.routing.capacity import Capacity
 from cleatlink.routing.reservation import Reservation
 
-__all__ = ["ExpectedReturn", "Returns"]
+__all__ = ["ExpectedRetry", "Returns"]
 
-# A caller that is not back so long after its time has gone elsewhere.
-_GRACE_S = 0.5
+# How long after the retry time a retry is still expected, in seconds: later, the caller has gone
+# elsewhere.
+_RETRY_GRACE_S = 0.5
 
 
-class ExpectedReturn(NamedTuple):
-    """A stream that is expected back.
+class ExpectedRetry(NamedTuple):
+    """A refused stream that is expected to be retried.
 
     Attributes:
         refused_at: When it was refused.
-        due: When it was asked to come back.
-        tokens: Memory that it holds at its end.
+        retry_at: When its caller was asked to retry.
+        tokens: Memory that it occupies at its end, in tokens.
     """
 
     refused_at: float
-    due: float
+    retry_at: float
     tokens: int
 
 
 class Returns:
-    """What is known of the streams that are expected back."""
+    """Refused streams that are expected to be retried.
+
+    Each is kept as a reservation at a name that no endpoint has, so that peers receive it like any
+    other reservation.
+    """
 
     def __init__(self, capacity: Capacity) -> None:
         self._capacity = capacity
-        self._back: dict[str, Reservation] = {}
+        # Expected retries that have arrived, until they expire.
+        self._arrived: dict[str, Reservation] = {}
 
-    def expect(self, inbound: Inbound, service: str, tokens: int, due: float, now: float) -> str:
-        """Note that a stream is refused; gives the key under which it is reserved."""
+    def expect(
+        self, inbound: Inbound, service: str, tokens: int, retry_at: float, now: float
+    ) -> str:
+        """Record a refused stream and return the key of its reservation."""
         key = _key(inbound)
-        until = due + _GRACE_S
-        work = Reservation(_queue(service), Role.DECODE, tokens, until, until - now)
+        expires_at = retry_at + _RETRY_GRACE_S
+        work = Reservation(
+            _endpoint_name(service), Role.DECODE, tokens, expires_at, expires_at - now
+        )
         self._capacity.reserve(key, work)
         return key
 
-    def take(self, inbound: Inbound, now: float) -> ExpectedReturn | None:
-        """Note that a stream is there; gives what was expected if it is one that is back."""
+    def take(self, inbound: Inbound, now: float) -> ExpectedRetry | None:
+        """Match a new stream with the expected retries.
+
+        Returns:
+            The expected retry, or None if the stream is no retry, or not the first one.
+        """
         key = _key(inbound)
         work = self._capacity.find(key)
-        if work is None or work.ends_at <= now or key in self._back:
+        if work is None or work.ends_at <= now or key in self._arrived:
             return None
-        self._back[key] = work
-        return _read(work)
+        self._arrived[key] = work
+        return _expected_retry(work)
 
     def forget(self, now: float) -> list[str]:
-        """Forget own ones that did not come; gives their keys."""
-        self._back = {key: work for key, work in self._back.items() if work.ends_at > now}
-        over = [
+        """Release the expired reservations of this instance and return their keys."""
+        self._arrived = {key: work for key, work in self._arrived.items() if work.ends_at > now}
+        expired = [
             key
             for key, work in self._capacity.own.items()
-            if key.startswith(_PREFIX) and work.ends_at <= now
+            if key.startswith(_KEY_PREFIX) and work.ends_at <= now
         ]
-        for key in over:
+        for key in expired:
             self._capacity.release(key)
-        return over
+        return expired
 
 
-_PREFIX = "back/"
+# Prefix of the reservation keys of expected retries.
+_KEY_PREFIX = "back/"
 
 
 def _key(inbound: Inbound) -> str:
-    return _PREFIX + inbound.identity.hex()
+    return _KEY_PREFIX + inbound.identity.hex()
 
 
-def _queue(service: str) -> str:
-    """Give the name under which a service's returns are reserved; no endpoint has it."""
+def _endpoint_name(service: str) -> str:
+    """Return the name that stands for the endpoint of a service's expected retries.
+
+    No real endpoint has this name.
+    """
     return f"returns to {service}"
 
 
-def _read(work: Reservation) -> ExpectedReturn:
-    return ExpectedReturn(work.ends_at - work.duration_s, work.ends_at - _GRACE_S, work.tokens)
+def _expected_retry(work: Reservation) -> ExpectedRetry:
+    return ExpectedRetry(work.ends_at - work.duration_s, work.ends_at - _RETRY_GRACE_S, work.tokens)
--- a/cleatlink/routing/uploads.py
+++ b/cleatlink/routing/uploads.py
@@ -1,209 +1,221 @@
-"""How far the body of a request has come on its way to an endpoint, and how long the rest takes.
+"""Progress of request bodies on their way to endpoints, and the rate at which endpoints read them.
 
-The sender's kernel tells what the other side's kernel has acknowledged, but not what the endpoint
-has read: up to a receive buffer of acknowledged bytes may still wait there. While that buffer is
-full, acknowledgements come as the endpoint reads, in steps of up to its size. So an endpoint whose
-upload stands still is not silent before it could have read, at its pace, what its kernel took.
+The kernel of this side reports how many bytes the kernel of the other side has acknowledged, but
+not how many the endpoint has read: acknowledged bytes, up to the size of a receive buffer, may
+still wait there. While that buffer is full, acknowledgements arrive as the endpoint reads, in steps
+of up to the buffer's size. So an endpoint whose upload makes no progress does not count as silent
+before it could have read, at its read rate, all bytes that its kernel has accepted.
 """
 
 from typing import NamedTuple
 
-__all__ = ["UNKNOWN_PACE", "TakenBytes", "Upload", "UploadPace", "UploadPaces"]
+__all__ = ["UNKNOWN_PACE", "TakenBytes", "Upload", "ReadRate", "UploadPaces"]
 
-# Bytes that an endpoint's kernel takes before the endpoint reads: the usual size of a buffer.
+# Usual size of a receive buffer: bytes that an endpoint's kernel accepts before the endpoint reads.
 _BUFFER_BYTES = 131_072
-# More than this is taken only by an endpoint that reads: a buffer and some first reads.
-_SURELY_FULL_BYTES = 163_840
-# Less than this is also taken, little by little, into a buffer that is full and not read.
-_READ_BYTES = 32_768
-# Where more than this share of a measured time may have gone into reading the body, it says
-# nothing about the endpoint's work.
-_MOST_HIDDEN_SHARE = 0.5
-# A body's way that takes no more than this share of a measured time counts as the endpoint's.
-_SHORT_WAY_SHARE = 0.25
-# A body that was answered so many times sooner than the measured pace allows has refuted it.
-_QUICKER = 2.0
+# More bytes than this are acknowledged only if the endpoint reads: a buffer and a few first reads.
+_MAX_UNREAD_BYTES = 163_840
+# Fewer bytes than this may also be acknowledged without any read: a full buffer still accepts a few
+# bytes at a time.
+_MIN_READ_BYTES = 32_768
+# If reading the body may account for more than this share of a measured time, the time says nothing
+# about how long the endpoint worked on the request.
+_MAX_READING_SHARE = 0.5
+# A transfer of the body that takes at most this share of a measured time is not subtracted from it.
+_SHORT_TRANSFER_SHARE = 0.25
+# A response that arrives sooner than the measured rate allows, by this factor, disproves the rate.
+_DISPROOF_FACTOR = 2.0
 
 
 class TakenBytes(NamedTuple):
-    """What the other side has of a request.
+    """Bytes of a request that the kernel of either side has accepted.
 
     Attributes:
-        size: Bytes from the first one on.
-        is_acknowledged: Whether the other side's kernel has them; otherwise some may still wait in
-            a buffer of this side.
+        size: Number of bytes.
+        is_acknowledged: Whether the kernel of the other side has acknowledged them; otherwise some
+            may still wait in a buffer of this side.
     """
 
     size: int
     is_acknowledged: bool
 
 
-class UploadPace(NamedTuple):
-    """How fast an endpoint reads bodies.
+class ReadRate(NamedTuple):
+    """Rate at which an endpoint reads request bodies.
 
     Attributes:
-        bytes_a_second: The pace.
-        is_measured: Whether acknowledgements showed it; otherwise it is no more than a pace that
-            the endpoint has surely kept, or an assumption.
+        bytes_a_second: The rate.
+        is_measured: Whether the rate was measured by acknowledgements; otherwise it is a lower
+            bound or an assumption.
     """
 
     bytes_a_second: float
     is_measured: bool
 
 
-# Of a link of which nothing is known: 4 Mbit/s.
-UNKNOWN_PACE = UploadPace(500_000.0, False)
+# Assumed for a link that was not measured: 4 Mbit/s.
+UNKNOWN_PACE = ReadRate(500_000.0, False)
 
 
 class Upload:
-    """One request's body on its way to an endpoint."""
+    """Upload of one request body to an endpoint."""
 
-    def __init__(self, usual: UploadPace) -> None:
-        """Begin without a body.
+    def __init__(self, usual_rate: ReadRate) -> None:
+        """Start without a body.
 
         Args:
-            usual: How fast the endpoint reads, as far as that is known.
+            usual_rate: Read rate of the endpoint by earlier bodies, or an assumption.
         """
-        self._usual = usual
+        self._usual_rate = usual_rate
         self._size = 0
-        self._taken = 0
+        self._accepted_bytes = 0
         self._is_acknowledged = True
         self._began_at = 0.0
-        self._moved_at = 0.0
-        # What had been taken by the time that the endpoint's buffer was full.
-        self._full_bytes = _BUFFER_BYTES
-        self._measured_pace = 0.0
+        self._progress_at = 0.0
+        # Bytes that had been accepted when the endpoint's receive buffer was full.
+        self._full_buffer_bytes = _BUFFER_BYTES
+        self._measured_rate = 0.0
 
     @property
     def size(self) -> int:
-        """Bytes of the body; 0 for one that is too short to follow."""
+        """Size of the body in bytes; 0 for a body that is too short to follow."""
         return self._size
 
     @property
     def taken(self) -> int:
-        """Bytes of it that the other side is known to have."""
-        return self._taken
+        """Bytes of the body that are known to have been accepted."""
+        return self._accepted_bytes
 
     @property
     def is_whole(self) -> bool:
-        """Whether the other side has all of it."""
-        return self._taken >= self._size
+        """Whether all of the body has been accepted."""
+        return self._accepted_bytes >= self._size
 
     @property
-    def measured(self) -> UploadPace | None:
-        """How fast the endpoint reads by this body alone; None if it does not show that."""
-        return UploadPace(self._measured_pace, True) if self._measured_pace else None
+    def measured(self) -> ReadRate | None:
+        """Read rate by this body alone; None if it could not be measured."""
+        return ReadRate(self._measured_rate, True) if self._measured_rate else None
 
     @property
-    def pace(self) -> UploadPace:
-        """How fast the endpoint reads, by this body or else by earlier ones.
+    def pace(self) -> ReadRate:
+        """Read rate by this body or else by earlier ones.
 
-        A kernel that has grown its buffer takes bodies faster than they are read, so a measured
-        pace is not raised before an answer has shown it.
+        A kernel that has enlarged its buffer accepts bytes faster than they are read, so a measured
+        rate is not raised before a response confirms the higher rate.
         """
         measured = self.measured
-        if measured is None or (self._usual.is_measured and self._usual < measured):
-            return self._usual
+        if measured is None or (self._usual_rate.is_measured and self._usual_rate < measured):
+            return self._usual_rate
         return measured
 
     @property
     def read_by(self) -> float:
-        """When the endpoint, at its pace, will have read what it has; earlier it is not silent."""
-        return max(self._moved_at, self._began_at + self._taken / self.pace.bytes_a_second)
+        """Time by which the endpoint will have read the accepted bytes.
+
+        An endpoint does not count as silent before this time.
+        """
+        return max(
+            self._progress_at, self._began_at + self._accepted_bytes / self.pace.bytes_a_second
+        )
 
     def begin(self, size: int, now: float) -> None:
-        """Begin to follow a body.
+        """Start to follow a body.
 
         Args:
-            size: Its bytes.
+            size: Its size in bytes.
             now: The time.
         """
         self._size = size
-        self._began_at = self._moved_at = now
+        self._began_at = self._progress_at = now
 
-    def note_taken(self, taken: TakenBytes, now: float) -> None:
-        """Note what has been taken by now."""
-        self._is_acknowledged = taken.is_acknowledged
-        if taken.size > self._taken:
-            self._taken, self._moved_at = taken.size, now
+    def note_taken(self, accepted: TakenBytes, now: float) -> None:
+        """Record the bytes that have been accepted by now."""
+        self._is_acknowledged = accepted.is_acknowledged
+        if accepted.size > self._accepted_bytes:
+            self._accepted_bytes, self._progress_at = accepted.size, now
             self._measure()
 
     def _measure(self) -> None:
-        """Learn the pace from what has been taken beyond a full buffer, which has been read.
+        """Measure the read rate by the bytes accepted beyond a full buffer: so many were read.
 
-        The last step may be shorter than what was read for it, so the largest figure counts.
+        The last acknowledged step may be smaller than the bytes read for it, so the largest rate
+        counts.
         """
         if not self._is_acknowledged:
             return
-        if self._taken <= _SURELY_FULL_BYTES:
-            self._full_bytes = max(self._full_bytes, self._taken)
+        if self._accepted_bytes <= _MAX_UNREAD_BYTES:
+            self._full_buffer_bytes = max(self._full_buffer_bytes, self._accepted_bytes)
             return
-        read, seconds = self._taken - self._full_bytes, self._moved_at - self._began_at
-        if read >= _READ_BYTES and seconds > 0:
-            self._measured_pace = max(self._measured_pace, read / seconds)
+        read_bytes, seconds = (
+            self._accepted_bytes - self._full_buffer_bytes,
+            self._progress_at - self._began_at,
+        )
+        if read_bytes >= _MIN_READ_BYTES and seconds > 0:
+            self._measured_rate = max(self._measured_rate, read_bytes / seconds)
 
     def served_s(self, began_at: float, now: float) -> float | None:
-        """Give for how long an endpoint that answers now has had the request.
+        """Return for how long an endpoint that responds now has worked on the request.
 
         Args:
             began_at: When sending began.
             now: The time.
 
         Returns:
-            Seconds; None if that is not known: it was not seen to have all of the body, or may have
-            read it for most of the time.
+            Seconds; None if that is unknown: not all of the body is known to have been accepted, or
+            the endpoint may have spent most of the time on reading it.
         """
         if not self._size:
             return now - began_at
         if not self.is_whole:
             return None
-        took_s, served_s = now - began_at, now - self._moved_at
-        arrived_at = self.read_by if self.pace.is_measured else self._moved_at
-        if arrived_at - began_at <= _SHORT_WAY_SHARE * took_s:
-            # Looks come up to 20 ms late: taken off, they would make quick endpoints look quicker.
-            return took_s
-        if arrived_at - self._moved_at > _MOST_HIDDEN_SHARE * served_s:
+        total_s, served_s = now - began_at, now - self._progress_at
+        read_at = self.read_by if self.pace.is_measured else self._progress_at
+        if read_at - began_at <= _SHORT_TRANSFER_SHARE * total_s:
+            # The progress is checked up to 20 ms late. Subtracting the transfer would make fast
+            # endpoints appear faster than they are.
+            return total_s
+        if read_at - self._progress_at > _MAX_READING_SHARE * served_s:
             return None
         return served_s
 
 
 class UploadPaces:
-    """How fast endpoints have read bodies, as far as this instance has seen."""
+    """Read rates of endpoints, as measured by this instance."""
 
     def __init__(self) -> None:
-        """Start without anything known."""
-        self._paces: dict[str, UploadPace] = {}
+        """Start without known rates."""
+        self._rates: dict[str, ReadRate] = {}
 
-    def pace(self, endpoint: str) -> UploadPace:
-        """Give an endpoint's pace.
+    def pace(self, endpoint: str) -> ReadRate:
+        """Return the read rate of an endpoint.
 
-        One that is not known is taken for as slow as the slowest that was measured: often the
-        narrow link is this side's.
+        An unknown endpoint is assumed to be as slow as the slowest measured one: often the
+        bottleneck is the network link of this instance.
         """
-        known = self._paces.get(endpoint)
+        known = self._rates.get(endpoint)
         if known is not None:
             return known
-        measured = (item for item in self._paces.values() if item.is_measured)
+        measured = (item for item in self._rates.values() if item.is_measured)
         slowest = min([UNKNOWN_PACE, *measured])
         return slowest._replace(is_measured=False)
 
     def note_answered(self, endpoint: str, upload: Upload, seconds: float) -> None:
-        """Learn from a body that was answered.
+        """Record the upload of a request that was answered.
 
         Args:
-            endpoint: Who has read it.
-            upload: The body.
-            seconds: From the start of sending until the answer.
+            endpoint: The endpoint that read the body.
+            upload: The upload.
+            seconds: Time from the start of sending until the response.
         """
         if not upload.size or not upload.is_whole or seconds <= 0:
             return
-        pace, kept = upload.pace, upload.size / seconds
-        if kept > pace.bytes_a_second:
-            is_measured = pace.is_measured and kept < _QUICKER * pace.bytes_a_second
-            self._paces[endpoint] = UploadPace(kept, is_measured)
-        elif pace.is_measured:
-            self._paces[endpoint] = pace
+        rate, min_rate = upload.pace, upload.size / seconds
+        if min_rate > rate.bytes_a_second:
+            is_measured = rate.is_measured and min_rate < _DISPROOF_FACTOR * rate.bytes_a_second
+            self._rates[endpoint] = ReadRate(min_rate, is_measured)
+        elif rate.is_measured:
+            self._rates[endpoint] = rate
 
     def forget(self, endpoint: str) -> None:
-        """Forget an endpoint."""
-        self._paces.pop(endpoint, None)
+        """Drop the rate of an endpoint."""
+        self._rates.pop(endpoint, None)
--- a/cleatlink/routing/workload.py
+++ b/cleatlink/routing/workload.py
@@ -1,4 +1,4 @@
-"""Work that is placed on endpoints, by this instance and by its peers."""
+"""Work that this instance and its peers have assigned to endpoints."""
 
 from collections.abc import Callable, Sequence
 
@@ -8,31 +8,34 @@
 __all__ = ["Workload"]
 
 _UNUSED = Usage()
-# What an endpoint's work holds is looked at anew after so many seconds without a change of it.
-_PROFILE_S = 0.02
-# Ends of the same work as a peer tells them twice differ by what messages take.
-_SAME_END_S = 0.5
+# How long the memory profile of an endpoint is cached while its work doesn't change, in seconds.
+_PROFILE_CACHE_S = 0.02
+# Largest difference between two reports of the end of the same work by a peer, in seconds: message
+# delays make the reports differ.
+_MAX_END_DIFFERENCE_S = 0.5
 
 
 class Workload:
-    """Reservations: this instance's own, exact and at once, and those that peers tell."""
+    """Reservations of this instance, which are exact, and those that peers report with a delay."""
 
     def __init__(
         self, on_begin: Callable[[str, str], None], on_end: Callable[[str, str], None]
     ) -> None:
-        """Start without any.
+        """Start without reservations.
 
         Args:
-            on_begin: Told of own work that begins: its endpoint and its key.
-            on_end: Told of own work that is over.
+            on_begin: Called with endpoint and key when work of this instance begins.
+            on_end: Called with endpoint and key when work of this instance ends.
         """
         self._on_begin = on_begin
         self._on_end = on_end
         self._own: dict[str, Reservation] = {}
+        # Reservations by peer and key.
         self._peers: dict[str, dict[str, Reservation]] = {}
         self._usage: dict[tuple[str, Role], Usage] = {}
-        self._placed: dict[tuple[str, Role], list[Reservation]] = {}
+        self._assigned: dict[tuple[str, Role], list[Reservation]] = {}
         self._profiles: dict[str, MemoryProfile] = {}
+        # Number of reservations with a suspicion above 0.
         self._suspects = 0
 
     @property
@@ -41,33 +44,33 @@
         return self._own
 
     def reserve(self, key: str, reservation: Reservation) -> None:
-        """Count work of this instance until it is released."""
+        """Add work of this instance; it counts until it is released."""
         self.release(key)
         self._own[key] = reservation
         self._add(reservation, 1)
         self._on_begin(reservation.endpoint, key)
 
     def release(self, key: str) -> None:
-        """Forget work of this instance; unknown keys are fine."""
+        """Remove work of this instance; unknown keys are ignored."""
         reservation = self._own.pop(key, None)
         if reservation is not None:
             self._add(reservation, -1)
             self._on_end(reservation.endpoint, key)
 
     def peer_reserve(self, peer: str, key: str, reservation: Reservation) -> None:
-        """Count work that a peer tells of."""
+        """Add work that a peer reported."""
         self.peer_release(peer, key)
         self._peers.setdefault(peer, {})[key] = reservation
         self._add(reservation, 1)
 
     def peer_release(self, peer: str, key: str) -> None:
-        """Forget work of a peer."""
+        """Remove work of a peer; unknown keys are ignored."""
         reservation = self._peers.get(peer, {}).pop(key, None)
         if reservation is not None:
             self._add(reservation, -1)
 
     def peer_replace(self, peer: str, reservations: dict[str, Reservation]) -> None:
-        """Take a peer's whole list of work in place of what was known."""
+        """Replace all work of a peer by its complete list."""
         known = self._peers.get(peer, {})
         if not known and not reservations:
             return
@@ -78,20 +81,20 @@
                 self.peer_reserve(peer, key, reservation)
 
     def has_work_of(self, peer: str) -> bool:
-        """Tell whether any work of a peer is counted."""
+        """Check whether a peer has any reservations."""
         return bool(self._peers.get(peer))
 
     def knows(self, peer: str, key: str) -> bool:
-        """Tell whether a peer's work is counted already."""
+        """Check whether a peer has a reservation under a key."""
         return key in self._peers.get(peer, {})
 
     def forget_peer(self, peer: str) -> None:
-        """Forget everything that a peer told."""
+        """Remove all work of a peer."""
         self.peer_replace(peer, {})
         self._peers.pop(peer, None)
 
     def expire_peers(self, now: float, slack_s: float) -> None:
-        """Forget peers' work that took twice the expected time, and ``slack_s`` more."""
+        """Remove peers' work that has exceeded twice its expected duration by ``slack_s``."""
         for peer, reservations in self._peers.items():
             overdue = [
                 key
@@ -102,34 +105,37 @@
                 self.peer_release(peer, key)
 
     def find(self, key: str) -> Reservation | None:
-        """Give the work under a key, this instance's or a peer's."""
+        """Return the work under a key, of this instance or else of a peer."""
         sources = (self._own, *self._peers.values())
         return next((source[key] for source in sources if key in source), None)
 
     def usage(self, name: str, role: Role) -> Usage:
-        """Give the work placed on an endpoint in a role."""
+        """Return the usage of an endpoint in a role: running work and its tokens."""
         return self._usage.get((name, role), _UNUSED)
 
     def placed(self, name: str, role: Role) -> list[Reservation]:
-        """Give the work placed on an endpoint in a role."""
-        return self._placed.get((name, role), [])
+        """Return the work assigned to an endpoint in a role."""
+        return self._assigned.get((name, role), [])
 
     def free_at(self, name: str, role: Role, now: float) -> float:
-        """Give when all work on an endpoint is expected to be over."""
+        """Return when all work of an endpoint in a role is expected to end."""
         return max((work.expected_end(now) for work in self.placed(name, role)), default=now)
 
     def peak_memory(
         self, name: str, work: Sequence[Reservation], now: float, spread: float = 0.0
     ) -> float:
-        """Give the most memory that a decode will hold if it takes some work too."""
+        """Return the peak memory of a decode endpoint if it accepts additional work, in tokens."""
         profile = self._profiles.get(name)
-        if profile is None or not 0 <= now - profile.made_at <= _PROFILE_S:
+        if profile is None or not 0 <= now - profile.made_at <= _PROFILE_CACHE_S:
             profile = MemoryProfile(self.placed(name, Role.DECODE), now)
             self._profiles[name] = profile
         return profile.peak_with(work, now, spread)
 
     def suspicion(self, name: str) -> int:
-        """Give at how many crashes the most suspect request was that an endpoint runs."""
+        """Return the highest suspicion among an endpoint's requests, 0 without work.
+
+        The suspicion of a request is the number of crashes at which it was in progress.
+        """
         if not self._suspects:
             return 0
         work = (item for role in Role for item in self.placed(name, role))
@@ -140,13 +146,13 @@
         if reservation.role is Role.DECODE:
             self._profiles.pop(reservation.endpoint, None)
         key = (reservation.endpoint, reservation.role)
-        placed = self._placed.setdefault(key, [])
+        work = self._assigned.setdefault(key, [])
         if sign > 0:
-            placed.append(reservation)
+            work.append(reservation)
         else:
-            placed.remove(reservation)
-        if not placed:
-            del self._placed[key]
+            work.remove(reservation)
+        if not work:
+            del self._assigned[key]
         usage = self._usage.get(key, _UNUSED)
         changed = Usage(usage.running + sign, usage.tokens + sign * reservation.tokens)
         if changed.running > 0:
@@ -155,14 +161,14 @@
             self._usage.pop(key, None)
 
 
-def _is_same(known: Reservation, told: Reservation) -> bool:
-    """Tell whether a peer repeats work as it is known; its end comes with some delay."""
+def _is_same(known: Reservation, reported: Reservation) -> bool:
+    """Check whether a peer reports known work again; only its end may differ, by a delay."""
     return (
-        abs(known.ends_at - told.ends_at) < _SAME_END_S
-        and known.endpoint == told.endpoint
-        and known.role is told.role
-        and known.tokens == told.tokens
-        and known.duration_s == told.duration_s
-        and known.grows == told.grows
-        and known.suspicion == told.suspicion
+        abs(known.ends_at - reported.ends_at) < _MAX_END_DIFFERENCE_S
+        and known.endpoint == reported.endpoint
+        and known.role is reported.role
+        and known.tokens == reported.tokens
+        and known.duration_s == reported.duration_s
+        and known.grows == reported.grows
+        and known.suspicion == reported.suspicion
     )
