--- a/cleatlink/routing/demand.py
+++ b/cleatlink/routing/demand.py
@@ -100,9 +100,9 @@
             prefill_speed: Mean speed of the prefill engines relative to the service's usual one.
             decode_speed: Mean speed of the decode engines, likewise.
         """
-        return _late_share(self._at(prefill_speed, decode_speed), prefills, decodes)
+        return _late_share(self._at_speeds(prefill_speed, decode_speed), prefills, decodes)
 
-    def _at(self, prefill_speed: float, decode_speed: float) -> "_SpeedDemand":
+    def _at_speeds(self, prefill_speed: float, decode_speed: float) -> "_SpeedDemand":
         """Return the demand on engines of given speeds."""
         prompt_s = self.prompt_s / prefill_speed
         return _SpeedDemand(
--- a/cleatlink/routing/endpoint_pace.py
+++ b/cleatlink/routing/endpoint_pace.py
@@ -1,6 +1,6 @@
 """Speed of each endpoint relative to the usual speed of its service.
 
-In a large fleet one instance measures little of any one endpoint, so instances share their
+In a large fleet, one instance measures little of any one endpoint, so instances share their
 measurements: each sends its own newest samples to its peers, and all use the newest samples of the
 whole fleet. A sample is the logarithm of measured by expected time, and the median of the samples
 counts, so that an unseen queue or a single slow moment has no effect. A few samples of ratio 1.0
@@ -89,7 +89,7 @@
         self._bands = [Estimate(0.0) for _ in range(_LOAD_BANDS)]
 
     def note(self, load: float, token_s: float) -> float | None:
-        """Record a stream segment and return the time that was expected, None if unknown."""
+        """Record the seconds per token of a segment; return the expected value, None if unknown."""
         band = self._bands[min(_LOAD_BANDS - 1, max(0, int(load * _LOAD_BANDS)))]
         expected_s = band.value if band.count >= SETTLED else None
         band.note(token_s)
@@ -97,7 +97,10 @@
 
 
 class EndpointPaces:
-    """Speed samples of endpoints, from this instance and its peers."""
+    """Speed samples of endpoints, from this instance and its peers.
+
+    They are kept by incarnation, so that a restarted endpoint starts without samples.
+    """
 
     def __init__(self) -> None:
         """Start without samples."""
--- a/cleatlink/routing/endpoint_pace_test.py
+++ b/cleatlink/routing/endpoint_pace_test.py
@@ -21,91 +21,91 @@
 def test_samples_of_many_instances_show_a_speed_that_one_sample_does_not() -> None:
     """90 instances each measured an engine of speed 1.7 once; one sample alone is not enough."""
     rng = random.Random(1)
-    paces = EndpointPaces()
-    paces.note("fast", PaceKind.PROMPT, 1 / 1.7, 1.0)
-    assert paces.speed("fast", 1.0) == 1.0
+    speeds = EndpointPaces()
+    speeds.note("fast", PaceKind.PROMPT, 1 / 1.7, 1.0)
+    assert speeds.speed("fast", 1.0) == 1.0
     for number in range(90):
         ratio = math.exp(rng.gauss(0.0, 0.3)) / 1.7
-        paces.take(f"i{number}", "fast", [sample(ratio, 1.0 + number / 100)])
-    assert paces.speed("fast", 3.0) == pytest.approx(1.7, rel=0.2)
+        speeds.take(f"i{number}", "fast", [sample(ratio, 1.0 + number / 100)])
+    assert speeds.speed("fast", 3.0) == pytest.approx(1.7, rel=0.2)
 
 
 def test_few_samples_and_small_deviations_have_no_effect() -> None:
-    paces = EndpointPaces()
+    speeds = EndpointPaces()
     for at in range(2):
-        paces.note("a", PaceKind.TOKENS, 1.4, at)
-    assert paces.speed("a", 2.0) == 1.0
+        speeds.note("a", PaceKind.TOKENS, 1.4, at)
+    assert speeds.speed("a", 2.0) == 1.0
     for at in range(20):
-        paces.note("b", PaceKind.TOKENS, 1.08, at)
-    assert paces.speed("b", 20.0) == 1.0
-    assert paces.speed("has no samples", 20.0) == 1.0
+        speeds.note("b", PaceKind.TOKENS, 1.08, at)
+    assert speeds.speed("b", 20.0) == 1.0
+    assert speeds.speed("has no samples", 20.0) == 1.0
 
 
 def test_degraded_endpoint_is_detected_within_five_calls_and_so_is_its_recovery() -> None:
     """A median over some seconds alone would rate an engine as fast long after it hangs."""
-    paces = EndpointPaces()
+    speeds = EndpointPaces()
     for at in range(30):
-        paces.note("a", PaceKind.TOKENS, 1.0, at)
+        speeds.note("a", PaceKind.TOKENS, 1.0, at)
     for at in range(30, 35):
-        assert paces.speed("a", at) == 1.0
-        paces.note("a", PaceKind.TOKENS, 5.0, at)
-    assert paces.speed("a", 36.0) == pytest.approx(0.2, rel=0.05)
+        assert speeds.speed("a", at) == 1.0
+        speeds.note("a", PaceKind.TOKENS, 5.0, at)
+    assert speeds.speed("a", 36.0) == pytest.approx(0.2, rel=0.05)
     for at in range(36, 41):
-        paces.note("a", PaceKind.TOKENS, 1.0, at)
-    assert paces.speed("a", 42.0) == 1.0
+        speeds.note("a", PaceKind.TOKENS, 1.0, at)
+    assert speeds.speed("a", 42.0) == 1.0
 
 
 def test_samples_relative_to_an_early_prior_are_dropped_once_there_are_fresh_ones() -> None:
     """A prior of twice the real service time made engines appear fast for a minute."""
-    paces = EndpointPaces()
+    speeds = EndpointPaces()
     for number in range(20):
-        paces.note("a", PaceKind.PROMPT, 0.5, number / 10)
-    assert paces.speed("a", 3.0) > 1.5
+        speeds.note("a", PaceKind.PROMPT, 0.5, number / 10)
+    assert speeds.speed("a", 3.0) > 1.5
     for number in range(8):
-        paces.note("a", PaceKind.PROMPT, 1.0, 16.0 + number / 10)
-    assert paces.speed("a", 18.0) == 1.0
+        speeds.note("a", PaceKind.PROMPT, 1.0, 16.0 + number / 10)
+    assert speeds.speed("a", 18.0) == 1.0
 
 
 def test_occasional_unseen_queueing_does_not_change_the_speed() -> None:
-    paces = EndpointPaces()
+    speeds = EndpointPaces()
     for at in range(12):
-        paces.note("a", PaceKind.PROMPT, 6.0 if at % 4 == 0 else 1.0, at)
-    assert paces.speed("a", 12.0) == 1.0
+        speeds.note("a", PaceKind.PROMPT, 6.0 if at % 4 == 0 else 1.0, at)
+    assert speeds.speed("a", 12.0) == 1.0
 
 
 def test_old_samples_and_samples_of_an_earlier_incarnation_do_not_count() -> None:
     capacity = Capacity()
     first = RoutedEndpoint("e#1", "127.0.0.1:1", "a", "s", Role.DECODE, 8)
     capacity.set_endpoint(first)
-    paces = capacity.endpoint_paces
+    speeds = capacity.endpoint_paces
     for peer in range(8):
-        paces.take(f"i{peer}", "e#1", [sample(2.0, 1.0)])
+        speeds.take(f"i{peer}", "e#1", [sample(2.0, 1.0)])
     assert capacity.speed("e#1", 2.0) == pytest.approx(0.5)
     assert capacity.speed("e#1", 90.0) == 1.0
     capacity.remove_endpoint("e#1")
-    assert paces.speed("e#1", 2.0) == 1.0
+    assert speeds.speed("e#1", 2.0) == 1.0
 
 
 def test_samples_received_twice_count_once() -> None:
     once, often = EndpointPaces(), EndpointPaces()
-    for times, paces in ((1, once), (9, often)):
+    for times, speeds in ((1, once), (9, often)):
         for _ in range(times):
-            paces.take("i1", "a", [sample(3.0, 1.0), sample(3.0, 2.0)])
+            speeds.take("i1", "a", [sample(3.0, 1.0), sample(3.0, 2.0)])
     assert often.count("a") == once.count("a") == 2
     assert often.speed("a", 3.0) == once.speed("a", 3.0) == 1.0
 
 
 def test_token_times_are_compared_at_a_similar_load() -> None:
     """Under a burst, tokens take longer on every engine; this must not count as a slow engine."""
-    paces = EndpointPaces()
+    speeds = EndpointPaces()
     for number in range(40):
-        paces.note_tokens("a", "s", 0.002, 0.1, float(number))
-        paces.note_tokens("b", "s", 0.006, 0.9, float(number))
-    assert paces.speed("a", 40.0) == paces.speed("b", 40.0) == 1.0
+        speeds.note_tokens("a", "s", 0.002, 0.1, float(number))
+        speeds.note_tokens("b", "s", 0.006, 0.9, float(number))
+    assert speeds.speed("a", 40.0) == speeds.speed("b", 40.0) == 1.0
     for number in range(40, 60):
-        paces.note_tokens("a", "s", 0.002, 0.1, float(number))
-        paces.note_tokens("b", "s", 0.006, 0.1, float(number))
-    assert paces.speed("b", 60.0) < 0.7
+        speeds.note_tokens("a", "s", 0.002, 0.1, float(number))
+        speeds.note_tokens("b", "s", 0.006, 0.1, float(number))
+    assert speeds.speed("b", 60.0) < 0.7
 
 
 def test_all_endpoints_have_the_usual_speed_while_the_mechanism_is_switched_off() -> None:
@@ -123,19 +123,19 @@
 def test_speed_and_sample_count_stay_bounded_for_any_samples_of_peers(
     messages: list[tuple[int, list[PaceSample]]], rng: random.Random
 ) -> None:
-    paces = EndpointPaces()
+    speeds = EndpointPaces()
     for peer, samples in messages:
         for _ in range(rng.randint(1, 2)):
-            paces.take(f"i{peer}", "a", samples)
-    assert 1 / 8 < paces.speed("a", 50.0) < 8
-    assert paces.count("a") <= 32
+            speeds.take(f"i{peer}", "a", samples)
+    assert 1 / 8 < speeds.speed("a", 50.0) < 8
+    assert speeds.count("a") <= 32
 
 
 def test_unusable_measurements_are_ignored() -> None:
-    paces = EndpointPaces()
+    speeds = EndpointPaces()
     for ratio in (0.0, -1.0, math.inf, math.nan):
-        paces.note("a", PaceKind.PLAIN, ratio, 1.0)
-        paces.note_tokens("a", "s", ratio, 0.5, 1.0)
-    paces.take("i1", "a", [PaceSample(1.0, PaceKind.PROMPT, math.nan)])
-    assert paces.count("a") == 0
-    assert paces.own("a", 1.0) == []
+        speeds.note("a", PaceKind.PLAIN, ratio, 1.0)
+        speeds.note_tokens("a", "s", ratio, 0.5, 1.0)
+    speeds.take("i1", "a", [PaceSample(1.0, PaceKind.PROMPT, math.nan)])
+    assert speeds.count("a") == 0
+    assert speeds.own("a", 1.0) == []
--- a/cleatlink/routing/forecast.py
+++ b/cleatlink/routing/forecast.py
@@ -51,6 +51,17 @@
         pause_s: float,
         speed: float,
     ) -> None:
+        """Start with the present state of the endpoint.
+
+        Args:
+            tokens: Free memory, in tokens.
+            slots: Free slots.
+            ends: Expected end of each running stream, and the tokens that it frees.
+            prompts_until: When the endpoint will have computed the prompts assigned to it.
+            full_until: Time before which it gets no new streams.
+            pause_s: Seconds between two calls under its rate limit; 0 without a limit.
+            speed: Speed relative to its service's usual one.
+        """
         self._speed = speed
         self._pause_s = pause_s
         self._prompts_until = prompts_until
--- a/cleatlink/routing/pace.py
+++ b/cleatlink/routing/pace.py
@@ -83,10 +83,10 @@
         learning_rate = LEARN_SHARE if self._switches.uses(Mechanism.LEARNED_PACE) else 0.0
         self._token_s = Estimate(_PRIOR_TOKEN_S, learning_rate)
         self._prompt_s = PromptTime(_PRIOR_PROMPT_TOKEN_S, learning_rate)
-        self._start_s = Estimate(_PRIOR_START_S, learning_rate)
+        self._first_event_s = Estimate(_PRIOR_START_S, learning_rate)
         self._length_ratio = Estimate(1.0, learning_rate)
         self._length_variance = Estimate(_PRIOR_LENGTH_SPREAD**2, learning_rate)
-        self._plain_s = Estimate(0.0, learning_rate=0.2)
+        self._plain_call_s = Estimate(0.0, learning_rate=0.2)
         # Seconds per token of recent stream segments.
         self._segments_s: deque[float] = deque(maxlen=_RECENT_SEGMENTS)
         # When the adopted summary of a peer was measured.
@@ -121,7 +121,7 @@
     @property
     def start_s(self) -> float:
         """Seconds from the hand-over to a decode endpoint until its first event."""
-        return self._start_s.value
+        return self._first_event_s.value
 
     @property
     def length_ratio(self) -> float:
@@ -138,7 +138,7 @@
     @property
     def plain_s(self) -> float:
         """Mean duration of recent plain calls in seconds; 0 before the first call."""
-        return self._plain_s.value
+        return self._plain_call_s.value
 
     def summary(self, now: float) -> tuple[PaceSummary, float] | None:
         """Return the summary for peers and its age in seconds.
@@ -153,7 +153,7 @@
             self._token_s.value,
             base_s,
             token_s,
-            self._start_s.value,
+            self._first_event_s.value,
             self._length_ratio.value,
             self._length_variance.value,
         )
@@ -173,7 +173,7 @@
         self._peer_measured_at = measured_at
         self._token_s.adopt(summary.token_s)
         self._prompt_s.adopt(summary.prompt_base_s, summary.prompt_token_s)
-        self._start_s.adopt(summary.start_s)
+        self._first_event_s.adopt(summary.start_s)
         self._length_ratio.adopt(summary.length_ratio)
         self._length_variance.adopt(summary.length_variance)
 
@@ -188,11 +188,11 @@
         if math.isfinite(event_gap_s):
             self._token_s.expect(_PRIOR_EVENT_GAP_SHARE * event_gap_s / max(1, event_tokens))
         if math.isfinite(target_s):
-            self._start_s.expect(_PRIOR_START_SHARE * target_s)
+            self._first_event_s.expect(_PRIOR_START_SHARE * target_s)
 
-    def stream_s(self, output: int) -> float:
-        """Estimate how long a stream of so many output tokens occupies a decode slot."""
-        return self.start_s + self.token_s * output
+    def stream_s(self, output_tokens: int) -> float:
+        """Estimate how long a stream occupies a decode slot."""
+        return self.start_s + self.token_s * output_tokens
 
     def bearable_s(self, limit_s: float, prompt_s: float) -> float:
         """Return the time limit for the start of a stream, extended if the engines are too slow.
@@ -231,7 +231,7 @@
 
     def note_start(self, seconds: float) -> None:
         """Record the time to the first event of a stream whose prompt was computed elsewhere."""
-        self._start_s.note(seconds)
+        self._first_event_s.note(seconds)
 
     def note_length(self, estimated: int, tokens: int) -> None:
         """Record the output length of a complete stream.
@@ -268,4 +268,4 @@
 
     def note_plain(self, seconds: float) -> None:
         """Record the duration of a plain call that was answered or abandoned."""
-        self._plain_s.note(seconds)
+        self._plain_call_s.note(seconds)
--- a/cleatlink/routing/pace_test.py
+++ b/cleatlink/routing/pace_test.py
@@ -14,107 +14,107 @@
 
 @given(st.floats(0.0002, 0.02), st.integers(1, 64))
 def test_token_time_is_known_after_one_segment(token_s: float, event_tokens: int) -> None:
-    pace = ServicePace()
-    pace.expect(0.9, 0.3, event_tokens)
-    pace.note_tokens(90, 90 * token_s)
-    assert pace.token_s == pytest.approx(token_s)
-    assert pace.stream_s(500) == pytest.approx(pace.start_s + 500 * token_s)
+    times = ServicePace()
+    times.expect(0.9, 0.3, event_tokens)
+    times.note_tokens(90, 90 * token_s)
+    assert times.token_s == pytest.approx(token_s)
+    assert times.stream_s(500) == pytest.approx(times.start_s + 500 * token_s)
 
 
 @given(st.floats(5, 60), st.integers(50, 30_000))
 def test_prompt_time_is_known_after_one_prefill(tokens_ms: float, tokens: int) -> None:
-    pace = ServicePace()
+    times = ServicePace()
     taken_s = tokens / tokens_ms / 1000
-    pace.note_prompt(tokens, 0.0, taken_s)
-    assert pace.prompt_s(tokens) == pytest.approx(taken_s)
+    times.note_prompt(tokens, 0.0, taken_s)
+    assert times.prompt_s(tokens) == pytest.approx(taken_s)
 
 
 @given(st.floats(0.005, 0.2), st.floats(5, 60))
 def test_base_time_of_a_prompt_is_separated_from_the_time_per_token(
     base_s: float, tokens_ms: float
 ) -> None:
-    pace, rng = ServicePace(), random.Random(1)
+    times, rng = ServicePace(), random.Random(1)
     for _ in range(40):
         tokens = rng.randrange(300, 6000)
-        pace.note_prompt(tokens, 0.0, base_s + tokens / tokens_ms / 1000)
+        times.note_prompt(tokens, 0.0, base_s + tokens / tokens_ms / 1000)
     for tokens in (500, 2000, 8000):
         expected_s = base_s + tokens / tokens_ms / 1000
-        assert pace.prompt_s(tokens) == pytest.approx(expected_s, rel=0.05)
+        assert times.prompt_s(tokens) == pytest.approx(expected_s, rel=0.05)
 
 
 def test_unseen_queueing_does_not_raise_the_prompt_time() -> None:
-    pace, rng = ServicePace(), random.Random(1)
+    times, rng = ServicePace(), random.Random(1)
     for _ in range(200):
         # Half of the prompts were queued behind prompts that this instance did not know of.
         waited_s = rng.choice((0.0, rng.uniform(0.1, 1.0)))
-        pace.note_prompt(3000, 0.0, 0.1 + waited_s)
-    assert 0.09 < pace.prompt_s(3000) < 0.2
+        times.note_prompt(3000, 0.0, 0.1 + waited_s)
+    assert 0.09 < times.prompt_s(3000) < 0.2
 
 
 def test_overestimated_queues_do_not_lower_the_prompt_time() -> None:
-    pace, rng = ServicePace(), random.Random(1)
+    times, rng = ServicePace(), random.Random(1)
     for _ in range(4):
-        pace.note_prompt(1500, 0.0, 0.3)
+        times.note_prompt(1500, 0.0, 0.3)
     for _ in range(300):
         queue_s = rng.choice((0.0, 0.4))
         # Half of the estimated queue had been computed already.
-        pace.note_prompt(1500, queue_s, 0.3 + queue_s / 2)
-    assert pace.prompt_s(1500) == pytest.approx(0.3, rel=0.02)
+        times.note_prompt(1500, queue_s, 0.3 + queue_s / 2)
+    assert times.prompt_s(1500) == pytest.approx(0.3, rel=0.02)
 
 
 def test_prompt_time_follows_a_permanent_slowdown() -> None:
-    pace = ServicePace()
+    times = ServicePace()
     for _ in range(10):
-        pace.note_prompt(3000, 0.0, 0.1)
+        times.note_prompt(3000, 0.0, 0.1)
     for _ in range(100):
-        pace.note_prompt(3000, 0.0, 0.3)
-    assert pace.prompt_s(3000) == pytest.approx(0.3, rel=0.1)
+        times.note_prompt(3000, 0.0, 0.3)
+    assert times.prompt_s(3000) == pytest.approx(0.3, rel=0.1)
 
 
 def test_token_time_follows_engines_that_change() -> None:
-    pace = ServicePace()
+    times = ServicePace()
     for _ in range(20):
-        pace.note_tokens(100, 0.5)
+        times.note_tokens(100, 0.5)
     for _ in range(40):
-        pace.note_tokens(100, 1.0)
-    assert pace.token_s == pytest.approx(0.01, rel=0.05)
+        times.note_tokens(100, 1.0)
+    assert times.token_s == pytest.approx(0.01, rel=0.05)
 
 
 def test_one_outlier_does_not_distort_the_token_time() -> None:
-    pace = ServicePace()
+    times = ServicePace()
     for _ in range(20):
-        pace.note_tokens(100, 0.5)
-    pace.note_tokens(100, 500.0)
-    assert pace.token_s < 0.0065
+        times.note_tokens(100, 0.5)
+    times.note_tokens(100, 500.0)
+    assert times.token_s < 0.0065
 
 
 def test_measurements_replace_the_prior_and_a_new_prior_does_not_replace_them() -> None:
-    pace = ServicePace()
-    pace.expect(1.0, 0.5, 10)
-    assert pace.token_s == pytest.approx(0.01)
-    assert pace.start_s == pytest.approx(0.2)
-    pace.note_tokens(10, 0.02)
-    pace.note_start(0.05)
-    pace.expect(1.0, 0.5, 10)
-    assert pace.token_s == pytest.approx(0.002)
-    assert pace.start_s == pytest.approx(0.05)
+    times = ServicePace()
+    times.expect(1.0, 0.5, 10)
+    assert times.token_s == pytest.approx(0.01)
+    assert times.start_s == pytest.approx(0.2)
+    times.note_tokens(10, 0.02)
+    times.note_start(0.05)
+    times.expect(1.0, 0.5, 10)
+    assert times.token_s == pytest.approx(0.002)
+    assert times.start_s == pytest.approx(0.05)
 
 
 def test_output_lengths_are_corrected_by_the_bias_of_callers_estimates() -> None:
-    pace = ServicePace()
+    times = ServicePace()
     rng = random.Random(1)
     for _ in range(400):
-        pace.note_length(1000, int(1500 * rng.lognormvariate(0, 0.3)))
-    assert pace.length_ratio == pytest.approx(1.55, rel=0.15)
-    assert pace.length_spread == pytest.approx(0.3, rel=0.35)
+        times.note_length(1000, int(1500 * rng.lognormvariate(0, 0.3)))
+    assert times.length_ratio == pytest.approx(1.55, rel=0.15)
+    assert times.length_spread == pytest.approx(0.3, rel=0.35)
 
 
 def test_exact_length_estimates_leave_no_spread() -> None:
-    pace = ServicePace()
+    times = ServicePace()
     for _ in range(100):
-        pace.note_length(1000, 1000)
-    assert pace.length_ratio == pytest.approx(1.0)
-    assert pace.length_spread < 0.1
+        times.note_length(1000, 1000)
+    assert times.length_ratio == pytest.approx(1.0)
+    assert times.length_spread < 0.1
 
 
 @given(st.lists(st.floats(allow_nan=True, allow_infinity=True), max_size=30))
@@ -125,18 +125,18 @@
     assert 0 < estimate.value < float("inf")
 
 
-def measured_pace() -> ServicePace:
-    pace = ServicePace()
+def measured_times() -> ServicePace:
+    times = ServicePace()
     for number in range(8):
-        pace.note_tokens(100, 0.5)
-        pace.note_prompt(1000 + 300 * number, 0.0, 0.04 + (1000 + 300 * number) / 20_000)
-        pace.note_start(0.06)
-        pace.note_length(100, 80)
-    return pace
+        times.note_tokens(100, 0.5)
+        times.note_prompt(1000 + 300 * number, 0.0, 0.04 + (1000 + 300 * number) / 20_000)
+        times.note_start(0.06)
+        times.note_length(100, 80)
+    return times
 
 
 def test_instance_without_measurements_adopts_a_peers_summary() -> None:
-    peer_summary = measured_pace().summary(10.0)
+    peer_summary = measured_times().summary(10.0)
     assert peer_summary is not None
     fresh = ServicePace()
     assert not fresh.is_known
@@ -155,10 +155,10 @@
 
 
 def test_own_and_newer_measurements_take_precedence_over_a_peers_summary() -> None:
-    pace = measured_pace()
+    times = measured_times()
     slow = PaceSummary(0.5, 1.0, 0.01, 2.0, 3.0, 1.0)
-    pace.adopt(slow, 0.0, 100.0)
-    assert pace.token_s == pytest.approx(0.005)
+    times.adopt(slow, 0.0, 100.0)
+    assert times.token_s == pytest.approx(0.005)
     fresh = ServicePace()
     fresh.adopt(slow, 5.0, 100.0)
     fresh.adopt(slow._replace(token_s=0.2), 20.0, 100.0)
@@ -171,25 +171,25 @@
 
 
 def test_no_summary_is_adopted_while_learning_is_switched_off() -> None:
-    pace = ServicePace(Switches({Mechanism.LEARNED_PACE}))
-    before = pace.token_s, pace.prompt_s(1000)
-    pace.adopt(PaceSummary(0.5, 1.0, 0.01, 2.0, 3.0, 1.0), 0.0, 100.0)
-    assert (pace.token_s, pace.prompt_s(1000)) == before
+    times = ServicePace(Switches({Mechanism.LEARNED_PACE}))
+    before = times.token_s, times.prompt_s(1000)
+    times.adopt(PaceSummary(0.5, 1.0, 0.01, 2.0, 3.0, 1.0), 0.0, 100.0)
+    assert (times.token_s, times.prompt_s(1000)) == before
 
 
 def test_slow_token_time_follows_the_slowest_tenth_of_recent_segments() -> None:
-    pace = ServicePace()
-    assert pace.slow_token_s == math.inf
+    times = ServicePace()
+    assert times.slow_token_s == math.inf
     for _ in range(15):
-        pace.note_tokens(10, 0.01)
+        times.note_tokens(10, 0.01)
     # A few fast segments don't show how slow engines can be.
-    assert pace.slow_token_s == math.inf
+    assert times.slow_token_s == math.inf
     for number in range(60):
-        pace.note_tokens(10, 0.04 if number % 5 == 0 else 0.01)
-    assert pace.slow_token_s == pytest.approx(0.004)
+        times.note_tokens(10, 0.04 if number % 5 == 0 else 0.01)
+    assert times.slow_token_s == pytest.approx(0.004)
     for _ in range(64):
-        pace.note_tokens(10, 0.01)
-    assert pace.slow_token_s == pytest.approx(0.001)
+        times.note_tokens(10, 0.01)
+    assert times.slow_token_s == pytest.approx(0.001)
 
 
 def test_slow_token_time_is_known_after_a_peers_summary() -> None:
--- a/cleatlink/routing/returns_test.py
+++ b/cleatlink/routing/returns_test.py
@@ -11,14 +11,14 @@
 
 
 def test_retry_is_recognised_by_its_content() -> None:
-    returns = Returns(Capacity())
-    returns.expect(inbound(), "s", 500, retry_at=3.0, now=1.0)
-    assert returns.take(inbound(b"another prompt"), 3.0) is None
-    retry = returns.take(inbound(request_id="its next try"), 3.01)
+    retries = Returns(Capacity())
+    retries.expect(inbound(), "s", 500, retry_at=3.0, now=1.0)
+    assert retries.take(inbound(b"another prompt"), 3.0) is None
+    retry = retries.take(inbound(request_id="its next try"), 3.01)
     assert retry is not None
     assert (retry.refused_at, retry.retry_at, retry.tokens) == (1.0, 3.0, 500)
     # Only the first retry is recognised; a further one is handled like a new request.
-    assert returns.take(inbound(), 3.1) is None
+    assert retries.take(inbound(), 3.1) is None
 
 
 def test_peers_recognise_a_retry() -> None:
@@ -29,25 +29,25 @@
 
 
 def test_retry_is_recognised_from_the_refusal_until_shortly_after_the_retry_time() -> None:
-    returns = Returns(Capacity())
+    retries = Returns(Capacity())
     for number, retry_at in enumerate((3.0, 2.5, 2.5)):
-        returns.expect(inbound(b"%d" % number), "s", 500 + number, retry_at=retry_at, now=1.0)
-    early = returns.take(inbound(b"0"), 1.1)
+        retries.expect(inbound(b"%d" % number), "s", 500 + number, retry_at=retry_at, now=1.0)
+    early = retries.take(inbound(b"0"), 1.1)
     assert early is not None
     assert (early.tokens, early.retry_at) == (500, 3.0)
-    in_time = returns.take(inbound(b"1"), 2.99)
+    in_time = retries.take(inbound(b"1"), 2.99)
     assert in_time is not None
     assert (in_time.tokens, in_time.retry_at) == (501, 2.5)
     # An expired one does not match, although it was not released yet.
-    assert returns.take(inbound(b"2"), 3.01) is None
+    assert retries.take(inbound(b"2"), 3.01) is None
 
 
 def test_expected_retry_that_does_not_arrive_is_released() -> None:
     capacity = Capacity()
-    returns = Returns(capacity)
-    key = returns.expect(inbound(), "s", 500, retry_at=3.0, now=1.0)
-    assert returns.forget(3.0) == []
-    assert returns.forget(3.6) == [key]
+    retries = Returns(capacity)
+    key = retries.expect(inbound(), "s", 500, retry_at=3.0, now=1.0)
+    assert retries.forget(3.0) == []
+    assert retries.forget(3.6) == [key]
     assert capacity.own == {}
 
 
--- a/cleatlink/routing/uploads.py
+++ b/cleatlink/routing/uploads.py
@@ -136,7 +136,7 @@
             self._measure()
 
     def _measure(self) -> None:
-        """Measure the read rate by the bytes accepted beyond a full buffer: so many were read.
+        """Measure the read rate by the bytes accepted beyond a full buffer, which have been read.
 
         The last acknowledged step may be smaller than the bytes read for it, so the largest rate
         counts.
--- a/cleatlink/routing/workload.py
+++ b/cleatlink/routing/workload.py
@@ -7,7 +7,7 @@
 
 __all__ = ["Workload"]
 
-_UNUSED = Usage()
+_NO_USAGE = Usage()
 # How long the memory profile of an endpoint is cached while its work doesn't change, in seconds.
 _PROFILE_CACHE_S = 0.02
 # Largest difference between two reports of the end of the same work by a peer, in seconds: message
@@ -111,7 +111,7 @@
 
     def usage(self, name: str, role: Role) -> Usage:
         """Return the usage of an endpoint in a role: running work and its tokens."""
-        return self._usage.get((name, role), _UNUSED)
+        return self._usage.get((name, role), _NO_USAGE)
 
     def placed(self, name: str, role: Role) -> list[Reservation]:
         """Return the work assigned to an endpoint in a role."""
@@ -153,7 +153,7 @@
             work.remove(reservation)
         if not work:
             del self._assigned[key]
-        usage = self._usage.get(key, _UNUSED)
+        usage = self._usage.get(key, _NO_USAGE)
         changed = Usage(usage.running + sign, usage.tokens + sign * reservation.tokens)
         if changed.running > 0:
             self._usage[key] = changed
