--- a/cleatlink/routing/notices.py
+++ b/cleatlink/routing/notices.py
@@ -1,9 +1,9 @@
 """Notices of endpoints about themselves: that they are leaving, or request a back-off.
 
 An endpoint that is leaving accepts no new work until its incarnation ends. A back-off is a time for
-which an endpoint wants no new calls. All notices are kept by incarnation, with their source and
-time. They are independent of the endpoint's registration: a registration that expires and is
-renewed does not change them.
+which an endpoint wants no new calls. All notices are kept by incarnation, leaving notices with
+their source and time. They are independent of the endpoint's registration: a registration that
+expires and is renewed does not change them.
 """
 
 from enum import StrEnum
--- a/cleatlink/routing/uploads.py
+++ b/cleatlink/routing/uploads.py
@@ -9,7 +9,7 @@
 
 from typing import NamedTuple
 
-__all__ = ["UNKNOWN_PACE", "TakenBytes", "Upload", "ReadRate", "UploadPaces"]
+__all__ = ["UNKNOWN_PACE", "ReadRate", "TakenBytes", "Upload", "UploadPaces"]
 
 # Usual size of a receive buffer: bytes that an endpoint's kernel accepts before the endpoint reads.
 _BUFFER_BYTES = 131_072
