--- a/cleatlink/relay/calls/__init__.py
+++ b/cleatlink/relay/calls/__init__.py
@@ -1,1 +1,1 @@
-"""Drivers of calls: plain ones and streams, and the room, prompts and holds that they need."""
+"""Execution of calls: plain calls and streams with their prefill, reservations and queues."""
--- a/cleatlink/relay/calls/plain.py
+++ b/cleatlink/relay/calls/plain.py
@@ -1,4 +1,4 @@
-"""Drives one plain call: to an endpoint and back, again where that is allowed."""
+"""Runs one plain call: sends it to an endpoint, and retries it where the route allows that."""
 
 import math
 
@@ -28,51 +28,52 @@
 
 __all__ = ["PlainCall"]
 
-# Far above the largest answer of a plain service.
-_MOST_BODY_BYTES = 16_777_216
-# Endpoints that could not be reached cost nothing but time; so many are tried.
-_MOST_UNREACHABLE = 4
-# Connections across data centres and a lost packet take so long.
-_MIN_PATIENCE_S = 0.15
-# A safe call leaves an endpoint that is silent for so many times what calls usually take:
-# sent again sooner, it would only add to a queue.
-_USUAL_FACTOR = 3.0
-# A place for the work to stand in until it is over; nothing is decided by it.
-_EXPECTED_S = 0.1
-# Time in which an endpoint that was full frees some places.
+# Well above the largest answer of a plain service.
+_MAX_BODY_BYTES = 16_777_216
+# Unreachable endpoints after which a call gives up; trying one costs nothing but time.
+_MAX_UNREACHABLE = 4
+# Time for a connection to another data centre on which a packet is lost, in seconds.
+_MIN_SILENCE_TIMEOUT_S = 0.15
+# A safe call is retried elsewhere if its endpoint is silent for this many times the usual duration
+# of a call. An earlier retry would only lengthen the queues.
+_SILENCE_TIMEOUT_FACTOR = 3.0
+# Provisional duration of the call's reservation, in seconds. The reservation is released when the
+# call ends, and no decision depends on this value.
+_RESERVATION_S = 0.1
+# Time within which a full endpoint frees some slots, in seconds.
 _RETRY_AFTER_S = 0.5
-# Endpoints in one line: a service may have hundreds.
-_MOST_LOGGED = 8
+# Endpoints listed in one log line: a service may have hundreds.
+_MAX_LOGGED_ENDPOINTS = 8
 
 
 class PlainCall:
-    """One plain call on its way."""
+    """One plain call and its attempts at endpoints."""
 
     def __init__(self, call: Call, gate: PlainGate, parts: RelayParts) -> None:
         self._call = call
         self._gate = gate
         self._parts = parts
-        self._failed: Reply | None = None
-        self._next: RoutedEndpoint | None = None
-        # When the endpoint that is asked now sent its last byte, or else was asked.
-        self._heard_at = -math.inf
-        # The body on its way to it.
+        self._error_answer: Reply | None = None
+        self._next_endpoint: RoutedEndpoint | None = None
+        # When the current endpoint last sent a byte, or was sent the call if it sent none.
+        self._received_at = -math.inf
+        # Transfer of the request body to the current endpoint.
         self._upload = Upload(UNKNOWN_PACE)
 
     async def run(self) -> Reply | Refusal:
-        """Run the call until there is an answer or no way to get one."""
+        """Send the call to endpoints until one answers or no further attempt is possible."""
         call = self._call
-        unreachable = 0
+        unreachable_count = 0
         while True:
-            barred = call.bar()
-            if barred is not None:
-                return barred
-            endpoint, self._next = self._next, None
+            call_refusal = call.bar()
+            if call_refusal is not None:
+                return call_refusal
+            endpoint, self._next_endpoint = self._next_endpoint, None
             if endpoint is None:
-                refusal = await self._gate.enter(call)
-                if refusal is not None:
-                    return self._refuse(refusal)
-                endpoint = self._place()
+                gate_refusal = await self._gate.enter(call)
+                if gate_refusal is not None:
+                    return self._final_answer(gate_refusal)
+                endpoint = self._select_endpoint()
                 if endpoint is None or not call.may_send(endpoint):
                     return self._give_up("no endpoint may be tried")
                 if call.sends and not call.spend("plain"):
@@ -81,8 +82,8 @@
                 answer = await self._send(endpoint)
             except EndpointUnreachableError as error:
                 call.note_failure(endpoint, error)
-                unreachable += 1
-                if unreachable >= _MOST_UNREACHABLE:
+                unreachable_count += 1
+                if unreachable_count >= _MAX_UNREACHABLE:
                     return self._give_up("no endpoint could be reached")
                 continue
             except (OutcomeUnknownError, StreamBrokenError, EndpointSilentError) as error:
@@ -94,21 +95,26 @@
             if answer is not None:
                 return answer
 
-    def _place(self) -> RoutedEndpoint | None:
-        """Give an endpoint for the call: one that takes it now, or soon enough to be in time.
+    def _select_endpoint(self) -> RoutedEndpoint | None:
+        """Select an endpoint that can serve the call now, or soon enough to meet the target.
 
-        One that waits for longer would only keep those behind it from being in time.
+        A call that waits for longer misses its target, and makes the calls queued behind it miss
+        theirs.
         """
         call, capacity = self._call, self._parts.capacity
         service = call.service.name
         endpoint = place_plain(service, capacity, call.seeker())
         if endpoint is not None:
             return endpoint
-        spare_s = call.route.target_s - call.age_s - capacity.pace(service).plain_s
-        return place_plain_later(service, capacity, call.seeker(), min(spare_s, call.left_s))
+        max_wait_s = call.route.target_s - call.age_s - capacity.pace(service).plain_s
+        return place_plain_later(service, capacity, call.seeker(), min(max_wait_s, call.left_s))
 
-    async def _wait_for_turn(self, endpoint: RoutedEndpoint, key: str) -> bool:
-        """Wait until an endpoint's limit allows the call; tells whether it still takes work."""
+    async def _wait_for_rate_limit(self, endpoint: RoutedEndpoint, key: str) -> bool:
+        """Wait until an endpoint's rate limit allows the call.
+
+        Returns:
+            Whether the endpoint still accepts calls after the wait.
+        """
         call, capacity = self._call, self._parts.capacity
         now = trio.current_time()
         due_at = capacity.limits.book(key, endpoint.name, now)
@@ -123,25 +129,25 @@
         """Send the call to one endpoint.
 
         Returns:
-            Its answer, or None if another endpoint is to be tried.
+            The answer; None if another endpoint is to be tried.
         """
         call, parts = self._call, self._parts
         key = f"{call.inbound.request_id}/{call.sends}"
-        ends_at = trio.current_time() + _EXPECTED_S
-        work = Reservation(endpoint.name, Role.PLAIN, 0, ends_at, suspicion=call.suspicion)
-        parts.capacity.reserve(key, work)
-        load, outcome = parts.capacity.plain, CallEnd.LOST
-        began_at = None
+        ends_at = trio.current_time() + _RESERVATION_S
+        reservation = Reservation(endpoint.name, Role.PLAIN, 0, ends_at, suspicion=call.suspicion)
+        parts.capacity.reserve(key, reservation)
+        plain_load, outcome = parts.capacity.plain, CallEnd.LOST
+        started_at = None
         try:
-            if not await self._wait_for_turn(endpoint, key):
+            if not await self._wait_for_rate_limit(endpoint, key):
                 return None
-            began_at = trio.current_time()
-            self._heard_at = began_at
+            started_at = trio.current_time()
+            self._received_at = started_at
             self._upload = call.upload_to(endpoint)
-            load.begin(endpoint.name, began_at)
+            plain_load.begin(endpoint.name, started_at)
             answer = await run_watched(
                 lambda: self._exchange(endpoint),
-                lambda leave: self._leave_when_silent(endpoint, leave),
+                lambda scope: self._cancel_when_silent(endpoint, scope),
             )
             if answer is not None:
                 not_run = parts.protocol.not_run(answer.head)
@@ -149,113 +155,128 @@
         finally:
             parts.capacity.release(key)
             parts.capacity.limits.give_up(key, trio.current_time())
-            if began_at is not None:
-                load.end(endpoint.name, outcome, trio.current_time())
+            if started_at is not None:
+                plain_load.end(endpoint.name, outcome, trio.current_time())
         if answer is None:
-            self._note_taken(endpoint, began_at)
-            raise EndpointSilentError("another endpoint is asked")
+            self._record_duration(endpoint, started_at)
+            raise EndpointSilentError("the endpoint was silent for too long")
         if outcome is CallEnd.RAN:
-            call.note_read(endpoint, self._upload, trio.current_time() - began_at)
-            self._note_taken(endpoint, began_at)
-        return self._judge(endpoint, answer)
+            call.note_read(endpoint, self._upload, trio.current_time() - started_at)
+            self._record_duration(endpoint, started_at)
+        return self._check_answer(endpoint, answer)
 
-    def _note_taken(self, endpoint: RoutedEndpoint, began_at: float) -> None:
-        """Learn how long the endpoint, and its service, take for a call that they have.
+    def _record_duration(self, endpoint: RoutedEndpoint, started_at: float) -> None:
+        """Record the processing time of the call for the endpoint and its service.
 
-        Without it bodies on a narrow link made endpoints look slow: one that was silent was left
-        after 0.72 s in place of 0.16 s.
+        The time excludes the transfer of the request body. When it was included, large bodies on a
+        slow link made endpoints look slow, and a silent endpoint was abandoned after 0.72 s instead
+        of 0.16 s.
         """
         capacity = self._parts.capacity
         pace = capacity.pace(self._call.service.name)
-        seconds = self._call.served_s(self._upload, began_at)
-        if seconds is None:
+        duration_s = self._call.served_s(self._upload, started_at)
+        if duration_s is None:
             return
         now = trio.current_time()
-        capacity.note_duration(endpoint.name, PaceKind.PLAIN, seconds, pace.plain_s, now)
-        pace.note_plain(seconds)
+        capacity.note_duration(endpoint.name, PaceKind.PLAIN, duration_s, pace.plain_s, now)
+        pace.note_plain(duration_s)
 
-    async def _leave_when_silent(self, endpoint: RoutedEndpoint, leave: trio.CancelScope) -> None:
-        """Have an endpoint left that is silent for long, once another one can be asked.
+    async def _cancel_when_silent(self, endpoint: RoutedEndpoint, scope: trio.CancelScope) -> None:
+        """Cancel the exchange with an endpoint that is silent for too long, to retry elsewhere.
 
-        Without another one, or without budget for it, the call stays: its answer may still come.
+        If no other endpoint is available, or the retry budget is empty, the exchange continues: the
+        endpoint may still answer.
         """
         call = self._call
-        impatient = self._parts.capacity.switches.uses(Mechanism.PATIENCE)
-        if not call.repeatable or not impatient:
+        is_enabled = self._parts.capacity.switches.uses(Mechanism.PATIENCE)
+        if not call.repeatable or not is_enabled:
             return
         while True:
             await self._wait_for_silence()
             call.excluded.add(endpoint.name)
-            other = place_plain(call.service.name, self._parts.capacity, call.seeker())
-            if other is None or not call.may_send(other):
+            other_endpoint = place_plain(call.service.name, self._parts.capacity, call.seeker())
+            if other_endpoint is None or not call.may_send(other_endpoint):
                 continue
             if self._gate.has_room(call) and call.spend("plain"):
-                self._next = other
+                self._next_endpoint = other_endpoint
                 call.note_silent(endpoint, self._upload, trio.current_time() - self._silent_since)
-                leave.cancel()
+                scope.cancel()
             return
 
     @property
     def _silent_since(self) -> float:
-        """When the endpoint was asked, sent its last byte or should have read what it has."""
-        return max(self._heard_at, self._upload.read_by)
+        """When the endpoint was sent the call, sent its last byte or should have read the body."""
+        return max(self._received_at, self._upload.read_by)
 
     async def _wait_for_silence(self) -> None:
-        """Wait until nothing has moved for long, from now or from the last move after that.
+        """Wait until no data has moved in either direction for the silence timeout.
 
-        A large body over a narrow link, of the call or of its answer, takes many times what calls
-        usually take.
+        The timeout starts now, and again with each later progress of the request or the answer. A
+        large body on a slow link takes many times the usual duration of a call.
         """
         since = trio.current_time()
         while True:
-            await sleep_and_read(since + self._silence_s())
+            await sleep_and_read(since + self._silence_timeout_s())
             silent_since = self._silent_since
             if silent_since <= since:
                 return
             since = silent_since
 
-    def _note_heard(self) -> None:
-        self._heard_at = trio.current_time()
+    def _note_received(self) -> None:
+        self._received_at = trio.current_time()
 
-    def _silence_s(self) -> float:
-        """Give the seconds after which a silent endpoint is left.
+    def _silence_timeout_s(self) -> float:
+        """Return the silence timeout in seconds.
 
-        Until it is known how long calls take, that is when the answer should be there by what the
-        route promises, as long as half of the call's time is left to the next endpoint.
+        While the usual duration of a call is unknown, the timeout is the route's latency target,
+        but at most half of the time that is left, so that another endpoint can still answer.
         """
         call = self._call
         usual_s = self._parts.capacity.pace(call.service.name).plain_s
         if not usual_s:
-            return max(_MIN_PATIENCE_S, min(call.route.target_s, call.left_s / 2))
-        return max(_MIN_PATIENCE_S, _USUAL_FACTOR * usual_s)
+            return max(_MIN_SILENCE_TIMEOUT_S, min(call.route.target_s, call.left_s / 2))
+        return max(_MIN_SILENCE_TIMEOUT_S, _SILENCE_TIMEOUT_FACTOR * usual_s)
 
     async def _exchange(self, endpoint: RoutedEndpoint) -> Reply:
         call, parts = self._call, self._parts
-        limit_s = IDLE_LIMIT_S if call.repeatable else FRESH_LIMIT_S
+        max_idle_s = IDLE_LIMIT_S if call.repeatable else FRESH_LIMIT_S
 
-        def make() -> OutgoingRequest:
+        def make_request() -> OutgoingRequest:
             call.note_sent(endpoint)
             return parts.protocol.forward(call.inbound, endpoint, call.left_s)
 
         return await parts.pool.call(
-            endpoint, limit_s, make, _MOST_BODY_BYTES, self._note_heard, upload=self._upload
+            endpoint,
+            max_idle_s,
+            make_request,
+            _MAX_BODY_BYTES,
+            self._note_received,
+            upload=self._upload,
         )
 
-    def _judge(self, endpoint: RoutedEndpoint, answer: Reply) -> Reply | None:
+    def _check_answer(self, endpoint: RoutedEndpoint, answer: Reply) -> Reply | None:
+        """Check an answer, and return it if it is final.
+
+        Returns:
+            The answer; None if another endpoint is to be tried.
+
+        Raises:
+            OutcomeUnknownError: It belongs to another request or is not signed.
+        """
         call, parts = self._call, self._parts
         head = answer.head
         if parts.protocol.not_run(head):
             self._note_refusal(endpoint, head)
             return None
         if not parts.protocol.belongs(head, call.inbound):
-            raise OutcomeUnknownError("the answer is another request's")
+            raise OutcomeUnknownError("the answer belongs to another request")
         if head.status < 300 and not parts.protocol.signed(head):
             raise OutcomeUnknownError("the answer has no signature")
         call.ran = Ran.YES
         call.note_served()
         if head.status >= 500 and call.repeatable:
             call.log("got a failure", endpoint=endpoint.name, status=head.status)
-            self._failed = answer
+            self._error_answer = answer
             call.excluded.add(endpoint.name)
             return None
         parts.capacity.note_success(endpoint.name, trio.current_time())
@@ -267,25 +288,30 @@
         self._call.excluded.add(endpoint.name)
         self._call.note_refused(endpoint, head)
 
-    def _refuse(self, refusal: Refusal) -> Reply | Refusal:
-        """Give what the gate's refusal comes to, after what endpoints did with the call."""
-        if self._failed is not None:
-            return self._failed
+    def _final_answer(self, refusal: Refusal) -> Reply | Refusal:
+        """Return the caller's answer for a call that admission refused.
+
+        After a failed attempt that is the endpoint's error answer, or a refusal which says that the
+        call ran or may have run.
+        """
+        if self._error_answer is not None:
+            return self._error_answer
         if self._call.ran is Ran.NO:
             return refusal
         return self._call.failure(refusal.detail)
 
     def _give_up(self, detail: str) -> Reply | Refusal:
-        if self._failed is not None:
-            return self._failed
-        retry_after_s = self._opens_in_s()
+        """Return the caller's answer for a call that is not sent any more."""
+        if self._error_answer is not None:
+            return self._error_answer
+        retry_after_s = self._retry_delay_s()
         self._log_limits(retry_after_s)
         if not self._call.sends:
             return Refusal(ErrorKind.NO_ENDPOINT, detail, retry_after_s)
         return self._call.failure(detail, retry_after_s)
 
     def _log_limits(self, retry_after_s: float | None) -> None:
-        """Log the limits that the service's endpoints name, where there are any."""
+        """Log the rate limits that the service's endpoints announced, if there are any."""
         capacity, now = self._parts.capacity, trio.current_time()
         limits = capacity.limits
         names = [item.name for item in capacity.in_role(self._call.service.name, Role.PLAIN)]
@@ -297,15 +323,15 @@
         if levels:
             self._call.log(
                 "finds endpoints at their limits",
-                limits_and_levels=dict(list(levels.items())[:_MOST_LOGGED]),
+                limits_and_levels=dict(list(levels.items())[:_MAX_LOGGED_ENDPOINTS]),
                 limited=len(levels),
                 endpoints=len(names),
                 told_ago_s=limits.told_ago_s(now),
                 retry_after_s=retry_after_s,
             )
 
-    def _opens_in_s(self) -> float | None:
-        """Give when a caller finds an endpoint that takes work; None if all of them leave."""
+    def _retry_delay_s(self) -> float | None:
+        """Return the seconds until an endpoint accepts calls again; None if all are draining."""
         now = trio.current_time()
         capacity, service = self._parts.capacity, self._call.service.name
         opens_in_s = capacity.opens_in_s(service, Role.PLAIN, now)
--- a/cleatlink/relay/calls/plain_gate.py
+++ b/cleatlink/relay/calls/plain_gate.py
@@ -1,4 +1,4 @@
-"""Lets plain calls pass to their service's endpoints, or has them wait or refuses them."""
+"""Admission control of plain calls: each call is admitted, queued for a short time or refused."""
 
 import trio
 
@@ -18,147 +18,153 @@
 __all__ = ["PlainGate"]
 
 
-class _Waiter:
-    """A call that waits, and whether it may pass."""
+class _QueuedCall:
+    """A queued call and the decision about it."""
 
-    __slots__ = ("decided", "passes")
+    __slots__ = ("admitted", "decided")
 
     def __init__(self) -> None:
         self.decided = trio.Event()
-        self.passes = False
+        self.admitted = False
 
-    def decide(self, *, passes: bool) -> None:
-        """End the wait."""
-        self.passes = passes
+    def resolve(self, *, admitted: bool) -> None:
+        """Admit or refuse the call, and end its wait."""
+        self.admitted = admitted
         self.decided.set()
 
 
-class _Line:
-    """The calls of one service that wait here."""
+class _ServiceQueue:
+    """The calls of one service that wait at this instance."""
 
     def __init__(self, queue: AdmissionQueue) -> None:
         self.queue = queue
-        self.waiters: dict[Ticket, _Waiter] = {}
+        self.queued_calls: dict[Ticket, _QueuedCall] = {}
 
-    def settle(self) -> None:
-        """Let those pass whose turn it is, and give up those that are too many."""
+    def admit_due(self) -> None:
+        """Admit the calls that are due, and refuse the last ones of a queue that is too long."""
         while (ticket := self.queue.pass_next()) is not None:
-            self.waiters.pop(ticket).decide(passes=True)
+            self.queued_calls.pop(ticket).resolve(admitted=True)
         while (ticket := self.queue.drop_last()) is not None:
-            self.waiters.pop(ticket).decide(passes=False)
+            self.queued_calls.pop(ticket).resolve(admitted=False)
 
-    def open(self) -> None:
-        """Let all pass."""
+    def admit_all(self) -> None:
+        """Admit all queued calls."""
         for ticket in self.queue.clear():
-            self.waiters.pop(ticket).decide(passes=True)
+            self.queued_calls.pop(ticket).resolve(admitted=True)
 
 
 class PlainGate:
-    """Admits the plain calls of one instance."""
+    """Admission control of one instance's plain calls."""
 
     def __init__(self, parts: RelayParts) -> None:
         self._parts = parts
-        self._judge = PlainJudge(parts.capacity, parts.rng)
-        self._lines: dict[str, _Line] = {}
+        self._policy = PlainJudge(parts.capacity, parts.rng)
+        self._queues: dict[str, _ServiceQueue] = {}
 
     @property
-    def _is_used(self) -> bool:
+    def _is_enabled(self) -> bool:
         return self._parts.capacity.switches.uses(Mechanism.PLAIN_ADMISSION)
 
     async def enter(self, call: Call) -> Refusal | None:
-        """Wait until a call may be sent.
+        """Wait until a call is admitted or refused.
 
         Returns:
-            None once it may; why it is refused if it may not.
+            None if the call may be sent, otherwise its refusal.
         """
-        if not self._is_used:
+        if not self._is_enabled:
             return None
-        judged = self._judge.judge(self._applicant(call), trio.current_time())
-        if judged.bearing.is_free:
-            if call.service.name in self._lines:
-                self._lines[call.service.name].open()
+        assessment = self._policy.judge(self._admission_request(call), trio.current_time())
+        if assessment.bearing.is_free:
+            if call.service.name in self._queues:
+                self._queues[call.service.name].admit_all()
             return None
-        line = self._line(call.service.name)
-        ticket = line.queue.arrive(judged.rank, judged.share)
-        waiter = line.waiters[ticket] = _Waiter()
-        line.settle()
-        began_at = trio.current_time()
+        service_queue = self._service_queue(call.service.name)
+        ticket = service_queue.queue.arrive(assessment.rank, assessment.share)
+        queued_call = service_queue.queued_calls[ticket] = _QueuedCall()
+        service_queue.admit_due()
+        started_at = trio.current_time()
         try:
-            if not waiter.decided.is_set() and self._should_wait(call, ticket, judged):
-                with trio.move_on_after(self._wait_s(call)):
-                    await waiter.decided.wait()
+            if not queued_call.decided.is_set() and self._should_wait(call, ticket, assessment):
+                with trio.move_on_after(self._max_wait_s(call)):
+                    await queued_call.decided.wait()
         finally:
-            # Also for a caller that leaves: its turn goes to another one.
-            self._leave(line, ticket)
-        if waiter.passes or (not waiter.decided.is_set() and self.has_room(call)):
-            waited_s = trio.current_time() - began_at
+            # This also runs if the caller disconnects, so that another call can be admitted.
+            self._remove(service_queue, ticket)
+        if queued_call.admitted or (not queued_call.decided.is_set() and self.has_room(call)):
+            waited_s = trio.current_time() - started_at
             self._parts.metrics.count_plain("waited" if waited_s else "passed")
             return None
-        return self._refuse(call, judged)
+        return self._refuse(call, assessment)
 
     def has_room(self, call: Call) -> bool:
-        """Tell whether a call's service has room for calls that need not be sent."""
-        if not self._is_used:
+        """Check whether the service has free capacity, so that a retry displaces no other call."""
+        if not self._is_enabled:
             return True
-        return self._judge.bearing(call.service.name, trio.current_time()).is_free
+        return self._policy.bearing(call.service.name, trio.current_time()).is_free
 
     def retry_after_s(self, call: Call, usual_s: float) -> float:
-        """Give when a caller that endpoints refused is to come back.
+        """Return the Retry-After time for a call that endpoints refused.
+
+        With admission control it is random, so that the callers don't all retry at the same moment.
 
         Args:
-            call: Its call.
-            usual_s: The same for all callers, where they are not spread.
+            call: The refused call.
+            usual_s: The time to return if admission control is off.
         """
-        if not self._is_used:
+        if not self._is_enabled:
             return usual_s
-        spare_s = call.route.heeded_share * call.left_s
-        return retry_after_s(spare_s, self._parts.rng.random())
+        max_delay_s = call.route.heeded_share * call.left_s
+        return retry_after_s(max_delay_s, self._parts.rng.random())
 
-    def _applicant(self, call: Call) -> Applicant:
-        """Describe a call; what it asks is worked out only where a refused call is expected."""
+    def _admission_request(self, call: Call) -> Applicant:
+        """Describe a call; its identity is computed only if refused calls are expected back."""
         identity = call.identity if len(self._parts.capacity.plain_returns) else b""
         return Applicant(call.service.name, call.priority, identity, call.sends > 0)
 
-    def _wait_s(self, call: Call) -> float:
+    def _max_wait_s(self, call: Call) -> float:
+        """Return how long a call may wait for admission, in seconds."""
         return max(0.0, min(WAIT_SHARE * call.route.target_s - call.age_s, call.left_s))
 
-    def _should_wait(self, call: Call, ticket: Ticket, judged: Judgement) -> bool:
-        """Tell whether a call should pass within the time for which it can wait."""
+    def _should_wait(self, call: Call, ticket: Ticket, assessment: Judgement) -> bool:
+        """Check whether a call is likely to be admitted before its maximum wait ends."""
         service = call.service.name
-        if self._opens_in_s(call) > self._wait_s(call):
+        if self._opens_in_s(call) > self._max_wait_s(call):
             return False
-        expected = self._judge.expected(judged, service, self._wait_s(call), trio.current_time())
-        return self._judge.queue(service).may_pass_within(ticket, expected)
+        expected = self._policy.expected(
+            assessment, service, self._max_wait_s(call), trio.current_time()
+        )
+        return self._policy.queue(service).may_pass_within(ticket, expected)
 
     def _opens_in_s(self, call: Call) -> float:
-        """Give in how many seconds an endpoint takes calls: all may rest, or be at their limits."""
+        """Return the seconds until an endpoint that is in back-off or rate limited takes calls."""
         capacity, now = self._parts.capacity, trio.current_time()
         return capacity.opens_in_s(call.service.name, Role.PLAIN, now) or 0.0
 
-    def _leave(self, line: _Line, ticket: Ticket) -> None:
-        line.queue.remove(ticket)
-        line.waiters.pop(ticket, None)
+    def _remove(self, service_queue: _ServiceQueue, ticket: Ticket) -> None:
+        service_queue.queue.remove(ticket)
+        service_queue.queued_calls.pop(ticket, None)
 
-    def _line(self, service: str) -> _Line:
-        line = self._lines.get(service)
-        if line is None:
-            line = self._lines[service] = _Line(self._judge.queue(service))
-        return line
+    def _service_queue(self, service: str) -> _ServiceQueue:
+        service_queue = self._queues.get(service)
+        if service_queue is None:
+            service_queue = self._queues[service] = _ServiceQueue(self._policy.queue(service))
+        return service_queue
 
-    def _refuse(self, call: Call, judged: Judgement) -> Refusal:
+    def _refuse(self, call: Call, assessment: Judgement) -> Refusal:
+        """Refuse a call, and expect its caller back after the Retry-After time."""
         parts, now = self._parts, trio.current_time()
-        retry_s = max(self.retry_after_s(call, 0.0), self._opens_in_s(call))
-        parts.capacity.plain_returns.expect(call.identity, now + retry_s)
+        delay_s = max(self.retry_after_s(call, 0.0), self._opens_in_s(call))
+        parts.capacity.plain_returns.expect(call.identity, now + delay_s)
         parts.metrics.count_plain("refused")
         heard_ago_s = parts.capacity.plain.heard_ago_s(now)
         call.log(
             "has no place",
-            rank=judged.rank,
-            share=round(judged.share, 3),
-            fill=round(judged.bearing.fill, 2),
-            bears_per_s=round(judged.bearing.per_s, 1),
-            waiting=len(self._line(call.service.name).queue),
+            rank=assessment.rank,
+            share=round(assessment.share, 3),
+            fill=round(assessment.bearing.fill, 2),
+            bears_per_s=round(assessment.bearing.per_s, 1),
+            waiting=len(self._service_queue(call.service.name).queue),
             heard_ago_s=None if heard_ago_s is None else round(heard_ago_s, 3),
-            retry_after_s=round(retry_s, 3),
+            retry_after_s=round(delay_s, 3),
         )
-        return Refusal(ErrorKind.NO_ROOM, "the service's endpoints are full", retry_s)
+        return Refusal(ErrorKind.NO_ROOM, "the service's endpoints are full", delay_s)
--- a/cleatlink/relay/calls/plain_gate_test.py
+++ b/cleatlink/relay/calls/plain_gate_test.py
@@ -1,4 +1,4 @@
-"""Admission of plain calls through whole instances, over real connections."""
+"""Tests of the admission control of plain calls in complete instances, over real connections."""
 
 import msgspec
 import pytest
@@ -13,15 +13,15 @@
 from standins.relay.example import runs, start
 from standins.relay.fleet import Fleet, open_fleet
 
-# What is judged are waits of the program, not what else a busy machine does.
+# Virtual time: the tests check waits of the program, whatever else the machine runs.
 pytestmark = pytest.mark.virtual_time
 
-# Each of so many callers sends a call every so often, for so many rounds.
-CALLERS, PAUSE_S, ROUNDS = 20, 0.05, 12
+# Number of callers, the pause between two calls of one caller in seconds, and calls per caller.
+CALLERS, PAUSE_S, CALLS_PER_CALLER = 20, 0.05, 12
 
 
 async def flood(fleet: Fleet, path: str, instance: int = 0) -> dict[str, Reply]:
-    """Send far more calls than a worker of two places serves at a time; gives the answers."""
+    """Send far more calls than a worker with two slots can serve, and return the answers."""
     replies: dict[str, Reply] = {}
 
     async def send(name: str) -> None:
@@ -30,14 +30,14 @@
         replies[name] = await caller.ask(path + name, "POST", body=name.encode(), headers=headers)
 
     async with trio.open_nursery() as nursery:
-        for number in range(CALLERS * ROUNDS):
+        for number in range(CALLERS * CALLS_PER_CALLER):
             nursery.start_soon(send, f"call-{number}")
             await trio.sleep(PAUSE_S / CALLERS)
     return replies
 
 
-async def test_overloaded_service_refuses_at_once_and_says_when_to_come_back() -> None:
-    """Unsafe calls that are refused never ran; those that passed ran once."""
+async def test_overloaded_service_refuses_calls_with_a_spread_retry_after() -> None:
+    """Refused unsafe calls never ran, and admitted ones ran exactly once."""
     async with open_fleet() as fleet:
         worker = Worker("plain", slots=2)
         worker.work_s = 0.1
@@ -50,12 +50,12 @@
             assert runs(fleet, name) == (reply.status == 200)
         times = [float(reply.headers["retry-after"]) for reply in refused.values()]
         assert all(0.25 <= seconds <= 3.01 for seconds in times)
-        assert len(set(times)) >= 20, "callers would be back at the same moment"
+        assert len(set(times)) >= 20, "too many callers would retry at the same moment"
         await trio.sleep(1.2)
         assert (await fleet.caller().ask("/unsafe/again", "POST", body=b"b")).status == 200
 
 
-async def test_peers_learn_of_calls_and_refuse_too() -> None:
+async def test_peers_learn_of_the_load_and_refuse_calls_too() -> None:
     async with open_fleet() as fleet:
         worker = Worker("plain", slots=2)
         worker.work_s = 0.1
@@ -65,40 +65,40 @@
         await trio.sleep(0.3)
         statuses: list[int] = []
 
-        async def ask_second() -> None:
+        async def call_second_instance() -> None:
             for number in range(40):
                 reply = await fleet.caller(1).ask(f"/safe/{number}")
                 statuses.append(reply.status)
 
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(ask_second)
+            nursery.start_soon(call_second_instance)
             await flood(fleet, "/unsafe/")
-            load = second.capacity.plain.endpoint(worker.name, trio.current_time())
-        assert load.running > 2
+            endpoint_load = second.capacity.plain.endpoint(worker.name, trio.current_time())
+        assert endpoint_load.running > 2
         assert 503 in statuses
 
 
-async def test_message_is_small_and_tells_only_what_changed() -> None:
+async def test_update_message_is_small_and_contains_only_changes() -> None:
     capacity = Capacity(now=trio.current_time())
-    news = PlainNews("front-a-1", 1, capacity)
+    updates = PlainNews("front-a-1", 1, capacity)
     for number in range(30):
         now = trio.current_time()
-        life = f"i-{number:010x}"
+        incarnation = f"i-{number:010x}"
         capacity.plain.note_arrival(f"service-{number}", 1, now)
-        capacity.plain.begin(life, now)
-        capacity.plain.end(life, CallEnd.RAN, now)
+        capacity.plain.begin(incarnation, now)
+        capacity.plain.end(incarnation, CallEnd.RAN, now)
         capacity.plain_returns.expect(b"%08d" % number, now + 5)
-    lives, services, returns = set(), set(), set()
+    incarnations, services, returns = set(), set(), set()
     for _ in range(5):
-        (message,) = await news.next()
+        (message,) = await updates.next()
         assert len(encode(message)) < 500
-        lives |= {item[0] for item in message.endpoints}
+        incarnations |= {item[0] for item in message.endpoints}
         services |= {item[0] for item in message.arrived}
         returns |= {item[0] for item in message.returns}
-    assert (len(lives), len(services), len(returns)) == (30, 30, 30)
+    assert (len(incarnations), len(services), len(returns)) == (30, 30, 30)
     with trio.move_on_after(0.8) as scope:
-        await news.next()
-    assert scope.cancelled_caught, "nothing changed, and something was told"
-    base = PlainNews("front-a-2", 1, Capacity(now=trio.current_time()))
-    assert base.introduction() == []
-    assert msgspec.msgpack.decode(encode(news.introduction()[0]))[0] == "f"
+        await updates.next()
+    assert scope.cancelled_caught, "a message was sent although nothing had changed"
+    idle_updates = PlainNews("front-a-2", 1, Capacity(now=trio.current_time()))
+    assert idle_updates.introduction() == []
+    assert msgspec.msgpack.decode(encode(updates.introduction()[0]))[0] == "f"
--- a/cleatlink/relay/calls/plain_test.py
+++ b/cleatlink/relay/calls/plain_test.py
@@ -1,4 +1,4 @@
-"""Plain calls through whole instances of the relay, over real connections."""
+"""Tests of plain calls through complete relay instances, over real connections."""
 
 from typing import Any
 
@@ -14,7 +14,7 @@
 pytestmark = pytest.mark.virtual_time
 
 
-async def test_a_call_passes_as_it_came() -> None:
+async def test_call_and_answer_are_forwarded_unchanged() -> None:
     async with open_fleet() as fleet:
         worker = Worker("plain")
         await start(fleet, worker)
@@ -30,7 +30,7 @@
         assert not {"user-agent", "accept-encoding", "connection"} & call.headers.keys()
 
 
-async def test_callers_cannot_set_the_relays_own_headers() -> None:
+async def test_relay_headers_from_callers_are_removed() -> None:
     async with open_fleet() as fleet:
         worker = Worker("plain")
         await start(fleet, worker)
@@ -40,7 +40,7 @@
         assert not {"stage", "cache-source", "hold"} & worker.arrivals[0].headers.keys()
 
 
-async def test_connection_header_does_not_take_away_what_names_the_request() -> None:
+async def test_connection_header_does_not_remove_the_headers_that_identify_the_request() -> None:
     async with open_fleet() as fleet:
         worker = Worker("plain")
         await start(fleet, worker)
@@ -54,13 +54,13 @@
         assert "x-hop" not in headers
 
 
-async def test_unknown_route_is_404_and_no_table_is_503() -> None:
+async def test_unknown_route_is_404_and_missing_route_table_is_503() -> None:
     async with open_fleet() as fleet:
         fleet.start_instance()
         caller = fleet.caller()
         await trio.sleep(0.3)
-        before = await caller.ask("/safe/x")
-        assert (before.status, "retry-after" in before.headers) == (503, True)
+        reply = await caller.ask("/safe/x")
+        assert (reply.status, "retry-after" in reply.headers) == (503, True)
         assert (await fleet.prober().ask("/")).status == 503
         fleet.add_route("/safe/", "safe", "plain")
         fleet.configure()
@@ -84,7 +84,7 @@
         Fault.CUT,
     ],
 )
-async def test_safe_call_is_served_by_another_worker(fault: Fault) -> None:
+async def test_safe_call_is_retried_at_another_worker_after_a_fault(fault: Fault) -> None:
     async with open_fleet() as fleet:
         first, second = Worker("plain"), Worker("plain")
         await start(fleet, first, second)
@@ -121,7 +121,7 @@
         assert "retry-after" not in reply.headers or reply.status in (502, 504)
 
 
-async def test_unsafe_call_that_was_not_run_goes_elsewhere_only_if_its_route_allows() -> None:
+async def test_unsafe_call_that_did_not_run_is_retried_only_if_the_route_allows() -> None:
     async with open_fleet() as fleet:
         workers = Worker("plain"), Worker("plain")
         await start(fleet, *workers)
@@ -142,7 +142,7 @@
         assert runs(fleet, request) == 1
 
 
-async def test_extra_answer_goes_to_nobody() -> None:
+async def test_surplus_answer_is_not_delivered_to_the_next_call() -> None:
     async with open_fleet() as fleet:
         worker = Worker("plain")
         await start(fleet, worker)
@@ -153,7 +153,7 @@
             assert (await caller.ask("/unsafe/x", "POST", body=b"b")).body == b"served"
 
 
-async def test_caller_that_leaves_ends_the_work() -> None:
+async def test_disconnect_of_the_caller_cancels_the_work() -> None:
     async with open_fleet() as fleet:
         worker = Worker("plain")
         worker.work_s = 1.5
@@ -161,13 +161,13 @@
         caller = fleet.caller()
         await caller.send("/unsafe/x", "POST", body=b"b")
         await fleet.until(lambda: bool(worker.runs))
-        left_at = trio.current_time()
+        disconnected_at = trio.current_time()
         caller.close()
         await fleet.until(lambda: worker.runs[0].dropped)
-        assert trio.current_time() - left_at < 0.4
+        assert trio.current_time() - disconnected_at < 0.4
 
 
-async def test_route_timeout_ends_a_call_in_time() -> None:
+async def test_call_ends_at_the_route_timeout() -> None:
     async with open_fleet() as fleet:
         worker = Worker("plain")
         worker.work_s = 5.0
@@ -176,52 +176,57 @@
         fleet.configure()
         fleet.start_instance()
         await fleet.ready()
-        began_at = trio.current_time()
+        started_at = trio.current_time()
         reply = await fleet.caller().ask("/slow/x", "POST", body=b"b")
         assert reply.status in (502, 504)
-        assert 0.25 < trio.current_time() - began_at < 0.6
+        assert 0.25 < trio.current_time() - started_at < 0.6
 
 
-async def test_address_that_changed_hands_is_no_attempt() -> None:
+async def test_address_reused_by_another_endpoint_does_not_count_as_an_attempt() -> None:
     async with open_fleet() as fleet:
-        near, far = Worker("plain", zone="a"), Worker("plain", zone="b")
-        await start(fleet, near, far)
-        near.name = "another"
+        same_zone, other_zone = Worker("plain", zone="a"), Worker("plain", zone="b")
+        await start(fleet, same_zone, other_zone)
+        same_zone.name = "another"
         reply = await fleet.caller().ask("/unsafe/x", "POST", body=b"b")
         assert reply.status == 200
-        assert (len(near.arrivals), len(near.runs), len(far.runs)) == (1, 0, 1)
+        assert (len(same_zone.arrivals), len(same_zone.runs), len(other_zone.runs)) == (1, 0, 1)
 
 
-async def test_fault_of_the_program_ends_one_request_only(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_internal_error_fails_only_the_request_that_met_it(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async with open_fleet() as fleet:
         await start(fleet, Worker("plain"))
 
-        def fail(*_: object) -> None:
+        def raise_error(*_: object) -> None:
             raise ValueError("a fault")
 
         with monkeypatch.context() as patch:
-            patch.setattr("cleatlink.relay.calls.plain.place_plain", fail)
+            patch.setattr("cleatlink.relay.calls.plain.place_plain", raise_error)
             assert (await fleet.caller().ask("/safe/x")).status == 500
         assert (await fleet.caller().ask("/safe/x")).status == 200
 
 
-async def test_slow_service_is_not_asked_twice() -> None:
+async def test_calls_to_a_slow_service_are_not_sent_twice() -> None:
     async with open_fleet() as fleet:
         first, second = Worker("plain"), Worker("plain")
         first.work_s = second.work_s = 0.3
         await start(fleet, first, second)
         caller = fleet.caller()
-        # The first safe call leaves a worker after 0.24 s; later ones know better.
+        # The first safe call abandons a worker after 0.24 s; later calls know the usual duration.
         for _ in range(8):
             assert (await caller.ask("/safe/x")).status == 200
         assert len(first.runs) + len(second.runs) <= 10
 
 
 @pytest.mark.parametrize("target_ms", [400, 5000])
-async def test_silent_worker_is_left_before_any_pace_is_known(target_ms: int) -> None:
-    """The first call of a service met a silent worker and waited out its whole time (504).
+async def test_silent_worker_is_abandoned_before_the_usual_duration_is_known(
+    target_ms: int,
+) -> None:
+    """Guards against a 504 where the first call of a service is sent to a silent worker.
 
-    How long calls take was not known yet, and what the route promises was not asked.
+    The usual duration of a call was not known yet, and the route's latency target was not used in
+    its place, so the call waited until its deadline.
     """
     async with open_fleet() as fleet:
         workers = Worker("plain"), Worker("plain")
@@ -245,7 +250,7 @@
         assert [len(worker.arrivals) for worker in workers] == [1, 1]
 
 
-async def test_silent_worker_is_still_left_where_calls_are_quick() -> None:
+async def test_silent_worker_of_a_fast_service_is_abandoned_quickly() -> None:
     async with open_fleet() as fleet:
         first, second = Worker("plain"), Worker("plain")
         await start(fleet, first, second)
@@ -255,13 +260,13 @@
         first.faults, second.faults = [Fault.MUTE], []
         first.work_s = second.work_s = 0.01
         for _ in range(4):
-            began_at = trio.current_time()
+            started_at = trio.current_time()
             assert (await caller.ask("/safe/x")).status == 200
-            assert trio.current_time() - began_at < 0.35
+            assert trio.current_time() - started_at < 0.35
 
 
-async def test_silence_is_logged_from_when_the_worker_was_asked() -> None:
-    """The line `hears nothing` told a silence of hours for a call without a body."""
+async def test_logged_silence_starts_when_the_call_was_sent() -> None:
+    """Guards against a log line that reported hours of silence for a call without a body."""
     lines: list[dict[str, Any]] = []
     eliot.add_destinations(lines.append)
     try:
@@ -277,8 +282,8 @@
     assert [100 <= line["silent_ms"] <= 400 for line in silent] == [True]
 
 
-async def test_answer_whose_bytes_keep_coming_is_not_asked_for_again() -> None:
-    """A large answer over a narrow link was left halfway, and asked for at another worker."""
+async def test_call_is_not_retried_while_bytes_of_the_answer_arrive() -> None:
+    """Guards against abandoning a large answer on a slow link and retrying at another worker."""
     async with open_fleet() as fleet:
         first, second = Worker("plain"), Worker("plain")
         caller = await start_with_known_pace(fleet, first, second)
@@ -290,8 +295,8 @@
         assert len(first.arrivals) + len(second.arrivals) == 1
 
 
-async def test_first_answer_of_a_service_whose_bytes_keep_coming_is_not_asked_for_again() -> None:
-    """Where no pace was known yet, it was left at the route's target (0.4 s)."""
+async def test_first_call_of_a_service_is_not_retried_while_bytes_of_the_answer_arrive() -> None:
+    """Guards against abandoning an answer in progress at the route's target (0.4 s)."""
     async with open_fleet() as fleet:
         first, second = Worker("plain"), Worker("plain")
         for worker in (first, second):
@@ -301,13 +306,13 @@
         assert len(first.arrivals) + len(second.arrivals) == 1
 
 
-async def test_worker_that_goes_silent_within_its_answer_is_left() -> None:
+async def test_worker_that_goes_silent_within_its_answer_is_abandoned() -> None:
     async with open_fleet() as fleet:
         first, second = Worker("plain"), Worker("plain")
         caller = await start_with_known_pace(fleet, first, second)
         for worker in (first, second):
             worker.answer_parts, worker.part_pause_s = 2, 10.0
-        asked_at = trio.current_time()
+        sent_at = trio.current_time()
         replies: list[Reply] = []
 
         async def ask() -> None:
@@ -319,5 +324,5 @@
             silent, other = (first, second) if first.arrivals else (second, first)
             other.answer_parts = 1
         assert [reply.status for reply in replies] == [200]
-        assert trio.current_time() - asked_at < 0.35
+        assert trio.current_time() - sent_at < 0.35
         assert (len(silent.arrivals), len(other.arrivals)) == (1, 1)
--- a/cleatlink/relay/calls/planned_stop_test.py
+++ b/cleatlink/relay/calls/planned_stop_test.py
@@ -1,16 +1,15 @@
-"""What a stopping instance takes, and that it finishes it.
+"""Tests that a stopping instance finishes every request that it accepts.
 
-Streams were cut off by planned stops although the instance had taken them after the stop
-began. It took whatever came in the first 3.2 s of a grace of 8 s and never asked how long
-an answer would last; one that arrived 3.17 s after the signal and needed more than 4.3 s
-was cut off 7.5 s after it, with its engine at work, and the log called it a caller that
-left:
+Guards against planned stops that cut off streams which were accepted after the stop began. The
+instance accepted every request in the first 3.2 s of a grace period of 8 s, however long the answer
+would take. A stream that arrived 3.17 s after the signal and needed more than 4.3 s was cut off
+7.5 s after the signal, while its engine was working, and was logged as a disconnected caller:
 
     {"age_ms":6020,"sends":1,"message_type":"relay: lost its caller"}
     {"age_ms":4335,"sends":1,"message_type":"relay: lost its caller"}
 
-On eight instances that were stopped in series, 27 requests were cut off in 21 stops, 14 of
-them taken after the signal.
+When eight instances were stopped in series, 27 requests were cut off in 21 stops, 14 of them
+accepted after the signal.
 """
 
 import math
@@ -33,9 +32,9 @@
 
 pytestmark = pytest.mark.virtual_time
 
-# Callers that would wait for any of these answers.
-_PATIENT = {**STREAM, "Token-Counts": "100,20", "Deadline-Milliseconds": "9000"}
-# Answers of 20 events and 1.5 s, and a grace of 4 s, of which the exit needs 0.5 s.
+# Headers of callers whose deadline is later than the end of any answer here.
+_LONG_DEADLINE = {**STREAM, "Token-Counts": "100,20", "Deadline-Milliseconds": "9000"}
+# Answers of 20 events and 1.5 s, and a grace period of 4 s, of which the process exit needs 0.5 s.
 _EVENTS = 20
 _EVENT_S = 0.075
 _GRACE_S = 4.0
@@ -43,12 +42,12 @@
 
 
 async def _start(fleet: Fleet, grace_s: float = _GRACE_S) -> None:
-    """Start an instance with a prefill and two decodes, and long answers."""
+    """Start an instance with one prefill, two decodes and a plain worker, and long answers."""
     prefill, first, second = engines()
     for decode in (first, second):
         decode.events, decode.event_s = _EVENTS, _EVENT_S
     fleet.drain_s = grace_s
-    # Connections stay open until the process is gone.
+    # Keeps idle connections open until the process exits.
     fleet.limits["idle_timeout_ms"] = 9000
     await start(fleet, prefill, first, second, Worker("plain"))
     for route in fleet.routes:
@@ -57,8 +56,8 @@
     await fleet.until(lambda: fleet.instances[0].records.table_revision == version)
 
 
-async def _learn_the_pace(fleet: Fleet, streams: int = 10) -> None:
-    """Have the instance serve a few streams."""
+async def _measure_answer_duration(fleet: Fleet, streams: int = 10) -> None:
+    """Serve some streams, so that the instance can estimate how long answers take."""
     async with trio.open_nursery() as nursery:
         for _ in range(streams):
             nursery.start_soon(_ask, fleet.caller(), {})
@@ -66,7 +65,7 @@
 
 
 async def _open_callers(fleet: Fleet, count: int) -> list[Caller]:
-    """Give callers whose connections are open before the stop begins."""
+    """Return callers with open connections, which later requests use during the stop."""
     callers = [fleet.caller() for _ in range(count)]
     for caller in callers:
         await caller.open()
@@ -74,15 +73,15 @@
 
 
 async def _ask(caller: Caller, replies: dict[str, Reply]) -> None:
-    """Ask for a stream and note what came of it."""
-    name = await caller.send("/stream/x", "POST", body=b"p", headers=_PATIENT)
+    """Request a stream and store the reply under its request id."""
+    name = await caller.send("/stream/x", "POST", body=b"p", headers=_LONG_DEADLINE)
     replies[name] = await caller.receive()
 
 
-async def test_whatever_a_stopping_instance_takes_it_finishes() -> None:
+async def test_stopping_instance_finishes_every_stream_that_it_accepts() -> None:
     async with open_fleet() as fleet:
         await _start(fleet)
-        await _learn_the_pace(fleet)
+        await _measure_answer_duration(fleet)
         callers = await _open_callers(fleet, 16)
         replies: dict[str, Reply] = {}
         async with trio.open_nursery() as nursery:
@@ -90,20 +89,22 @@
             for caller in callers:
                 nursery.start_soon(_ask, caller, replies)
                 await trio.sleep(_PAUSE_S)
-        cut = [name for name, reply in replies.items() if reply.status == 200 and not reply.whole]
-        assert cut == []
+        cut_off = [
+            name for name, reply in replies.items() if reply.status == 200 and not reply.whole
+        ]
+        assert cut_off == []
         served = [name for name, reply in replies.items() if reply.status == 200]
         refused = [name for name, reply in replies.items() if reply.status == 503]
-        # The first ones had more than twice the time that they needed.
+        # The first requests had more than twice the time that they needed.
         assert len(served) >= 2
         assert len(served) + len(refused) == len(callers)
-        # Refused at once means: not run, and welcome at another instance now.
+        # A refused request did not run, and its caller may retry at another instance at once.
         assert [runs(fleet, name) for name in refused] == [0] * len(refused)
         assert {replies[name].headers["retry-after"] for name in refused} == {"0.00"}
         assert {replies[name].headers["connection"] for name in refused} == {"close"}
 
 
-async def test_plain_calls_are_served_to_the_end_of_a_stop() -> None:
+async def test_plain_calls_are_served_until_the_end_of_a_stop() -> None:
     async with open_fleet() as fleet:
         await _start(fleet)
         slow = fleet.workers[-1]
@@ -115,25 +116,26 @@
         await first.send("/unsafe/x", "POST", body=b"b", headers=headers)
         await fleet.until(lambda: len(slow.runs) == 1)
         slow.work_s = 0.01
-        # Later than new callers come, on a connection from before.
+        # The platform sends no new callers any more; this connection was opened before the stop.
         await trio.sleep(1.3)
         assert (await second.ask("/safe/x")).status == 200
         reply = await first.receive()
-        # It runs, and how that ends can't be known here. To say so is an answer; to close is none.
+        # The call still runs, so its outcome is unknown here. The caller gets a 502 that says so
+        # instead of a closed connection.
         assert (reply.status, reply.whole) == (502, True)
         assert len(slow.runs) == 2
 
 
-async def test_stream_that_waits_for_room_when_a_stop_begins_is_left_to_others() -> None:
+async def test_queued_stream_that_cannot_finish_before_the_stop_ends_is_refused() -> None:
     async with open_fleet() as fleet:
-        # Two answers one after the other, of which only the first can be finished.
+        # The grace period is long enough for one answer, but not for two in sequence.
         await _start(fleet, grace_s=3.0)
-        await _learn_the_pace(fleet)
+        await _measure_answer_duration(fleet)
         fleet.configure({"kv_cache_tokens": 150})
         await fleet.until(lambda: fleet.instances[0].records.table_revision == 9)
         replies: dict[str, Reply] = {}
         async with trio.open_nursery() as nursery:
-            # The routes' decodes have room for one answer each.
+            # Each decode has capacity for one answer.
             for _ in range(4):
                 nursery.start_soon(_ask, fleet.caller(), replies)
                 await trio.sleep(0.05)
@@ -143,16 +145,16 @@
         assert waiting == 2
         assert all(reply.whole for reply in replies.values())
         assert sorted(reply.status for reply in replies.values()) == [200, 200, 503, 503]
-        # They were told while others had time for them, not at the end.
+        # The refusals came early enough for other instances to serve the streams.
         assert trio.current_time() - stopped_at < 2.0
 
 
-async def test_short_answers_are_taken_during_a_stop() -> None:
+async def test_short_streams_are_accepted_during_a_stop() -> None:
     async with open_fleet() as fleet:
         await _start(fleet)
         for decode in fleet.workers[1:3]:
             decode.events, decode.event_s = 5, 0.02
-        await _learn_the_pace(fleet, streams=20)
+        await _measure_answer_duration(fleet, streams=20)
         (caller,) = await _open_callers(fleet, 1)
         fleet.stops[0].set()
         await trio.sleep(1.0)
@@ -162,7 +164,7 @@
 
 
 class _LateExchange(Exchange):
-    """A request that was read just as the instance ended."""
+    """A request that was read at the moment when the stop ended."""
 
     def __init__(self) -> None:
         self.request = RawRequest(b"GET", b"/safe/x", ((b"host", b"h.example"),), b"")
@@ -175,7 +177,7 @@
         self.answers.append(status)
 
 
-async def test_request_that_was_read_as_the_instance_ended_is_answered() -> None:
+async def test_request_read_at_the_end_of_the_stop_is_answered() -> None:
     async with open_fleet() as fleet:
         await _start(fleet)
         instance, exchange = fleet.instances[0], _LateExchange()
@@ -189,14 +191,14 @@
 
 
 @given(st.floats(0, 10), st.floats(0, 20), st.floats(0, 20))
-def test_before_a_stop_there_is_time_for_everything(
+def test_every_stream_is_accepted_before_a_stop(
     arrived_at: float, longest_s: float, now: float
 ) -> None:
     assert PlannedStop().leaves_time(arrived_at, math.inf, longest_s, now)
 
 
 @given(st.floats(0, 8), st.floats(0, 30), st.floats(0, 20))
-def test_what_is_taken_during_a_stop_is_bounded_by_its_end(
+def test_accepted_streams_end_before_the_stop_does(
     arrived_at: float, deadline_s: float, longest_s: float
 ) -> None:
     stop = PlannedStop()
@@ -204,15 +206,15 @@
     now = max(1.0, arrived_at)
     if stop.leaves_time(arrived_at, arrived_at + deadline_s, longest_s, now):
         assert min(arrived_at + deadline_s, now + longest_s) <= 8.5
-    # Nothing is known of how long it takes: only its deadline can bound it.
+    # If the duration is unknown, only the deadline bounds it.
     bounded = arrived_at + deadline_s <= stop.answers_by
     assert stop.leaves_time(arrived_at, arrived_at + deadline_s, math.inf, now) == bounded
 
 
-async def test_answer_that_is_ready_as_the_stop_ends_is_delivered(
+async def test_answer_that_is_ready_when_the_stop_ends_is_delivered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The end of the stop came between a ready answer and its sending, and cut it off.
+    """Guards against cutting off an answer that is ready but not yet sent when the stop ends.
 
     "age_ms":1803,"status":200,"message_type":"relay: is answered"
     "age_ms":1811,"ran":"yes","message_type":"relay: is cut off by the stop"
@@ -222,13 +224,13 @@
         service = fleet.instances[0].service
         run = PlainCall.run
 
-        async def run_to_the_last_moment(self: PlainCall) -> pool.Reply | Refusal:
+        async def run_until_the_stop_ends(self: PlainCall) -> pool.Reply | Refusal:
             answer = await run(self)
             for scope in service._scopes:
                 scope.cancel()
             return answer
 
-        monkeypatch.setattr(PlainCall, "run", run_to_the_last_moment)
+        monkeypatch.setattr(PlainCall, "run", run_until_the_stop_ends)
         (caller,) = await _open_callers(fleet, 1)
         fleet.stops[0].set()
         await trio.sleep(0.2)
--- a/cleatlink/relay/calls/prefill.py
+++ b/cleatlink/relay/calls/prefill.py
@@ -1,4 +1,4 @@
-"""Has a stream's prompt computed, and frees the result that nobody takes."""
+"""Runs the prefill of a stream, and frees the KV cache of a result that no decode used."""
 
 from typing import NamedTuple
 
@@ -24,84 +24,102 @@
 from cleatlink.routing.reservation import Reservation
 from cleatlink.routing.uploads import Upload
 
-__all__ = ["Handle", "Prefill"]
-
-# Far above the few bytes of an answer.
-_MOST_REPLY_BYTES = 65_536
-# What a call takes beside the work that it asks for.
-_PREFILL_BASE_S = 0.01
-# A prefill that is silent for this much longer than expected is left.
-_PREFILL_SLACK_S = 0.7
-# Endpoints out of reach cost only time; after so many the decode does it.
-_MOST_UNREACHABLE = 3
-# A prefill that took so much longer than expected is a slow endpoint's.
+__all__ = ["KvHandle", "Prefill"]
+
+# Well above the few bytes of an answer.
+_MAX_REPLY_BYTES = 65_536
+# Overhead of a call beside the computation, in seconds.
+_CALL_OVERHEAD_S = 0.01
+# A prefill is cancelled if it takes this many seconds longer than expected. It is also the timeout
+# of a request that frees a handle.
+_TIMEOUT_MARGIN_S = 0.7
+# Unreachable endpoints after which the decode endpoint computes the prompt; trying one costs only
+# time.
+_MAX_UNREACHABLE = 3
+# An endpoint is reported as slow if a prefill took more than this many times the expected time
+# plus _SLOW_BASE_S.
 _SLOW_FACTOR = 2.5
-# And at least so much, so that short prompts say nothing.
+# Keeps short prompts from marking an endpoint as slow.
 _SLOW_BASE_S = 0.1
-# What a prompt took behind a longer queue, as a share of its own time, says little of the endpoint.
-_SHORT_QUEUE_SHARE = 0.5
-# A handle is offered again while it surely lives.
-_HANDLE_SHARE = 0.7
-# A handle lapses by itself soon; so many tries within that time are worth it.
-_FREE_TRIES = 3
-_FREE_PAUSE_S = 0.2
-# Time in which a prefill that was busy works some prompts off.
+# A prompt that was queued for longer than this share of its usual prefill time is no measure of the
+# endpoint's speed.
+_MAX_QUEUE_SHARE = 0.5
+# A handle is offered again only within this share of its lifetime, so that it can't have expired.
+_SAFE_LIFETIME_SHARE = 0.7
+# Attempts to free a handle. A few are enough, since the handle expires soon anyway.
+_MAX_FREE_ATTEMPTS = 3
+_FREE_RETRY_PAUSE_S = 0.2
+# Time in which a busy prefill endpoint finishes some prompts, in seconds.
 _RETRY_AFTER_S = 0.6
 
 
-class Handle(NamedTuple):
-    """A prefill's result that waits to be taken."""
+class KvHandle(NamedTuple):
+    """A prefill's result, which stays at its endpoint until a decode fetches it.
+
+    Attributes:
+        endpoint: The prefill endpoint.
+        source: Address and handle from which the decode fetches the KV cache.
+        created_at: When the prefill ended.
+    """
 
     endpoint: RoutedEndpoint
     source: KvSource
-    made_at: float
+    created_at: float
 
 
 class Prefill:
-    """The prefill of one stream, and the handle that it left."""
+    """The prefill of one stream, and the handle of its result."""
 
     def __init__(self, call: Call, parts: RelayParts, *, was_computed: bool = False) -> None:
-        """Begin without a result.
+        """Start without a result.
 
         Args:
             call: The call.
-            parts: What all calls share.
-            was_computed: Whether the prompt was computed before, for another decode.
+            parts: Components that all calls share.
+            was_computed: Whether the prompt was computed before, for another decode endpoint.
         """
-        self.handle: Handle | None = None
+        self.handle: KvHandle | None = None
         self.was_computed = was_computed
         self._call = call
         self._parts = parts
-        self._prefills = 0
+        self._attempts = 0
 
     @property
     def source(self) -> KvSource | None:
-        """Where the result waits; None without one, and when the engine began a new life."""
+        """Location of the result; None without one, or if the engine has restarted since."""
         handle = self.handle
         if handle is None or self._parts.capacity.is_over(handle.endpoint):
             return None
         return handle.source
 
     def lives(self) -> bool:
-        """Tell whether there is a handle that surely has not lapsed."""
+        """Check whether there is a handle that can't have expired."""
         return self.lives_for_s() > 0
 
     def lives_for_s(self) -> float:
-        """Give for how many seconds the handle surely lives; 0 without one."""
-        traits = self._call.service.engine
-        if self.handle is None or self.source is None or traits is None:
+        """Return the seconds for which the handle is certainly valid; 0 without a handle."""
+        engine_traits = self._call.service.engine
+        if self.handle is None or self.source is None or engine_traits is None:
             return 0.0
-        age_s = trio.current_time() - self.handle.made_at
-        return max(0.0, _HANDLE_SHARE * traits.handle_lifetime_s - age_s)
+        age_s = trio.current_time() - self.handle.created_at
+        return max(0.0, _SAFE_LIFETIME_SHARE * engine_traits.handle_lifetime_s - age_s)
 
     async def run(self, data_centre: str) -> Refusal | None:
-        """Have the prompt computed; without any prefill endpoint the decode does it."""
+        """Have a prefill endpoint compute the prompt.
+
+        Args:
+            data_centre: The data centre of the decode endpoint.
+
+        Returns:
+            The refusal of the call; None if the stream can start. Without an available prefill
+            endpoint the decode endpoint computes the prompt.
+        """
         call, parts = self._call, self._parts
-        unreachable = 0
+        unreachable_count = 0
         while self.handle is None:
-            barred = call.bar()
-            if barred is not None:
-                return barred
+            call_refusal = call.bar()
+            if call_refusal is not None:
+                return call_refusal
             seeker = call.seeker()
             endpoint = place_prefill(
                 call.service.name,
@@ -114,74 +132,75 @@
             if endpoint is None:
                 call.log("has its prompt computed by the decode")
                 return None
-            if self._prefills and not self._may_prefill_again():
+            if self._attempts and not self._may_retry():
                 return call.failure("no prefill came to an end", _RETRY_AFTER_S)
-            # The result of an earlier one lapsed, or went down with its decode.
-            if self.was_computed and not self._prefills and not call.spend("prefill"):
+            # The result of an earlier prefill expired or was lost with its decode endpoint.
+            if self.was_computed and not self._attempts and not call.spend("prefill"):
                 return call.failure("the retry budget is empty", _RETRY_AFTER_S)
             try:
                 await self._prefill_at(endpoint)
             except EndpointUnreachableError as error:
                 call.note_failure(endpoint, error)
-                unreachable += 1
-                if unreachable >= _MOST_UNREACHABLE:
+                unreachable_count += 1
+                if unreachable_count >= _MAX_UNREACHABLE:
                     return None
             except trio.TooSlowError:
-                # It may just be busy: a queue says nothing against it.
-                self._prefills += 1
+                # A long queue explains the delay, so the endpoint is not marked as failed.
+                self._attempts += 1
                 call.excluded.add(endpoint.name)
                 call.log("waited too long for its prefill", endpoint=endpoint.name)
             except EndpointError as error:
-                self._prefills += 1
+                self._attempts += 1
                 call.note_failure(endpoint, error)
                 await call.settle(endpoint)
         return None
 
-    def _may_prefill_again(self) -> bool:
+    def _may_retry(self) -> bool:
         return self._call.may_try_another() and self._call.spend("prefill")
 
     async def _prefill_at(self, endpoint: RoutedEndpoint) -> None:
         """Have one endpoint compute the prompt.
 
         Raises:
-            EndpointError: It did not.
+            EndpointError: The endpoint failed or refused the prefill.
+            trio.TooSlowError: The prefill took too long and was cancelled.
         """
         call, parts = self._call, self._parts
-        key = f"{call.inbound.request_id}/{self._prefills}/p"
+        key = f"{call.inbound.request_id}/{self._attempts}/p"
         now = trio.current_time()
         tokens = call.inbound.prompt_tokens
         pace = parts.capacity.pace(call.service.name)
         queue_s = parts.capacity.begins_in_s(endpoint.name, now)
         usual_s = pace.prompt_s(tokens)
         expected_s = queue_s + usual_s / parts.capacity.speed(endpoint.name, now)
-        work = Reservation(endpoint.name, Role.PREFILL, tokens, now + expected_s, expected_s)
-        parts.capacity.reserve(key, work)
+        reservation = Reservation(endpoint.name, Role.PREFILL, tokens, now + expected_s, expected_s)
+        parts.capacity.reserve(key, reservation)
         parts.on_work(key)
         upload = call.upload_to(endpoint)
         try:
             due_at = parts.capacity.limits.book(key, endpoint.name, now)
             handle = await run_watched(
-                lambda: self._ask_in_turn(endpoint, due_at, upload),
-                lambda leave: self._leave_when_late(upload, expected_s + _PREFILL_SLACK_S, leave),
+                lambda: self._request_when_allowed(endpoint, due_at, upload),
+                lambda scope: self._cancel_when_late(upload, expected_s + _TIMEOUT_MARGIN_S, scope),
             )
             if handle is None:
-                call.note_silent(endpoint, upload, expected_s + _PREFILL_SLACK_S)
+                call.note_silent(endpoint, upload, expected_s + _TIMEOUT_MARGIN_S)
                 raise trio.TooSlowError
             self.handle = handle
             self.was_computed = True
-            taken_s = trio.current_time() - now
-            call.note_read(endpoint, upload, taken_s)
+            elapsed_s = trio.current_time() - now
+            call.note_read(endpoint, upload, elapsed_s)
             call.log(
                 "is prefilled",
                 endpoint=endpoint.name,
-                took_ms=int(1000 * taken_s),
+                took_ms=int(1000 * elapsed_s),
                 expected_ms=int(1000 * expected_s),
                 queue_ms=int(1000 * queue_s),
             )
-            parts.metrics.observe_prefill(taken_s)
+            parts.metrics.observe_prefill(elapsed_s)
             served_s = call.served_s(upload, now)
             if served_s is not None:
-                self._note_served(endpoint, queue_s, served_s)
+                self._record_speed(endpoint, queue_s, served_s)
             parts.capacity.note_success(endpoint.name, trio.current_time())
             parts.capacity.note_room(endpoint.name)
         finally:
@@ -189,96 +208,106 @@
             parts.capacity.limits.give_up(key, trio.current_time())
             parts.on_work(key)
 
-    async def _ask_in_turn(self, endpoint: RoutedEndpoint, due_at: float, upload: Upload) -> Handle:
-        """Wait until the endpoint's limit allows it, and have the prompt computed."""
+    async def _request_when_allowed(
+        self, endpoint: RoutedEndpoint, due_at: float, upload: Upload
+    ) -> KvHandle:
+        """Wait until the endpoint's rate limit allows the prefill, then request it."""
         wait_s = due_at - trio.current_time()
         if wait_s > 0:
             self._call.log_turn(endpoint, wait_s)
             await trio.sleep_until(due_at)
-        return await self._ask_prefill(endpoint, upload)
+        return await self._request_prefill(endpoint, upload)
 
-    async def _leave_when_late(
-        self, upload: Upload, patience_s: float, leave: trio.CancelScope
+    async def _cancel_when_late(
+        self, upload: Upload, timeout_s: float, scope: trio.CancelScope
     ) -> None:
-        """Have an endpoint left that has had the prompt for too long, or the call's time is over.
+        """Cancel a prefill that takes too long, or whose call reached its deadline.
 
-        Without the prompt's own time on a narrow link, two prefills were left while it was on its
-        way to them, and the caller got 504.
+        The timeout starts when the endpoint should have read the prompt. When it started earlier,
+        two prefills were cancelled during the upload over a slow link, and the caller got 504.
         """
-        began_at = trio.current_time()
+        started_at = trio.current_time()
         while True:
-            due_at = min(self._call.deadline, max(began_at, upload.read_by) + patience_s)
+            due_at = min(self._call.deadline, max(started_at, upload.read_by) + timeout_s)
             if due_at <= trio.current_time():
-                leave.cancel()
+                scope.cancel()
                 return
             await sleep_and_read(due_at)
 
-    def _note_served(self, endpoint: RoutedEndpoint, queue_s: float, served_s: float) -> None:
-        """Learn how fast the endpoint, and its service, compute a prompt that they have."""
+    def _record_speed(self, endpoint: RoutedEndpoint, queue_s: float, served_s: float) -> None:
+        """Record the prefill speed of the endpoint and its service, without the upload time."""
         capacity = self._parts.capacity
         pace = capacity.pace(self._call.service.name)
         tokens = self._call.inbound.prompt_tokens
         usual_s = pace.prompt_s(tokens)
-        seconds = max(0.0, served_s - _PREFILL_BASE_S)
-        # An endpoint that turned sick is told of, also where its speed is known.
+        prefill_s = max(0.0, served_s - _CALL_OVERHEAD_S)
+        # An endpoint that became slow is reported to peers even if its speed is already known.
         if served_s > _SLOW_FACTOR * (queue_s + usual_s) + _SLOW_BASE_S:
             self._call.note_slow(endpoint, served_s)
-        if pace.is_known and queue_s < _SHORT_QUEUE_SHARE * usual_s:
+        if pace.is_known and queue_s < _MAX_QUEUE_SHARE * usual_s:
             now = trio.current_time()
-            capacity.note_duration(endpoint.name, PaceKind.PROMPT, seconds - queue_s, usual_s, now)
-        pace.note_prompt(tokens, queue_s, seconds)
+            capacity.note_duration(
+                endpoint.name, PaceKind.PROMPT, prefill_s - queue_s, usual_s, now
+            )
+        pace.note_prompt(tokens, queue_s, prefill_s)
 
-    async def _ask_prefill(self, endpoint: RoutedEndpoint, upload: Upload) -> Handle:
+    async def _request_prefill(self, endpoint: RoutedEndpoint, upload: Upload) -> KvHandle:
         call, parts = self._call, self._parts
         call.note_begun()
 
-        def make() -> OutgoingRequest:
+        def make_request() -> OutgoingRequest:
             return parts.protocol.forward(
                 call.inbound, endpoint, call.left_s, prefill=True, priority=call.told_priority
             )
 
         reply = await parts.pool.call(
-            endpoint, IDLE_LIMIT_S, make, _MOST_REPLY_BYTES, upload=upload
+            endpoint, IDLE_LIMIT_S, make_request, _MAX_REPLY_BYTES, upload=upload
         )
         return self._read_handle(endpoint, reply.head, reply.body)
 
-    def _read_handle(self, endpoint: RoutedEndpoint, head: ReplyHead, body: bytes) -> Handle:
+    def _read_handle(self, endpoint: RoutedEndpoint, head: ReplyHead, body: bytes) -> KvHandle:
         call, parts = self._call, self._parts
         if parts.protocol.not_run(head):
             call.note_refused(endpoint, head)
-            raise EndpointRefusedError("the prefill was refused")
+            raise EndpointRefusedError("the endpoint refused the prefill")
         if not parts.protocol.belongs(head, call.inbound) or head.status != 200:
-            raise OutcomeUnknownError(f"no answer to this prefill, status {head.status}")
+            raise OutcomeUnknownError(f"invalid answer to the prefill, status {head.status}")
         try:
             handle = str(msgspec.json.decode(body)[parts.protocol.paths.prefill_handle_field])
         except (msgspec.MsgspecError, KeyError, TypeError) as error:
-            raise OutcomeUnknownError("the prefill's answer is not understood") from error
+            raise OutcomeUnknownError("the prefill answer has no valid KV handle") from error
         source = KvSource(endpoint.address, handle)
-        return Handle(endpoint, source, trio.current_time())
+        return KvHandle(endpoint, source, trio.current_time())
 
     def drop(self, fate: str) -> None:
-        """Forget the handle; one that was not taken is freed."""
+        """Discard the handle, and free it at its endpoint unless a decode took it.
+
+        Args:
+            fate: Label of the metric of handles: what became of the handle.
+        """
         handle, self.handle = self.handle, None
         if handle is None:
             return
         self._parts.metrics.count_handle(fate)
         if fate != "taken" and not self._parts.capacity.is_over(handle.endpoint):
-            self._parts.spawn(self._free, handle)
+            self._parts.spawn(self._free_handle, handle)
 
-    async def _free(self, handle: Handle) -> None:
-        """Have an endpoint free what a prefill left there."""
+    async def _free_handle(self, handle: KvHandle) -> None:
+        """Have the endpoint free the KV cache of a result that was not used."""
         parts = self._parts
         path = parts.protocol.paths.handle.format(handle.source.handle)
         endpoint = handle.endpoint
 
-        def make() -> OutgoingRequest:
+        def make_request() -> OutgoingRequest:
             return parts.protocol.own_call(b"DELETE", path, endpoint)
 
-        for _ in range(_FREE_TRIES):
+        for _ in range(_MAX_FREE_ATTEMPTS):
             try:
                 async with own_turn(parts.capacity, endpoint, f"free/{handle.source.handle}"):
-                    with trio.fail_after(_PREFILL_SLACK_S):
-                        await parts.pool.call(endpoint, IDLE_LIMIT_S, make, _MOST_REPLY_BYTES)
+                    with trio.fail_after(_TIMEOUT_MARGIN_S):
+                        await parts.pool.call(
+                            endpoint, IDLE_LIMIT_S, make_request, _MAX_REPLY_BYTES
+                        )
                 return
             except (EndpointError, trio.TooSlowError):
-                await trio.sleep(_FREE_PAUSE_S)
+                await trio.sleep(_FREE_RETRY_PAUSE_S)
