--- a/cleatlink/quarantine/evidence.py
+++ b/cleatlink/quarantine/evidence.py
@@ -1,17 +1,17 @@
-"""Which requests were in progress at endpoints that crashed, and which of them are to blame.
+"""Records which requests were in progress at endpoints that crashed, and attributes the crashes.
 
-A crash ends everything that runs on an endpoint, so that one alone tells little. A request
-that causes it is there at each crash that it causes; what runs beside it is there by chance,
-and is served elsewhere when it comes again. So each crash is put down to the one of its requests
-that was at the most crashes, and to none as long as several were at as many. A request that
-ran to its end, anywhere, is cleared of all crashes so far.
+A crash ends all requests in progress at an endpoint, so a single crash does not show which of them
+caused it. The cause is in progress at every crash that it causes. Other requests are there by
+chance, and complete at another endpoint when they are retried. So each crash is attributed to the
+suspect that was in progress at the most crashes, and to none while several suspects share the
+highest count. A request that completed, at any endpoint, is cleared of all crashes so far.
 
-Crashes count for a request one after the other: endpoints that go down together take copies
-of one request with them, and that is a single chance. A crash counts only if the request
-was begun there after the one before had happened.
+Crashes that happen together count only once for a request: copies of one request may be in progress
+at several endpoints that fail at the same time by chance. A crash counts for a request only if the
+request started at that endpoint after the last crash that counted.
 
-The evidence is a set that only grows until it is forgotten: reports may come in any order,
-late, more than once and from anybody, and the same reports give the same verdict.
+The evidence is a set that only grows until it expires. Reports may arrive in any order, late,
+repeatedly and from any instance, and the same reports lead to the same result.
 """
 
 import math
@@ -21,21 +21,21 @@
 
 __all__ = ["Blame", "CrashEvidence", "CrashReport"]
 
-# Crashes that are remembered, the newest: at one crash a minute those of the last hour.
-_MOST_CRASHES = 64
-# Requests that are remembered of one crash: twice what large engines run at once.
-_MOST_REQUESTS = 128
+# Only the newest crashes are kept: at one crash a minute, those of the last hour.
+_MAX_CRASHES = 64
+# Requests kept for one crash: twice the number that large engines run at once.
+_MAX_REQUESTS = 128
 
 
 class CrashReport(NamedTuple):
-    """What is told of one crash.
+    """Report of one crash, as exchanged between instances.
 
     Attributes:
-        life: The endpoint's name for the life that ended; each life crashes once.
+        life: Name of the endpoint's incarnation that crashed; an incarnation crashes only once.
         age_s: Seconds since the crash.
-        suspects: Identities of requests that were in progress there, with the seconds for which
-            they had been.
-        cleared: Identities of those that ran to their end since, there or elsewhere.
+        suspects: Identities of the requests in progress at the crash, each with the seconds for
+            which it had been in progress.
+        cleared: Identities of requests that completed since, at any endpoint.
     """
 
     life: str
@@ -45,12 +45,12 @@
 
 
 class Blame(NamedTuple):
-    """What is put down to a request.
+    """Crashes that are attributed to a request.
 
     Attributes:
-        lives: Endpoints' lives that it ended, as far as the evidence goes.
-        crashes: How many of them it ended one after the other.
-        last_at: When the last of them ended; minus infinity for none.
+        lives: Endpoint incarnations that the request crashed according to the evidence.
+        crashes: Number of these crashes, where crashes that happened together count once.
+        last_at: Time of the last of these crashes; minus infinity without any.
     """
 
     lives: tuple[str, ...] = ()
@@ -58,28 +58,32 @@
     last_at: float = -math.inf
 
 
-_NO_BLAME = Blame()
+_NO_CRASHES = Blame()
 
 
 class _Crash:
-    """One crash as known here; a request is either suspected or cleared."""
+    """One known crash; each of its requests is either a suspect or cleared."""
 
-    __slots__ = ("at", "cleared", "suspects")
+    __slots__ = ("cleared", "crashed_at", "suspects")
 
-    def __init__(self, at: float) -> None:
-        self.at = at
-        # Seconds for which each had been in progress, the least of several copies.
+    def __init__(self, crashed_at: float) -> None:
+        self.crashed_at = crashed_at
+        # Seconds for which each had been in progress; of several copies, the shortest time.
         self.suspects: dict[bytes, float] = {}
         self.cleared: set[bytes] = set()
 
     def add(self, suspects: Mapping[bytes, float]) -> bool:
-        """Add suspects up to the bound; tells whether there was anything new."""
+        """Add suspects up to the maximum number.
+
+        Returns:
+            Whether anything was new.
+        """
         is_new = False
         for request, seconds in sorted(suspects.items()):
             if request in self.cleared:
                 continue
             known = self.suspects.get(request)
-            if known is None and len(self.suspects) + len(self.cleared) >= _MOST_REQUESTS:
+            if known is None and len(self.suspects) + len(self.cleared) >= _MAX_REQUESTS:
                 continue
             if known is None or seconds < known:
                 self.suspects[request] = seconds
@@ -87,124 +91,153 @@
         return is_new
 
     def clear(self, requests: Iterable[bytes]) -> bool:
-        """Clear requests, also such as are not known yet; tells whether one was a suspect."""
+        """Clear requests, also unknown ones, so that no later report makes them suspects.
+
+        Returns:
+            Whether one of them was a suspect.
+        """
         is_new = False
         for request in requests:
             is_new |= self.suspects.pop(request, None) is not None
-            if len(self.suspects) + len(self.cleared) < _MOST_REQUESTS:
+            if len(self.suspects) + len(self.cleared) < _MAX_REQUESTS:
                 self.cleared.add(request)
         return is_new
 
 
 class CrashEvidence:
-    """All crashes that are remembered; every method takes the time as an argument."""
+    """The known crashes; methods that depend on the time get it as an argument."""
 
-    def __init__(self, keep_s: float) -> None:
-        """Start without any.
+    def __init__(self, retention_s: float) -> None:
+        """Start without crashes.
 
         Args:
-            keep_s: Seconds for which a crash is remembered.
+            retention_s: Seconds for which a crash is kept.
         """
-        self._keep_s = keep_s
+        self._retention_s = retention_s
         self._crashes: dict[str, _Crash] = {}
-        self._blames: dict[bytes, Blame] | None = None
+        self._attributed: dict[bytes, Blame] | None = None
         self._counts: Counter[bytes] = Counter()
 
     def __len__(self) -> int:
         return len(self._crashes)
 
     def add(self, report: CrashReport, now: float) -> bool:
-        """Take a report in; tells whether it had anything new."""
-        if report.age_s >= self._keep_s or not (report.suspects or report.cleared):
+        """Add a report.
+
+        Returns:
+            Whether anything in it was new.
+        """
+        if report.age_s >= self._retention_s or not (report.suspects or report.cleared):
             return False
-        at = now - report.age_s
+        crashed_at = now - report.age_s
         crash = self._crashes.get(report.life)
         if crash is None:
-            crash = self._crashes[report.life] = _Crash(at)
-        # Reports that were long on their way seem younger than they are.
-        crash.at = min(crash.at, at)
+            crash = self._crashes[report.life] = _Crash(crashed_at)
+        # The age in a report is too low by the time for which it was in transit.
+        crash.crashed_at = min(crash.crashed_at, crashed_at)
         is_new = crash.add(report.suspects)
         is_new |= crash.clear(report.cleared)
         if is_new:
             self._drop_oldest()
-            self._blames = None
+            self._attributed = None
         return is_new
 
     def clear(self, identity: bytes) -> list[str]:
-        """Clear a request of all crashes so far; gives the lives where it was suspected."""
-        lives = [life for life, crash in self._crashes.items() if identity in crash.suspects]
-        for life in lives:
-            self._crashes[life].clear((identity,))
-        if lives:
-            self._blames = None
-        return lives
+        """Clear a request of all crashes so far.
+
+        Returns:
+            The crashed incarnations at which it was a suspect.
+        """
+        incarnations = [
+            incarnation
+            for incarnation, crash in self._crashes.items()
+            if identity in crash.suspects
+        ]
+        for incarnation in incarnations:
+            self._crashes[incarnation].clear((identity,))
+        if incarnations:
+            self._attributed = None
+        return incarnations
 
     def forget(self, now: float) -> None:
-        """Forget crashes that are long ago."""
-        old = [life for life, item in self._crashes.items() if now - item.at >= self._keep_s]
-        for life in old:
-            del self._crashes[life]
-        if old:
-            self._blames = None
+        """Remove crashes that are older than the retention time."""
+        expired = [
+            incarnation
+            for incarnation, item in self._crashes.items()
+            if now - item.crashed_at >= self._retention_s
+        ]
+        for incarnation in expired:
+            del self._crashes[incarnation]
+        if expired:
+            self._attributed = None
 
     def suspicion(self, identity: bytes) -> int:
-        """Give at how many crashes, one after the other, a request was without being cleared."""
-        self._judge()
+        """Return how many crashes count against a request, without those it is cleared of."""
+        self._attribute_crashes()
         return self._counts[identity]
 
     def blame(self, identity: bytes) -> Blame:
-        """Give the crashes that are put down to a request."""
-        return self._judge().get(identity, _NO_BLAME)
+        """Return the crashes that are attributed to a request."""
+        return self._attribute_crashes().get(identity, _NO_CRASHES)
 
     def blames(self) -> dict[bytes, Blame]:
-        """Give what is put down to each request that has any."""
-        return dict(self._judge())
+        """Return the attributed crashes of each request that has any."""
+        return dict(self._attribute_crashes())
 
-    def report(self, life: str, now: float) -> CrashReport | None:
-        """Give what is known of a crash."""
-        crash = self._crashes.get(life)
+    def report(self, incarnation: str, now: float) -> CrashReport | None:
+        """Return a report of a crash; None if the crash is not known."""
+        crash = self._crashes.get(incarnation)
         if crash is None:
             return None
-        return CrashReport(life, now - crash.at, dict(crash.suspects), frozenset(crash.cleared))
+        return CrashReport(
+            incarnation, now - crash.crashed_at, dict(crash.suspects), frozenset(crash.cleared)
+        )
 
     def lives(self) -> list[str]:
-        """Give the lives that ended, the newest first."""
-        return sorted(self._crashes, key=lambda life: -self._crashes[life].at)
+        """Return the crashed incarnations, the newest crash first."""
+        return sorted(self._crashes, key=lambda incarnation: -self._crashes[incarnation].crashed_at)
 
-    def _judge(self) -> dict[bytes, Blame]:
-        """Put each crash down to the one of its requests that was at the most crashes.
+    def _attribute_crashes(self) -> dict[bytes, Blame]:
+        """Attribute each crash to its suspect with the highest crash count.
 
-        What can't be told apart is not held back: of six requests that came again beside one
-        that crashed endpoints, some shared its first three crashes and were refused with it.
+        A crash whose highest count is shared by several suspects is attributed to none. Otherwise
+        innocent requests would be quarantined: of six requests that were retried beside one that
+        crashed endpoints, some shared its first three crashes and were refused with it.
         """
-        if self._blames is not None:
-            return self._blames
-        ordered = sorted(self._crashes.items(), key=lambda item: item[1].at)
-        self._counts = _count([crash for _, crash in ordered])
-        blamed: dict[bytes, list[tuple[str, _Crash]]] = {}
-        for life, crash in ordered:
-            most = max((self._counts[request] for request in crash.suspects), default=0)
-            first = [request for request in crash.suspects if self._counts[request] == most]
-            if len(first) == 1:
-                blamed.setdefault(first[0], []).append((life, crash))
-        self._blames = {
+        if self._attributed is not None:
+            return self._attributed
+        ordered = sorted(self._crashes.items(), key=lambda item: item[1].crashed_at)
+        self._counts = _count_crashes([crash for _, crash in ordered])
+        crashes_by_request: dict[bytes, list[tuple[str, _Crash]]] = {}
+        for incarnation, crash in ordered:
+            highest = max((self._counts[request] for request in crash.suspects), default=0)
+            top_suspects = [
+                request for request in crash.suspects if self._counts[request] == highest
+            ]
+            if len(top_suspects) == 1:
+                crashes_by_request.setdefault(top_suspects[0], []).append((incarnation, crash))
+        self._attributed = {
             request: Blame(
-                tuple(life for life, _ in found),
-                _count([crash for _, crash in found])[request],
-                found[-1][1].at,
+                tuple(incarnation for incarnation, _ in attributed),
+                _count_crashes([crash for _, crash in attributed])[request],
+                attributed[-1][1].crashed_at,
             )
-            for request, found in blamed.items()
+            for request, attributed in crashes_by_request.items()
         }
-        return self._blames
+        return self._attributed
 
     def _drop_oldest(self) -> None:
-        while len(self._crashes) > _MOST_CRASHES:
-            oldest = min(self._crashes, key=lambda life: self._crashes[life].at)
+        while len(self._crashes) > _MAX_CRASHES:
+            oldest = min(
+                self._crashes, key=lambda incarnation: self._crashes[incarnation].crashed_at
+            )
             del self._crashes[oldest]
 
 
-def _count(crashes: Iterable[_Crash]) -> Counter[bytes]:
-    """Count for each suspect the crashes that it was begun at after the one before.
+def _count_crashes(crashes: Iterable[_Crash]) -> Counter[bytes]:
+    """Count the crashes of each suspect, where crashes that happened together count once.
+
+    A crash counts if the request started at that endpoint after the last crash that counted.
 
     Args:
         crashes: The crashes, the oldest first.
@@ -213,7 +246,7 @@
     last_at: dict[bytes, float] = {}
     for crash in crashes:
         for request, seconds in crash.suspects.items():
-            if crash.at - seconds > last_at.get(request, -math.inf):
+            if crash.crashed_at - seconds > last_at.get(request, -math.inf):
                 counts[request] += 1
-                last_at[request] = crash.at
+                last_at[request] = crash.crashed_at
     return counts
--- a/cleatlink/quarantine/evidence_test.py
+++ b/cleatlink/quarantine/evidence_test.py
@@ -1,4 +1,4 @@
-"""Which request a crash is put down to, in whatever order and however often news of it come."""
+"""Tests of the attribution of crashes to requests, for any order and repetition of reports."""
 
 import random
 
@@ -7,14 +7,14 @@
 
 from cleatlink.quarantine import CrashEvidence, CrashReport
 
-KEEP_S = 3600.0
-GUILTY, OTHER = b"guilty", b"other"
+RETENTION_S = 3600.0
+CRASHER, SECOND_CRASHER = b"guilty", b"other"
 NAMES = [b"a", b"b", b"c", b"d", b"e"]
 
 reports = st.lists(
     st.builds(
-        lambda life, age_s, suspects, cleared: CrashReport(
-            f"life-{life}", age_s, suspects, cleared
+        lambda number, age_s, suspects, cleared: CrashReport(
+            f"incarnation-{number}", age_s, suspects, cleared
         ),
         st.integers(0, 5),
         st.floats(0.0, 100.0),
@@ -25,156 +25,171 @@
 )
 
 
-def crash(life: str, *requests: bytes, age_s: float | None = None) -> CrashReport:
-    """Give a crash; of those with a number the higher is the later, one each second."""
+def crash_report(incarnation: str, *requests: bytes, age_s: float | None = None) -> CrashReport:
+    """Return a report of a crash; without an age, crash N + 1 is one second after crash N."""
     if age_s is None:
-        age_s = 100.0 - int(life)
-    return CrashReport(life, age_s, dict.fromkeys(requests, 0.1))
+        age_s = 100.0 - int(incarnation)
+    return CrashReport(incarnation, age_s, dict.fromkeys(requests, 0.1))
 
 
-def collect(*told: CrashReport, now: float = 1000.0) -> CrashEvidence:
-    evidence = CrashEvidence(KEEP_S)
-    for report in told:
+def collect_evidence(*given_reports: CrashReport, now: float = 1000.0) -> CrashEvidence:
+    evidence = CrashEvidence(RETENTION_S)
+    for report in given_reports:
         evidence.add(report, now)
     return evidence
 
 
-def count(evidence: CrashEvidence, identity: bytes) -> int:
+def crash_count(evidence: CrashEvidence, identity: bytes) -> int:
     return len(evidence.blame(identity).lives)
 
 
-def test_crash_is_put_down_to_the_request_that_was_at_the_most() -> None:
-    evidence = collect(
-        crash("1", GUILTY, b"a", b"b"), crash("2", GUILTY, b"a"), crash("3", GUILTY, b"c")
+def test_crash_is_attributed_to_the_request_with_the_most_crashes() -> None:
+    evidence = collect_evidence(
+        crash_report("1", CRASHER, b"a", b"b"),
+        crash_report("2", CRASHER, b"a"),
+        crash_report("3", CRASHER, b"c"),
     )
-    assert [count(evidence, name) for name in (GUILTY, b"a", b"b", b"c")] == [3, 0, 0, 0]
-    assert evidence.blame(GUILTY).lives == ("1", "2", "3")
-
-
-def test_request_beside_two_guilty_ones_is_not_to_blame() -> None:
-    evidence = collect(
-        crash("1", GUILTY, b"a"),
-        crash("2", OTHER, b"a"),
-        crash("3", GUILTY, b"b"),
-        crash("4", OTHER, b"c"),
-        crash("5", GUILTY),
-        crash("6", OTHER, b"a"),
+    assert [crash_count(evidence, name) for name in (CRASHER, b"a", b"b", b"c")] == [3, 0, 0, 0]
+    assert evidence.blame(CRASHER).lives == ("1", "2", "3")
+
+
+def test_request_beside_two_crashing_requests_has_no_crash_attributed() -> None:
+    evidence = collect_evidence(
+        crash_report("1", CRASHER, b"a"),
+        crash_report("2", SECOND_CRASHER, b"a"),
+        crash_report("3", CRASHER, b"b"),
+        crash_report("4", SECOND_CRASHER, b"c"),
+        crash_report("5", CRASHER),
+        crash_report("6", SECOND_CRASHER, b"a"),
     )
-    assert [evidence.suspicion(name) for name in (GUILTY, OTHER, b"a")] == [3, 3, 3]
-    assert [count(evidence, name) for name in (GUILTY, OTHER)] == [2, 1]
-    evidence.add(crash("7", GUILTY), 1000.0)
-    evidence.add(crash("8", OTHER), 1000.0)
-    assert [count(evidence, name) for name in (GUILTY, OTHER)] == [4, 4]
-    # At three crashes like both of them, but at each with one that is.
-    assert count(evidence, b"a") == 0
-
-
-def test_nobody_is_held_for_a_crash_that_two_were_at_alike() -> None:
-    both = [crash(str(number), GUILTY, b"a") for number in range(3)]
-    evidence = collect(*both)
-    assert [count(evidence, name) for name in (GUILTY, b"a")] == [0, 0]
-    evidence.add(crash("3", GUILTY), 1000.0)
-    assert [count(evidence, name) for name in (GUILTY, b"a")] == [4, 0]
-
-
-def test_endpoints_that_go_down_together_count_once() -> None:
-    together = [
-        CrashReport(f"{number}", 10.0 - number / 10, {GUILTY: 1.0, b"a": 2.0})
+    assert [evidence.suspicion(name) for name in (CRASHER, SECOND_CRASHER, b"a")] == [3, 3, 3]
+    assert [crash_count(evidence, name) for name in (CRASHER, SECOND_CRASHER)] == [2, 1]
+    evidence.add(crash_report("7", CRASHER), 1000.0)
+    evidence.add(crash_report("8", SECOND_CRASHER), 1000.0)
+    assert [crash_count(evidence, name) for name in (CRASHER, SECOND_CRASHER)] == [4, 4]
+    # It was at three crashes, but at each of them beside a request with a higher count.
+    assert crash_count(evidence, b"a") == 0
+
+
+def test_crash_is_not_attributed_while_two_requests_share_the_highest_count() -> None:
+    shared_crashes = [crash_report(str(number), CRASHER, b"a") for number in range(3)]
+    evidence = collect_evidence(*shared_crashes)
+    assert [crash_count(evidence, name) for name in (CRASHER, b"a")] == [0, 0]
+    evidence.add(crash_report("3", CRASHER), 1000.0)
+    assert [crash_count(evidence, name) for name in (CRASHER, b"a")] == [4, 0]
+
+
+def test_simultaneous_crashes_count_once() -> None:
+    simultaneous_crashes = [
+        CrashReport(f"{number}", 10.0 - number / 10, {CRASHER: 1.0, b"a": 2.0})
         for number in range(5)
     ]
-    evidence = collect(*together)
-    assert evidence.suspicion(GUILTY) == 1
-    # What was begun after those had crashed counts anew, wherever a copy of it still ran.
-    evidence.add(CrashReport("5", 5.0, {GUILTY: 1.0}), 1000.0)
-    evidence.add(CrashReport("6", 4.9, {GUILTY: 3.0}), 1000.0)
-    assert evidence.suspicion(GUILTY) == 2
-    evidence.add(CrashReport("6", 4.9, {GUILTY: 0.05}), 1000.0)
-    assert evidence.suspicion(GUILTY) == 3
-    assert evidence.blame(GUILTY).crashes == 3
-
-
-def test_request_that_ran_to_its_end_is_cleared_and_stays_so() -> None:
-    evidence = collect(crash("1", GUILTY, b"a"))
+    evidence = collect_evidence(*simultaneous_crashes)
+    assert evidence.suspicion(CRASHER) == 1
+    # A crash counts again if the request started there after the last crash that counted, and not
+    # if an older copy was in progress there.
+    evidence.add(CrashReport("5", 5.0, {CRASHER: 1.0}), 1000.0)
+    evidence.add(CrashReport("6", 4.9, {CRASHER: 3.0}), 1000.0)
+    assert evidence.suspicion(CRASHER) == 2
+    evidence.add(CrashReport("6", 4.9, {CRASHER: 0.05}), 1000.0)
+    assert evidence.suspicion(CRASHER) == 3
+    assert evidence.blame(CRASHER).crashes == 3
+
+
+def test_completed_request_is_cleared_of_earlier_crashes_for_good() -> None:
+    evidence = collect_evidence(crash_report("1", CRASHER, b"a"))
     assert evidence.clear(b"a") == ["1"]
     assert evidence.clear(b"a") == []
-    evidence.add(crash("1", b"a", GUILTY, age_s=1.0), 1001.0)
+    evidence.add(crash_report("1", b"a", CRASHER, age_s=1.0), 1001.0)
     assert not evidence.suspicion(b"a")
-    assert evidence.suspicion(GUILTY)
-    evidence.add(crash("2", b"a"), 1002.0)
+    assert evidence.suspicion(CRASHER)
+    evidence.add(crash_report("2", b"a"), 1002.0)
     assert evidence.suspicion(b"a")
 
 
 @given(reports, st.randoms(use_true_random=False))
-def test_order_and_repetition_change_nothing(told: list[CrashReport], rng: random.Random) -> None:
-    first = collect(*told)
-    again = [*told, *rng.choices(told, k=5)] if told else []
-    rng.shuffle(again)
-    second = collect(*again)
+def test_order_and_repetition_of_reports_do_not_matter(
+    given_reports: list[CrashReport], rng: random.Random
+) -> None:
+    first = collect_evidence(*given_reports)
+    repeated = [*given_reports, *rng.choices(given_reports, k=5)] if given_reports else []
+    rng.shuffle(repeated)
+    second = collect_evidence(*repeated)
     for name in NAMES:
         assert set(first.blame(name).lives) == set(second.blame(name).lives)
         assert first.suspicion(name) == second.suspicion(name)
-    for life in first.lives():
-        known, other = first.report(life, 1000.0), second.report(life, 1000.0)
+    for incarnation in first.lives():
+        known, other = first.report(incarnation, 1000.0), second.report(incarnation, 1000.0)
         assert known == other
 
 
 @given(reports, reports, reports)
-def test_instances_that_tell_each_other_agree(
-    one: list[CrashReport], two: list[CrashReport], three: list[CrashReport]
+def test_instances_that_exchange_reports_agree(
+    first_reports: list[CrashReport],
+    second_reports: list[CrashReport],
+    third_reports: list[CrashReport],
 ) -> None:
-    groups = [collect(*one), collect(*two), collect(*three)]
+    groups = [
+        collect_evidence(*first_reports),
+        collect_evidence(*second_reports),
+        collect_evidence(*third_reports),
+    ]
     for _ in range(2):
-        for teller in groups:
-            for life in teller.lives():
-                report = teller.report(life, 1000.0)
+        for sender in groups:
+            for incarnation in sender.lives():
+                report = sender.report(incarnation, 1000.0)
                 assert report is not None
-                for listener in groups:
-                    listener.add(report, 1000.0)
+                for receiver in groups:
+                    receiver.add(report, 1000.0)
     for name in NAMES:
-        blames = {frozenset(evidence.blame(name).lives) for evidence in groups}
-        assert len(blames) == 1
+        attributions = {frozenset(evidence.blame(name).lives) for evidence in groups}
+        assert len(attributions) == 1
 
 
 @given(reports)
-def test_nobody_is_blamed_for_more_than_it_was_at(told: list[CrashReport]) -> None:
-    evidence = collect(*told)
+def test_crash_is_only_attributed_to_an_uncleared_suspect_without_a_tie(
+    given_reports: list[CrashReport],
+) -> None:
+    evidence = collect_evidence(*given_reports)
     for name in NAMES:
-        there = {report.life for report in told if name in report.suspects}
-        cleared = {report.life for report in told if name in report.cleared}
-        assert set(evidence.blame(name).lives) <= there - cleared
-    blamed = {life for name in NAMES for life in evidence.blame(name).lives}
-    for life in set(evidence.lives()) - blamed:
-        report = evidence.report(life, 1000.0)
+        suspected_at = {report.life for report in given_reports if name in report.suspects}
+        cleared = {report.life for report in given_reports if name in report.cleared}
+        assert set(evidence.blame(name).lives) <= suspected_at - cleared
+    attributed_incarnations = {
+        incarnation for name in NAMES for incarnation in evidence.blame(name).lives
+    }
+    for incarnation in set(evidence.lives()) - attributed_incarnations:
+        report = evidence.report(incarnation, 1000.0)
         assert report is not None
-        alike = [evidence.suspicion(name) for name in report.suspects]
-        assert not alike or alike.count(max(alike)) > 1
+        counts = [evidence.suspicion(name) for name in report.suspects]
+        assert not counts or counts.count(max(counts)) > 1
 
 
-def test_memory_is_bounded_whatever_is_told() -> None:
-    evidence = CrashEvidence(KEEP_S)
+def test_memory_is_bounded_for_any_reports() -> None:
+    evidence = CrashEvidence(RETENTION_S)
     for number in range(500):
         names = [b"%d-%d" % (number, index) for index in range(300)]
-        report = CrashReport(f"life-{number}", 0.0, dict.fromkeys(names, 0.1))
+        report = CrashReport(f"incarnation-{number}", 0.0, dict.fromkeys(names, 0.1))
         evidence.add(report, float(number))
     assert len(evidence) == 64
-    assert evidence.lives()[0] == "life-499"
-    known = evidence.report("life-499", 499.0)
+    assert evidence.lives()[0] == "incarnation-499"
+    known = evidence.report("incarnation-499", 499.0)
     assert known is not None
     assert len(known.suspects) == 128
 
 
-def test_old_crashes_are_forgotten_and_not_learned_again() -> None:
-    evidence = collect(crash("1", GUILTY, age_s=0.0), now=1000.0)
-    evidence.forget(1000.0 + KEEP_S - 1)
-    assert evidence.suspicion(GUILTY)
-    evidence.forget(1000.0 + KEEP_S)
+def test_expired_crashes_are_removed_and_not_added_again() -> None:
+    evidence = collect_evidence(crash_report("1", CRASHER, age_s=0.0), now=1000.0)
+    evidence.forget(1000.0 + RETENTION_S - 1)
+    assert evidence.suspicion(CRASHER)
+    evidence.forget(1000.0 + RETENTION_S)
     assert len(evidence) == 0
-    assert not evidence.add(crash("1", GUILTY, age_s=KEEP_S + 1), 1000.0 + KEEP_S)
+    assert not evidence.add(crash_report("1", CRASHER, age_s=RETENTION_S + 1), 1000.0 + RETENTION_S)
 
 
-def test_report_that_was_long_on_its_way_makes_a_crash_no_younger() -> None:
-    evidence = collect(crash("1", GUILTY, age_s=0.0), now=1000.0)
-    evidence.add(crash("1", GUILTY, OTHER, age_s=0.0), 1004.0)
+def test_delayed_report_does_not_move_a_crash_to_a_later_time() -> None:
+    evidence = collect_evidence(crash_report("1", CRASHER, age_s=0.0), now=1000.0)
+    evidence.add(crash_report("1", CRASHER, SECOND_CRASHER, age_s=0.0), 1004.0)
     report = evidence.report("1", 1004.0)
     assert report is not None
     assert report.age_s == 4.0
--- a/cleatlink/quarantine/verdict.py
+++ b/cleatlink/quarantine/verdict.py
@@ -1,4 +1,4 @@
-"""Decides whether a request that comes may run: freely, apart from others, or not for now."""
+"""Decides whether a request may run freely, only apart from other suspects, or not for now."""
 
 import math
 from collections.abc import Iterable
@@ -8,25 +8,25 @@
 
 __all__ = ["CRASHES_TO_HOLD", "Quarantine", "Trial", "Verdict"]
 
-# Crashes of one request after which it is held back. Two can be chance where endpoints crash
-# often; each one more costs some five neighbours.
+# Crashes after which a request is quarantined. Two can be chance where endpoints crash often; each
+# further crash breaks off some five other requests.
 CRASHES_TO_HOLD = 3
-# For so long at first, doubled with each try that crashed one more, up to the longest: three
-# tries in the first hour, then two an hour at the most.
-_HOLD_S = 300.0
-_LONGEST_HOLD_S = 1800.0
-# A request that was not seen at a crash for so long is forgotten.
-_FORGET_S = 3600.0
-# A try is over by then: longer than answers of usual routes take.
-_TRIAL_S = 30.0
+# First quarantine time, doubled with each trial that crashes another endpoint, up to the maximum:
+# three trials in the first hour, then at most two an hour.
+_QUARANTINE_S = 300.0
+_MAX_QUARANTINE_S = 1800.0
+# Crashes are removed after this time, in seconds.
+_RETENTION_S = 3600.0
+# Maximum duration of a trial, in seconds: longer than the answers of most routes take.
+_MAX_TRIAL_S = 30.0
 
 
 class Trial(NamedTuple):
-    """A careful try of a request whose time in quarantine is over.
+    """A single trial run of a request whose quarantine time is over.
 
     Attributes:
-        identity: The request.
-        age_s: Seconds since the try began.
+        identity: Identity of the request.
+        age_s: Seconds since the trial began.
     """
 
     identity: bytes
@@ -34,15 +34,15 @@
 
 
 class Verdict(NamedTuple):
-    """What is decided about a request.
+    """The decision about a request.
 
     Attributes:
-        suspicion: At how many crashes it was without having been served since; from two on it
-            has to be kept apart from others like it.
-        is_held: Whether it may not run now.
-        needs_trial: Whether it may run as the one careful try of all instances.
-        retry_after_s: Seconds until it may run, if it is held.
-        blame: The crashes that are put down to it.
+        suspicion: Number of crashes that count against it, without those it is cleared of; with two
+            or more it has to run apart from other suspects.
+        is_held: Whether it is in quarantine and may not run now.
+        needs_trial: Whether it may run only as the single trial of all instances.
+        retry_after_s: Seconds until it may run, if it is in quarantine.
+        blame: The crashes that are attributed to it.
     """
 
     suspicion: int = 0
@@ -52,57 +52,65 @@
     blame: Blame = Blame()
 
 
-_FREE = Verdict()
+_UNSUSPECTED = Verdict()
 
 
 class Quarantine:
-    """What one instance knows of requests that crash endpoints."""
+    """One instance's evidence of crashes, and its decisions about the suspected requests."""
 
     def __init__(self) -> None:
-        self.evidence = CrashEvidence(_FORGET_S)
+        self.evidence = CrashEvidence(_RETENTION_S)
         self._trials: dict[bytes, float] = {}
 
     @property
     def is_empty(self) -> bool:
-        """Whether there is no evidence against any request."""
+        """Whether no crash is known."""
         return not len(self.evidence)
 
     def judge(self, identity: bytes, now: float) -> Verdict:
-        """Decide about a request."""
+        """Decide whether a request may run now."""
         suspicion = self.evidence.suspicion(identity)
         if not suspicion:
-            return _FREE
-        blame = self.evidence.blame(identity)
-        extra = blame.crashes - CRASHES_TO_HOLD
-        if extra < 0:
-            return Verdict(suspicion, blame=blame)
-        hold_s = min(_LONGEST_HOLD_S, _HOLD_S * 2**extra)
-        trial_at = self._trials.get(identity, -math.inf)
-        until = max(blame.last_at + hold_s, trial_at + _TRIAL_S)
+            return _UNSUSPECTED
+        attribution = self.evidence.blame(identity)
+        extra_crashes = attribution.crashes - CRASHES_TO_HOLD
+        if extra_crashes < 0:
+            return Verdict(suspicion, blame=attribution)
+        quarantine_s = min(_MAX_QUARANTINE_S, _QUARANTINE_S * 2**extra_crashes)
+        trial_began_at = self._trials.get(identity, -math.inf)
+        until = max(attribution.last_at + quarantine_s, trial_began_at + _MAX_TRIAL_S)
         if now < until:
-            return Verdict(suspicion, is_held=True, retry_after_s=until - now, blame=blame)
-        return Verdict(suspicion, needs_trial=True, blame=blame)
+            return Verdict(suspicion, is_held=True, retry_after_s=until - now, blame=attribution)
+        return Verdict(suspicion, needs_trial=True, blame=attribution)
 
     def begin_trial(self, identity: bytes, now: float) -> None:
-        """Note that this instance makes the one careful try of a request."""
+        """Record that this instance starts the single trial of a request."""
         self._trials[identity] = now
 
     def trials(self, now: float) -> list[Trial]:
-        """Give the tries that may be in progress."""
-        return [Trial(identity, now - at) for identity, at in self._trials.items()]
+        """Return the trials that may still be in progress."""
+        return [Trial(identity, now - began_at) for identity, began_at in self._trials.items()]
 
     def take_trials(self, trials: Iterable[Trial], now: float) -> None:
-        """Take what peers try; one that is over is of no interest."""
+        """Add trials of peers; those that must be over are ignored."""
         for trial in trials:
-            if trial.age_s < _TRIAL_S:
-                known = self._trials.get(trial.identity, -math.inf)
-                self._trials[trial.identity] = max(known, now - trial.age_s)
+            if trial.age_s < _MAX_TRIAL_S:
+                known_began_at = self._trials.get(trial.identity, -math.inf)
+                self._trials[trial.identity] = max(known_began_at, now - trial.age_s)
 
     def take_report(self, report: CrashReport, now: float) -> bool:
-        """Take a report of a crash in; tells whether it had anything new."""
+        """Add a report of a crash.
+
+        Returns:
+            Whether anything in it was new.
+        """
         return self.evidence.add(report, now)
 
     def forget(self, now: float) -> None:
-        """Forget what is long ago."""
+        """Remove expired crashes and trials."""
         self.evidence.forget(now)
-        self._trials = {name: at for name, at in self._trials.items() if now - at < _TRIAL_S}
+        self._trials = {
+            identity: began_at
+            for identity, began_at in self._trials.items()
+            if now - began_at < _MAX_TRIAL_S
+        }
