--- a/cleatlink/relay/calls/prefill.py
+++ b/cleatlink/relay/calls/prefill.py
@@ -82,7 +82,7 @@
         self.was_computed = was_computed
         self._call = call
         self._parts = parts
-        self._attempts = 0
+        self._failed_attempts = 0
 
     @property
     def source(self) -> KvSource | None:
@@ -132,10 +132,10 @@
             if endpoint is None:
                 call.log("has its prompt computed by the decode")
                 return None
-            if self._attempts and not self._may_retry():
+            if self._failed_attempts and not self._may_retry():
                 return call.failure("no prefill came to an end", _RETRY_AFTER_S)
             # The result of an earlier prefill expired or was lost with its decode endpoint.
-            if self.was_computed and not self._attempts and not call.spend("prefill"):
+            if self.was_computed and not self._failed_attempts and not call.spend("prefill"):
                 return call.failure("the retry budget is empty", _RETRY_AFTER_S)
             try:
                 await self._prefill_at(endpoint)
@@ -146,11 +146,11 @@
                     return None
             except trio.TooSlowError:
                 # A long queue explains the delay, so the endpoint is not marked as failed.
-                self._attempts += 1
+                self._failed_attempts += 1
                 call.excluded.add(endpoint.name)
                 call.log("waited too long for its prefill", endpoint=endpoint.name)
             except EndpointError as error:
-                self._attempts += 1
+                self._failed_attempts += 1
                 call.note_failure(endpoint, error)
                 await call.settle(endpoint)
         return None
@@ -166,7 +166,7 @@
             trio.TooSlowError: The prefill took too long and was cancelled.
         """
         call, parts = self._call, self._parts
-        key = f"{call.inbound.request_id}/{self._attempts}/p"
+        key = f"{call.inbound.request_id}/{self._failed_attempts}/p"
         now = trio.current_time()
         tokens = call.inbound.prompt_tokens
         pace = parts.capacity.pace(call.service.name)
