--- a/cleatlink/relay/peers/datagrams.py
+++ b/cleatlink/relay/peers/datagrams.py
@@ -1,4 +1,4 @@
-"""The socket on which instances hear and tell each other."""
+"""The UDP socket on which instances exchange messages."""
 
 import socket
 from collections.abc import Iterable
@@ -15,28 +15,30 @@
 
 __all__ = ["DatagramSocket"]
 
-# A datagram holds no more.
-_MOST_BYTES = 60_000
-_READ_BYTES = 65_536
-# Datagrams that are read before other tasks run.
-_MOST_AT_ONCE = 64
-_MOST_ADDRESSES = 2_048
-# Lines about messages that are too long, at the most in so many seconds.
+# Largest message that is sent in one datagram.
+_MAX_DATAGRAM_BYTES = 60_000
+# Size of the receive buffer, which fits any UDP datagram.
+_RECEIVE_BUFFER_BYTES = 65_536
+# Number of datagrams that are read before other tasks run.
+_MAX_RECEIVED_AT_ONCE = 64
+# Number of addresses whose split into host and port is cached.
+_MAX_CACHED_ADDRESSES = 2_048
+# Maximum number of log lines per interval about messages that are too long.
 _TOO_LONG_LINES = 5
-_TOO_LONG_LINES_S = 10.0
+_TOO_LONG_LINES_INTERVAL_S = 10.0
 
 
 class DatagramSocket:
-    """Sends and receives messages; a loss is never noticed here."""
+    """Sends and receives messages; lost datagrams are not detected here."""
 
     def __init__(self, address: Address, metrics: RelayMetrics) -> None:
-        """Bind.
+        """Bind the socket.
 
         Raises:
-            ListenError: The address can't be had.
+            ListenError: The address cannot be bound.
         """
         self._metrics = metrics
-        self._too_long_lines = LineAllowance(_TOO_LONG_LINES, _TOO_LONG_LINES_S)
+        self._too_long_lines = LineAllowance(_TOO_LONG_LINES, _TOO_LONG_LINES_INTERVAL_S)
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sock.setblocking(False)
         bind(sock, address.host, address.port)
@@ -47,24 +49,24 @@
         self._socket.close()
 
     def send(self, message: Message, addresses: Iterable[str]) -> None:
-        """Send a message to some addresses, without a wait."""
+        """Send a message to some addresses without blocking."""
         self.send_bytes(encode(message), addresses)
 
     def send_bytes(self, data: bytes, addresses: Iterable[str]) -> None:
-        """Send an encoded message to some addresses, without a wait."""
-        if len(data) > _MOST_BYTES:
-            self._note_too_long(len(data), len(list(addresses)))
+        """Send an encoded message to some addresses without blocking."""
+        if len(data) > _MAX_DATAGRAM_BYTES:
+            self._report_too_long(len(data), len(list(addresses)))
             return
         send = self._socket._sock.sendto  # type: ignore[attr-defined]
         for address in addresses:
             try:
-                # A full buffer loses the datagram, as the network might.
-                send(data, _parts(address))
+                # A full send buffer drops the datagram, just as the network may lose it.
+                send(data, _split_address(address))
             except OSError:
                 self._metrics.count_message("not_sent")
 
-    def _note_too_long(self, size: int, addresses: int) -> None:
-        """Count a message that no datagram holds, and log it, within bounds."""
+    def _report_too_long(self, size: int, addresses: int) -> None:
+        """Count a message that exceeds a datagram, and log it at a limited rate."""
         self._metrics.count_message("too_long")
         if self._too_long_lines.take(trio.current_time()):
             eliot.log_message(
@@ -72,25 +74,25 @@
             )
 
     async def receive(self) -> list[Message | None]:
-        """Wait for datagrams, and give those that are there; None for one that is none of ours."""
+        """Wait for datagrams and return their messages; None for one that cannot be decoded."""
         sock = self._socket._sock  # type: ignore[attr-defined]
         while True:
             await trio.lowlevel.wait_readable(sock)
-            found: list[Message | None] = []
-            while len(found) < _MOST_AT_ONCE:
+            messages: list[Message | None] = []
+            while len(messages) < _MAX_RECEIVED_AT_ONCE:
                 try:
-                    found.append(decode_datagram(sock.recv(_READ_BYTES)))
+                    messages.append(decode_datagram(sock.recv(_RECEIVE_BUFFER_BYTES)))
                 except BlockingIOError:
                     break
                 except OSError:
-                    # An earlier datagram met a closed port.
+                    # Reports that an earlier datagram was sent to a closed port.
                     continue
-            if found:
-                return found
+            if messages:
+                return messages
 
 
-@lru_cache(maxsize=_MOST_ADDRESSES)
-def _parts(address: str) -> tuple[str, int]:
-    """Give the host and the port of an address."""
+@lru_cache(maxsize=_MAX_CACHED_ADDRESSES)
+def _split_address(address: str) -> tuple[str, int]:
+    """Return the host and the port of an address."""
     host, _, port = address.rpartition(":")
     return host, int(port)
--- a/cleatlink/relay/peers/datagrams_test.py
+++ b/cleatlink/relay/peers/datagrams_test.py
@@ -1,4 +1,4 @@
-"""What becomes of a message that no datagram holds."""
+"""Tests of messages that exceed a datagram."""
 
 import eliot
 import pytest
@@ -12,7 +12,7 @@
 
 
 async def test_message_that_is_too_long_is_logged() -> None:
-    """Such a message was dropped without a line, and nobody knew what peers had missed."""
+    """Guards against dropping a message unlogged, which hid what peers had missed."""
     lines: list[dict[str, object]] = []
     totals = {f"organisation-{number}": number for number in range(5_000)}
     message = Spending("n1", 1, totals, {}, 1.0, 1)
@@ -24,7 +24,7 @@
     finally:
         eliot.remove_destination(lines.append)
         socket.close()
-    told = [line for line in lines if line["message_type"] == "peers: a message is too long"]
-    assert 0 < len(told) < 100
-    assert told[0]["bytes"] == len(encode(message))
-    assert told[0]["addresses"] == 2
+    reported = [line for line in lines if line["message_type"] == "peers: a message is too long"]
+    assert 0 < len(reported) < 100
+    assert reported[0]["bytes"] == len(encode(message))
+    assert reported[0]["addresses"] == 2
--- a/cleatlink/relay/peers/deflate.py
+++ b/cleatlink/relay/peers/deflate.py
@@ -1,4 +1,4 @@
-"""Compression of what peers copy, by HTTP's content coding ``deflate``."""
+"""Compression of the state that peers copy, in HTTP's content coding ``deflate``."""
 
 import re
 import zlib
@@ -16,25 +16,25 @@
 ]
 
 DEFLATE = b"deflate"
-# Header of a request whose answer may be compressed, and of an answer that is.
+# Request header that allows a compressed answer, and header of a compressed answer.
 ACCEPT_DEFLATE = (b"Accept-Encoding", DEFLATE)
 DEFLATE_HEADERS: Headers = ((b"Content-Encoding", DEFLATE),)
 
-# A weight that rules a coding out.
-_NO_WEIGHT = re.compile(rb"q=0(\.0{0,3})?", re.IGNORECASE)
+# A weight of zero, which excludes a coding.
+_ZERO_WEIGHT = re.compile(rb"q=0(\.0{0,3})?", re.IGNORECASE)
 
 
 def accepts_deflate(headers: Headers) -> bool:
-    """Tell by a request's headers whether its answer may be compressed."""
+    """Check whether a request's headers allow a compressed answer."""
     values = [value for name, value in headers if name.lower() == b"accept-encoding"]
     return any(_is_deflate(item) for value in values for item in value.split(b","))
 
 
 def _is_deflate(item: bytes) -> bool:
-    """Tell whether an item of ``Accept-Encoding`` names this coding, and does not rule it out."""
+    """Check whether an item of ``Accept-Encoding`` names this coding and does not exclude it."""
     coding, _, weight = item.partition(b";")
-    is_ruled_out = _NO_WEIGHT.fullmatch(weight.strip()) is not None
-    return coding.strip().lower() == DEFLATE and not is_ruled_out
+    is_excluded = _ZERO_WEIGHT.fullmatch(weight.strip()) is not None
+    return coding.strip().lower() == DEFLATE and not is_excluded
 
 
 def compress(data: bytes) -> bytes:
@@ -42,25 +42,25 @@
     return zlib.compress(data)
 
 
-def decompress(data: bytes, most_bytes: int) -> bytes:
+def decompress(data: bytes, max_bytes: int) -> bytes:
     """Decompress a body.
 
     Args:
-        data: The whole body as it was transferred.
-        most_bytes: Longest result.
+        data: The complete body as transferred.
+        max_bytes: Maximum length of the result.
 
     Raises:
-        PeerError: It is no compressed body, or its result is longer than ``most_bytes``.
+        PeerError: ``data`` is not a compressed body, or the result exceeds ``max_bytes``.
     """
     inflater = zlib.decompressobj()
     try:
-        body = inflater.decompress(data, most_bytes)
+        body = inflater.decompress(data, max_bytes)
         if not inflater.eof and not inflater.unconsumed_tail:
-            raise PeerError("a compressed body ended early")
+            raise PeerError("compressed body is truncated")
     except zlib.error as error:
-        raise PeerError(f"no compressed body: {error}") from error
+        raise PeerError(f"body is not deflate-compressed: {error}") from error
     if not inflater.eof:
-        raise PeerError(f"a compressed body holds more than {most_bytes} bytes")
+        raise PeerError(f"compressed body expands to more than {max_bytes} bytes")
     if inflater.unused_data:
-        raise PeerError("bytes follow a compressed body")
+        raise PeerError("unexpected bytes after the end of the compressed body")
     return body
--- a/cleatlink/relay/peers/delivery_test.py
+++ b/cleatlink/relay/peers/delivery_test.py
@@ -1,4 +1,4 @@
-"""Messages that are told directly to some peers of a large fleet."""
+"""Tests of messages that are sent directly to some peers of a large fleet."""
 
 from collections.abc import Iterable
 
@@ -15,12 +15,12 @@
 
 pytestmark = pytest.mark.virtual_time
 
-DATAGRAM_BYTES = 60_000
-MEMBERS = 20
+MAX_DATAGRAM_BYTES = 60_000
+FLEET_SIZE = 20
 
 
 class SentDatagrams(DatagramSocket):
-    """Keeps what is sent."""
+    """Records the sent datagrams."""
 
     def __init__(self) -> None:
         self.sent: list[bytes] = []
@@ -30,7 +30,7 @@
 
 
 def open_delivery(socket: DatagramSocket) -> Delivery:
-    """Make an instance's ways to its peers, in a fleet that uses reflectors."""
+    """Create the delivery of one instance in a fleet that uses reflectors."""
     settings = RelaySettings(
         name="n0",
         data_centre="a",
@@ -41,24 +41,24 @@
         store=free_address(),
     )
     peers = HeardPeers("n0", (), 0.0)
-    for number in range(1, MEMBERS):
+    for number in range(1, FLEET_SIZE):
         beat = Beat(f"n{number}", 1, "a", f"127.0.0.1:{number}", False, 0, 0, [], 0, {}, "", 1)
         peers.note_beat(msgspec.structs.replace(beat, size=1.0), 0.0)
     return Delivery(settings, 1, peers, socket, RelayMetrics())
 
 
-def spending(number: int, organisations: int) -> Spending:
-    """Make a message of some size."""
+def usage_message(number: int, organisations: int) -> Spending:
+    """Create a message whose size grows with the number of organisations."""
     totals = {f"organisation-{number}-{item}": 1 for item in range(organisations)}
     return Spending("n0", 1, totals, {}, 1.0, organisations)
 
 
-async def test_messages_that_do_not_fit_one_datagram_are_told_in_several() -> None:
-    """All that an instance told to who was new was lost, without a line, if it was too much."""
+async def test_messages_that_exceed_one_datagram_are_split_into_several() -> None:
+    """Guards against losing all initial messages to a new peer, unlogged, if they are too long."""
     socket = SentDatagrams()
-    messages = [spending(number, 1_000) for number in range(6)]
+    messages = [usage_message(number, 1_000) for number in range(6)]
     open_delivery(socket).send_directly(messages, ["127.0.0.1:7"])
-    assert max(map(len, socket.sent)) <= DATAGRAM_BYTES
+    assert max(map(len, socket.sent)) <= MAX_DATAGRAM_BYTES
     bundles = [decode_datagram(data) for data in socket.sent]
     assert all(isinstance(bundle, Bundle) for bundle in bundles)
     items = [item for bundle in bundles if isinstance(bundle, Bundle) for item in bundle.items]
--- a/cleatlink/relay/peers/encoded_parts.py
+++ b/cleatlink/relay/peers/encoded_parts.py
@@ -1,4 +1,4 @@
-"""What an instance answers to peers that copy from it, encoded once for each change."""
+"""The state that peers copy from an instance, encoded once after each change."""
 
 from typing import NamedTuple
 
@@ -12,8 +12,8 @@
 __all__ = ["EncodedParts"]
 
 
-class _Contents(NamedTuple):
-    """What a part holds."""
+class _PartContents(NamedTuple):
+    """The contents of a part."""
 
     table: RouteTable | None
     records: tuple[EndpointRecord, ...]
@@ -21,15 +21,15 @@
 
 
 class _EncodedPart:
-    """One part, in the form in which it was asked for since it changed last."""
+    """One part, with the encodings requested since its last change."""
 
     def __init__(self) -> None:
-        self._contents: _Contents | None = None
+        self._contents: _PartContents | None = None
         self._plain = b""
         self._compressed = b""
 
-    def use(self, contents: _Contents) -> None:
-        """Encode the contents unless they are as they were."""
+    def update(self, contents: _PartContents) -> None:
+        """Encode the contents if they have changed."""
         if contents == self._contents:
             return
         self._contents = contents
@@ -38,43 +38,43 @@
 
     @property
     def plain(self) -> bytes:
-        """The part as encoded."""
+        """The part, encoded without compression."""
         return self._plain
 
     @property
     def compressed(self) -> bytes:
-        """The part as encoded and compressed."""
+        """The part, encoded and compressed."""
         if not self._compressed:
             self._compressed = compress(self._plain)
         return self._compressed
 
 
 class EncodedParts:
-    """Encodes parts of what an instance knows, whoever asks, once for each change."""
+    """Encodes parts of an instance's state once after each change, for all requesting peers."""
 
     def __init__(self, records: FleetRecords) -> None:
-        """Prepare.
+        """Initialise the parts without encoding them.
 
         Args:
-            records: What the instance knows.
+            records: Route table and endpoint records of the instance.
         """
         self._records = records
         self._parts = {part: _EncodedPart() for part in Part}
 
     def get(self, part: Part, *, is_compressed: bool) -> bytes:
-        """Give a part as it is now.
+        """Return the current encoding of a part.
 
         Args:
-            part: What of it.
-            is_compressed: Whether to compress it.
+            part: The requested part.
+            is_compressed: Whether to compress the encoding.
         """
         encoded = self._parts[part]
-        encoded.use(self._contents_of(part))
+        encoded.update(self._contents_of(part))
         return encoded.compressed if is_compressed else encoded.plain
 
-    def _contents_of(self, part: Part) -> _Contents:
-        known = self._records
+    def _contents_of(self, part: Part) -> _PartContents:
+        fleet_records = self._records
         if part is Part.TABLE:
-            return _Contents(known.table, (), NO_REVISION)
-        table = known.table if part is Part.WHOLE else None
-        return _Contents(table, known.records, known.revision)
+            return _PartContents(fleet_records.table, (), NO_REVISION)
+        table = fleet_records.table if part is Part.WHOLE else None
+        return _PartContents(table, fleet_records.records, fleet_records.revision)
--- a/cleatlink/relay/peers/encoded_parts_test.py
+++ b/cleatlink/relay/peers/encoded_parts_test.py
@@ -1,4 +1,4 @@
-"""What an instance answers to peers is encoded once for each change, not for each asker."""
+"""Tests that copied state is encoded once for each change, not for each requesting peer."""
 
 import pytest
 
@@ -21,16 +21,16 @@
 
 @pytest.fixture
 def records() -> FleetRecords:
-    known = FleetRecords()
-    known.offer_table(table_of(3))
-    known.offer_record(record_of("one", 7))
-    known.note_complete(StoreRevision(2, 8))
-    return known
+    records = FleetRecords()
+    records.offer_table(table_of(3))
+    records.offer_record(record_of("one", 7))
+    records.note_complete(StoreRevision(2, 8))
+    return records
 
 
 @pytest.mark.parametrize("part", Part)
 @pytest.mark.parametrize("is_compressed", [False, True])
-def test_second_asker_costs_no_encoding(
+def test_second_request_reuses_the_encoding(
     records: FleetRecords, part: Part, is_compressed: bool
 ) -> None:
     parts = EncodedParts(records)
@@ -53,7 +53,7 @@
     assert parts.get(Part.REGISTRATIONS, is_compressed=True) is before
 
 
-def test_registration_that_is_not_the_newest_is_told_too(records: FleetRecords) -> None:
+def test_late_registration_with_an_older_revision_is_included(records: FleetRecords) -> None:
     parts = EncodedParts(records)
     parts.get(Part.REGISTRATIONS, is_compressed=True)
     newest = records.newest
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize("is_compressed", [False, True])
-def test_each_part_holds_what_its_name_says(records: FleetRecords, is_compressed: bool) -> None:
+def test_each_part_contains_only_its_own_state(records: FleetRecords, is_compressed: bool) -> None:
     parts = EncodedParts(records)
 
     def read(part: Part) -> Snapshot:
@@ -75,16 +75,16 @@
     for revision in (4, 5):
         records.offer_table(table_of(revision))
         records.offer_record(record_of("one", 6 + revision))
-        table, records_alone = read(Part.TABLE), read(Part.REGISTRATIONS)
+        table, registrations = read(Part.TABLE), read(Part.REGISTRATIONS)
         assert table == Snapshot(table_of(revision), [], 0)
-        assert records_alone.table is None
-        assert records_alone.endpoint_records() == list(records.records)
-        assert records_alone.complete_revision == StoreRevision(2, 8)
+        assert registrations.table is None
+        assert registrations.endpoint_records() == list(records.records)
+        assert registrations.complete_revision == StoreRevision(2, 8)
         assert read(Part.WHOLE).table == table_of(revision)
         assert read(Part.WHOLE).endpoint_records() == list(records.records)
 
 
-def test_whole_without_compression_is_what_earlier_builds_were_answered(
+def test_uncompressed_whole_equals_the_answer_of_earlier_builds(
     records: FleetRecords,
 ) -> None:
     data = EncodedParts(records).get(Part.WHOLE, is_compressed=False)
@@ -103,5 +103,5 @@
         (b"*", Part.WHOLE),
     ],
 )
-def test_path_that_is_not_known_means_everything(target: bytes, part: Part) -> None:
+def test_unknown_path_requests_the_whole_state(target: bytes, part: Part) -> None:
     assert Part.of_target(target) is part
--- a/cleatlink/relay/peers/large_fleet_test.py
+++ b/cleatlink/relay/peers/large_fleet_test.py
@@ -1,8 +1,9 @@
-"""Instances of a large fleet tell each other through reflectors.
+"""Instances of a large fleet exchange messages through reflectors.
 
-Each of 90 instances told 89 others of itself each second, and was woken as often. What must hold
-with reflectors is what held before: all are heard, and nobody is taken for silent who is not, also
-when datagrams are lost or a reflector dies, hears nothing or is cut off.
+Without reflectors, each of 90 instances sent a heartbeat to 89 others every second and was woken as
+often. With reflectors, every instance must still receive all the others, and no live peer may be
+taken for silent, also when datagrams are lost or a reflector dies, receives nothing or is
+partitioned from the network.
 """
 
 import random
@@ -45,27 +46,27 @@
 from cleatlink.routing.notices import EndpointNotices
 from cleatlink.routing.reservation import Reservation
 
-PLACES = ("a", "b", "c")
-MANY = 30
+DATA_CENTRES = ("a", "b", "c")
+FLEET_SIZE = 30
 PORT = 7000
-# A bundle that both reflectors lose makes many silent at once, and seldom.
-LOSSES_S = 100.0
+# A long run: losing the same bundle from both reflectors is rare, but silences many peers at once.
+LOSS_TEST_S = 100.0
 
 
 class Packet(NamedTuple):
-    """A datagram on its way."""
+    """Sender and receiver of a datagram in transit."""
 
     sender: str
     receiver: str
 
 
 class Network:
-    """Carries datagrams at once, but for those that it is told to lose."""
+    """Delivers datagrams without delay and drops those that ``drops`` selects."""
 
     def __init__(self) -> None:
         self._inboxes: dict[str, list[bytes]] = {}
         self._wakes: dict[str, trio.Event] = {}
-        self.loses: Callable[[Packet], bool] = lambda packet: False
+        self.drops: Callable[[Packet], bool] = lambda packet: False
         self.received: Counter[str] = Counter()
 
     def open(self, address: str) -> None:
@@ -75,8 +76,8 @@
     def close(self, address: str) -> None:
         self._inboxes.pop(address, None)
 
-    def carry(self, packet: Packet, data: bytes) -> None:
-        if packet.receiver in self._inboxes and not self.loses(packet):
+    def deliver(self, packet: Packet, data: bytes) -> None:
+        if packet.receiver in self._inboxes and not self.drops(packet):
             self.received[packet.receiver] += 1
             self._inboxes[packet.receiver].append(data)
             self._wakes[packet.receiver].set()
@@ -84,12 +85,12 @@
     async def receive(self, address: str) -> list[bytes]:
         await self._wakes[address].wait()
         self._wakes[address] = trio.Event()
-        found, self._inboxes[address] = self._inboxes.get(address, []), []
-        return found
+        pending, self._inboxes[address] = self._inboxes.get(address, []), []
+        return pending
 
 
 class FakeSocket:
-    """Stands for an instance's socket."""
+    """Replaces an instance's datagram socket."""
 
     def __init__(self, network: Network, address: Address) -> None:
         self._network = network
@@ -104,14 +105,14 @@
 
     def send_bytes(self, data: bytes, addresses: Iterable[str]) -> None:
         for address in addresses:
-            self._network.carry(Packet(self._address, address), data)
+            self._network.deliver(Packet(self._address, address), data)
 
     async def receive(self) -> list[Message | None]:
         return [decode_datagram(data) for data in await self._network.receive(self._address)]
 
 
 class Instance(NamedTuple):
-    """An instance of the fleet with the scope that ends it."""
+    """An instance of the fleet and the cancel scope that stops it."""
 
     name: str
     address: str
@@ -130,23 +131,29 @@
         self.instances: list[Instance] = []
 
     def add(self, *, without: frozenset[Mechanism] = frozenset()) -> Instance:
-        """Start an instance; the first one is who the others ask first."""
+        """Start an instance; the first one is the seed address of all the others."""
         number = len(self.instances)
-        place = PLACES[number % len(PLACES)]
+        data_centre = DATA_CENTRES[number % len(DATA_CENTRES)]
         address = Address(f"10.0.0.{number}", PORT)
         settings = RelaySettings(
-            f"n{number:02}", place, address, address, address, (Address("10.0.0.0", PORT),), address
+            f"n{number:02}",
+            data_centre,
+            address,
+            address,
+            address,
+            (Address("10.0.0.0", PORT),),
+            address,
         )._replace(size=1.0 + number % 7, without=without)
         capacity = Capacity()
-        for other in PLACES:
+        for other in DATA_CENTRES:
             endpoint = RoutedEndpoint(f"e-{other}", "10.1.0.1:1", other, "s", Role.DECODE, 8)
             capacity.set_endpoint(endpoint)
         group = _group(settings, capacity)
         scope = trio.CancelScope()
-        found = Instance(settings.name, str(address), place, group, capacity, scope)
-        self.instances.append(found)
-        self._nursery.start_soon(self._run, found)
-        return found
+        instance = Instance(settings.name, str(address), data_centre, group, capacity, scope)
+        self.instances.append(instance)
+        self._nursery.start_soon(self._run, instance)
+        return instance
 
     async def _run(self, instance: Instance) -> None:
         with instance.scope:
@@ -155,49 +162,49 @@
         instance.group.close()
 
     async def start(self, count: int, *, without: frozenset[Mechanism] = frozenset()) -> None:
-        """Start some and wait until all hear all."""
+        """Start instances and wait until each receives heartbeats from all the others."""
         for _ in range(count):
             self.add(without=without)
         with trio.fail_after(5.0):
-            while not self.all_heard(self.instances):
+            while not self.all_connected(self.instances):
                 await trio.sleep(0.05)
-        # The first heartbeats are over.
+        # Wait until the first heartbeats have been sent.
         await trio.sleep(2.0)
 
     @staticmethod
-    def all_heard(instances: list[Instance]) -> bool:
-        """Tell whether these hear each other."""
+    def all_connected(instances: list[Instance]) -> bool:
+        """Check whether these instances receive heartbeats from each other."""
         names = {item.name for item in instances}
         return all(names - {item.name} <= item.group.heard_within(SILENCE_S) for item in instances)
 
-    async def check_heard(self, instances: list[Instance], for_s: float) -> None:
-        """Check over some time that these hear each other."""
+    async def check_connected(self, instances: list[Instance], for_s: float) -> None:
+        """Assert for ``for_s`` seconds that these instances receive heartbeats from each other."""
         ends_at = trio.current_time() + for_s
         while trio.current_time() < ends_at:
-            assert self.all_heard(instances)
+            assert self.all_connected(instances)
             await trio.sleep(0.1)
 
     @staticmethod
     async def silent_share(instances: list[Instance], for_s: float) -> float:
-        """Give the part of pairs and moments in which one takes the other for silent."""
+        """Return the share of checks in which an instance takes a live peer for silent."""
         names = {item.name for item in instances}
-        silent = looks = 0
+        silent = checks = 0
         ends_at = trio.current_time() + for_s
         while trio.current_time() < ends_at:
             for item in instances:
                 silent += len(names - {item.name} - item.group.heard_within(SILENCE_S))
-                looks += len(names) - 1
+                checks += len(names) - 1
             await trio.sleep(0.1)
-        return silent / looks
+        return silent / checks
 
-    def first_reflector(self, place: str) -> Instance:
-        """Give the first reflector of a data centre, as the last instance sees it."""
-        name = self.instances[-1].group._delivery.chosen[place][0]
+    def first_reflector(self, data_centre: str) -> Instance:
+        """Return the first reflector of a data centre, as the last instance has chosen it."""
+        name = self.instances[-1].group._delivery.chosen[data_centre][0]
         return next(item for item in self.instances if item.name == name)
 
-    def rest(self, *gone: Instance) -> list[Instance]:
-        """Give all instances but some."""
-        return [item for item in self.instances if item not in gone]
+    def all_except(self, *excluded: Instance) -> list[Instance]:
+        """Return all instances except the given ones."""
+        return [item for item in self.instances if item not in excluded]
 
 
 def _group(settings: RelaySettings, capacity: Capacity) -> PeerGroup:
@@ -207,8 +214,8 @@
         lambda snapshot: None,
         lambda: None,
         lambda work: None,
-        lambda life: None,
-        lambda news: None,
+        lambda incarnation: None,
+        lambda update: None,
     )
     return PeerGroup(
         settings,
@@ -224,7 +231,7 @@
 
 @asynccontextmanager
 async def open_fleet(monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[Fleet]:
-    # pytest-trio takes a clock from the arguments of a test alone, not from usefixtures.
+    # pytest-trio finds the clock only among the arguments of the test, not in usefixtures.
     assert isinstance(trio.lowlevel.current_clock(), MockClock)
     network = Network()
     monkeypatch.setattr(
@@ -236,20 +243,20 @@
 
 
 class TestLargeFleet:
-    """Thirty instances in three data centres, in time that jumps."""
+    """Thirty instances in three data centres, on a clock that skips idle time."""
 
-    async def test_all_hear_all_with_few_datagrams(
+    async def test_all_instances_receive_each_other_with_few_datagrams(
         self, monkeypatch: pytest.MonkeyPatch, autojump_clock: MockClock
     ) -> None:
         async with open_fleet(monkeypatch) as fleet:
-            await fleet.start(MANY)
+            await fleet.start(FLEET_SIZE)
             fleet.network.received.clear()
-            await fleet.check_heard(fleet.instances, 10.0)
+            await fleet.check_connected(fleet.instances, 10.0)
             received = sorted(fleet.network.received.values())
-            # Two reflectors' bundles four times a second, and a few peers' own words.
+            # Bundles of two reflectors four times a second, and direct messages of a few peers.
             assert received[len(received) // 2] / 10.0 < 16
-            # Before, each of them had 29 heartbeats a second, and rosters.
-            assert sum(received) / 10.0 / MANY < 29
+            # Without reflectors, each received 29 heartbeats a second, and member lists.
+            assert sum(received) / 10.0 / FLEET_SIZE < 29
 
     async def test_lost_datagrams_make_fewer_silent_than_heartbeats_to_all(
         self, monkeypatch: pytest.MonkeyPatch, autojump_clock: MockClock
@@ -258,229 +265,230 @@
         for without in (frozenset[Mechanism](), frozenset({Mechanism.REFLECTORS})):
             rng = random.Random(7)
             async with open_fleet(monkeypatch) as fleet:
-                await fleet.start(MANY, without=without)
-                fleet.network.loses = lambda packet, rng=rng: rng.random() < 0.05  # type: ignore[misc]
-                shares[without] = await fleet.silent_share(fleet.instances, LOSSES_S)
+                await fleet.start(FLEET_SIZE, without=without)
+                fleet.network.drops = lambda packet, rng=rng: rng.random() < 0.05  # type: ignore[misc]
+                shares[without] = await fleet.silent_share(fleet.instances, LOSS_TEST_S)
         by_reflectors, by_all = shares.values()
         assert by_reflectors < by_all / 5
 
-    async def test_reflector_that_dies_is_replaced_in_time(
+    async def test_reflector_that_dies_is_replaced_before_peers_count_as_silent(
         self, monkeypatch: pytest.MonkeyPatch, autojump_clock: MockClock
     ) -> None:
         async with open_fleet(monkeypatch) as fleet:
-            await fleet.start(MANY)
-            dead = fleet.first_reflector("a")
-            dead.scope.cancel()
-            await fleet.check_heard(fleet.rest(dead), 10.0)
-            assert dead.name not in fleet.instances[-1].group.heard_within(SILENCE_S)
+            await fleet.start(FLEET_SIZE)
+            stopped = fleet.first_reflector("a")
+            stopped.scope.cancel()
+            await fleet.check_connected(fleet.all_except(stopped), 10.0)
+            assert stopped.name not in fleet.instances[-1].group.heard_within(SILENCE_S)
 
-    async def test_both_reflectors_of_a_data_centre_die(
+    async def test_death_of_both_reflectors_of_a_data_centre_silences_no_live_peer(
         self, monkeypatch: pytest.MonkeyPatch, autojump_clock: MockClock
     ) -> None:
         async with open_fleet(monkeypatch) as fleet:
-            await fleet.start(MANY)
-            dead = []
+            await fleet.start(FLEET_SIZE)
+            stopped = []
             for name in fleet.instances[-1].group._delivery.chosen["a"]:
-                dead += [item for item in fleet.instances if item.name == name]
-            for item in dead:
+                stopped += [item for item in fleet.instances if item.name == name]
+            for item in stopped:
                 item.scope.cancel()
-            await fleet.check_heard(fleet.rest(*dead), 10.0)
+            await fleet.check_connected(fleet.all_except(*stopped), 10.0)
 
-    async def test_reflector_that_is_heard_and_hears_nothing_keeps_nothing_from_others(
+    async def test_reflector_that_sends_but_receives_nothing_silences_no_live_peer(
         self, monkeypatch: pytest.MonkeyPatch, autojump_clock: MockClock
     ) -> None:
         async with open_fleet(monkeypatch) as fleet:
-            await fleet.start(MANY)
-            deaf = fleet.first_reflector("a")
-            fleet.network.loses = lambda packet: packet.receiver == deaf.address
-            await fleet.check_heard(fleet.rest(deaf), 20.0)
+            await fleet.start(FLEET_SIZE)
+            reflector = fleet.first_reflector("a")
+            fleet.network.drops = lambda packet: packet.receiver == reflector.address
+            await fleet.check_connected(fleet.all_except(reflector), 20.0)
 
-    async def test_cut_data_centre_hears_itself_and_all_again_after_it(
+    async def test_partitioned_data_centre_stays_connected_and_rejoins_afterwards(
         self, monkeypatch: pytest.MonkeyPatch, autojump_clock: MockClock
     ) -> None:
         async with open_fleet(monkeypatch) as fleet:
-            await fleet.start(MANY)
+            await fleet.start(FLEET_SIZE)
             inside = {item.address for item in fleet.instances if item.data_centre == "a"}
-            fleet.network.loses = lambda packet: (
+            fleet.network.drops = lambda packet: (
                 (packet.sender in inside) != (packet.receiver in inside)
             )
-            near = [item for item in fleet.instances if item.address in inside]
-            far = fleet.rest(*near)
+            partitioned = [item for item in fleet.instances if item.address in inside]
+            remaining = fleet.all_except(*partitioned)
             for _ in range(10):
-                await fleet.check_heard(near, 1.0)
-                await fleet.check_heard(far, 1.0)
-            assert all(len(item.group._peers) == len(near) - 1 for item in near)
-            fleet.network.loses = lambda packet: False
+                await fleet.check_connected(partitioned, 1.0)
+                await fleet.check_connected(remaining, 1.0)
+            assert all(len(item.group._peers) == len(partitioned) - 1 for item in partitioned)
+            fleet.network.drops = lambda packet: False
             await trio.sleep(2.5)
-            assert fleet.all_heard(fleet.instances)
+            assert fleet.all_connected(fleet.instances)
 
-    async def test_late_joiner_hears_all_within_two_seconds(
+    async def test_instance_that_joins_later_receives_all_within_two_seconds(
         self, monkeypatch: pytest.MonkeyPatch, autojump_clock: MockClock
     ) -> None:
         async with open_fleet(monkeypatch) as fleet:
-            await fleet.start(MANY)
+            await fleet.start(FLEET_SIZE)
             fleet.add()
             await trio.sleep(2.0)
-            assert fleet.all_heard(fleet.instances)
+            assert fleet.all_connected(fleet.instances)
 
-    async def test_instances_without_reflectors_are_served_as_before(
+    async def test_instance_without_reflectors_receives_messages_directly(
         self, monkeypatch: pytest.MonkeyPatch, autojump_clock: MockClock
     ) -> None:
-        """So are those of earlier builds: they take no bundles and need all work in heartbeats."""
+        """Also covers earlier builds: they accept no bundles and need all work in heartbeats."""
         async with open_fleet(monkeypatch) as fleet:
             old = fleet.add(without=frozenset({Mechanism.REFLECTORS}))
-            await fleet.start(MANY)
-            place_work(fleet.instances[1], "k", "e-b")
+            await fleet.start(FLEET_SIZE)
+            reserve_work(fleet.instances[1], "k", "e-b")
             await trio.sleep(1.1)
             assert old.capacity.knows(fleet.instances[1].name, "k")
             assert not old.group._delivery.uses_reflectors
-            await fleet.check_heard(fleet.instances, 10.0)
+            await fleet.check_connected(fleet.instances, 10.0)
 
-    async def test_work_is_known_where_it_is_needed_at_once_and_elsewhere_soon(
+    async def test_work_is_known_at_once_where_it_is_needed_and_soon_elsewhere(
         self, monkeypatch: pytest.MonkeyPatch, autojump_clock: MockClock
     ) -> None:
         async with open_fleet(monkeypatch) as fleet:
-            await fleet.start(MANY)
-            teller = fleet.instances[1]
-            place_work(teller, "k", "e-c")
+            await fleet.start(FLEET_SIZE)
+            origin = fleet.instances[1]
+            reserve_work(origin, "k", "e-c")
             await trio.sleep(0.2)
-            assert known_at(fleet, teller, "k") >= {"b", "c"}
+            assert data_centres_that_know(fleet, origin, "k") >= {"b", "c"}
             await trio.sleep(1.5)
-            assert known_at(fleet, teller, "k") == {"a", "b", "c"}
-            teller.capacity.release("k")
-            teller.group.note_work("k")
+            assert data_centres_that_know(fleet, origin, "k") == {"a", "b", "c"}
+            origin.capacity.release("k")
+            origin.group.note_work("k")
             await trio.sleep(0.2)
-            assert known_at(fleet, teller, "k") <= {"a"}
+            assert data_centres_that_know(fleet, origin, "k") <= {"a"}
             for _ in range(40):
                 await trio.sleep(0.1)
-                assert known_at(fleet, teller, "k") <= {"a"}
-            assert known_at(fleet, teller, "k") == set()
+                assert data_centres_that_know(fleet, origin, "k") <= {"a"}
+            assert data_centres_that_know(fleet, origin, "k") == set()
 
-    async def test_lost_change_of_work_heals(
+    async def test_lost_work_change_is_repaired_by_repetition(
         self, monkeypatch: pytest.MonkeyPatch, autojump_clock: MockClock
     ) -> None:
         async with open_fleet(monkeypatch) as fleet:
-            await fleet.start(MANY)
-            teller = fleet.instances[1]
-            fleet.network.loses = lambda packet: packet.sender == teller.address
-            place_work(teller, "k", "e-b")
+            await fleet.start(FLEET_SIZE)
+            origin = fleet.instances[1]
+            fleet.network.drops = lambda packet: packet.sender == origin.address
+            reserve_work(origin, "k", "e-b")
             await trio.sleep(0.2)
-            fleet.network.loses = lambda packet: False
-            assert known_at(fleet, teller, "k") == set()
+            fleet.network.drops = lambda packet: False
+            assert data_centres_that_know(fleet, origin, "k") == set()
             await trio.sleep(4.0)
-            assert known_at(fleet, teller, "k") == {"a", "b", "c"}
+            assert data_centres_that_know(fleet, origin, "k") == {"a", "b", "c"}
 
-    async def test_change_that_was_overtaken_is_not_taken(
+    async def test_outdated_work_change_is_ignored(
         self, monkeypatch: pytest.MonkeyPatch, autojump_clock: MockClock
     ) -> None:
         async with open_fleet(monkeypatch) as fleet:
-            await fleet.start(MANY)
-            teller, hearer = fleet.instances[1], fleet.instances[4]
+            await fleet.start(FLEET_SIZE)
+            origin, recipient = fleet.instances[1], fleet.instances[4]
             work = Reservation("e-b", Role.DECODE, 10, trio.current_time() + 3, 3.0)
             item = WorkItem.of("k", work, trio.current_time())
-            hearer.group._take(Changes(teller.name, 1, [], ["k"], 1_000), 0.0)
-            hearer.group._take(Changes(teller.name, 1, [item], [], 999), 0.0)
-            assert not hearer.capacity.knows(teller.name, "k")
+            recipient.group._take(Changes(origin.name, 1, [], ["k"], 1_000), 0.0)
+            recipient.group._take(Changes(origin.name, 1, [item], [], 999), 0.0)
+            assert not recipient.capacity.knows(origin.name, "k")
 
-    async def test_instance_that_starts_anew_is_believed_at_once(
+    async def test_messages_of_a_restarted_instance_are_accepted_at_once(
         self, monkeypatch: pytest.MonkeyPatch, autojump_clock: MockClock
     ) -> None:
-        """Its messages count from one again, and what it worked on before is over.
+        """A restart resets message numbers to one and ends all earlier work.
 
-        What it told was taken for overtaken until it had told as much as before its restart.
+        Guards against ignoring the new messages as outdated until their numbers reach those from
+        before the restart.
         """
         async with open_fleet(monkeypatch) as fleet:
-            await fleet.start(MANY)
-            teller, hearer = fleet.instances[1], fleet.instances[4]
+            await fleet.start(FLEET_SIZE)
+            origin, recipient = fleet.instances[1], fleet.instances[4]
             work = Reservation("e-b", Role.DECODE, 10, trio.current_time() + 3, 3.0)
             before = WorkItem.of("before", work, trio.current_time())
             after = WorkItem.of("after", work, trio.current_time())
-            hearer.group._take(Changes(teller.name, 1, [before], [], 1_000), 0.0)
+            recipient.group._take(Changes(origin.name, 1, [before], [], 1_000), 0.0)
             beat = Beat(
-                teller.name, 2, "b", teller.address, False, 0, 0, [], 0, {}, "", 1, work_apart=True
+                origin.name, 2, "b", origin.address, False, 0, 0, [], 0, {}, "", 1, work_apart=True
             )
-            hearer.group._take(beat, 0.0)
-            hearer.group._take(Changes(teller.name, 2, [after], [], 1), 0.0)
-            assert not hearer.capacity.knows(teller.name, "before")
-            assert hearer.capacity.knows(teller.name, "after")
+            recipient.group._take(beat, 0.0)
+            recipient.group._take(Changes(origin.name, 2, [after], [], 1), 0.0)
+            assert not recipient.capacity.knows(origin.name, "before")
+            assert recipient.capacity.knows(origin.name, "after")
 
-    async def test_hint_of_a_data_centre_stays_there(
+    async def test_hint_about_a_data_centre_is_not_sent_to_others(
         self, monkeypatch: pytest.MonkeyPatch, autojump_clock: MockClock
     ) -> None:
         async with open_fleet(monkeypatch) as fleet:
-            await fleet.start(MANY)
-            heard: list[str] = []
+            await fleet.start(FLEET_SIZE)
+            receiving: list[str] = []
             for item in fleet.instances:
-                real = item.group._hints.take
+                original = item.group._hints.take
 
                 def take(
                     hint: EndpointHint,
                     now: float,
                     *,
-                    place: str = item.data_centre,
-                    real: Callable[[EndpointHint, float], None] = real,
+                    receiver: str = item.data_centre,
+                    original: Callable[[EndpointHint, float], None] = original,
                 ) -> None:
-                    heard.append(place)
-                    real(hint, now)
+                    receiving.append(receiver)
+                    original(hint, now)
 
                 monkeypatch.setattr(item.group._hints, "take", take)
             fleet.instances[1].group.tell_hint("e-b", HintKind.UNREACHED)
             await trio.sleep(0.3)
-            assert heard == ["b"] * (MANY // len(PLACES))
+            assert receiving == ["b"] * (FLEET_SIZE // len(DATA_CENTRES))
 
-    async def test_bundle_in_a_bundle_is_not_taken(
+    async def test_bundle_inside_a_bundle_is_ignored(
         self, monkeypatch: pytest.MonkeyPatch, autojump_clock: MockClock
     ) -> None:
         async with open_fleet(monkeypatch) as fleet:
-            await fleet.start(MANY)
-            hearer = fleet.instances[4]
+            await fleet.start(FLEET_SIZE)
+            recipient = fleet.instances[4]
             beat = Beat("x", 1, "a", "10.9.9.9:1", False, 0, 0, [], 0, {}, "", 1)
             inner = Bundle("x", False, [item_of("x", 1, encode(beat))])
-            hearer.group._take(Bundle("x", True, [item_of("x", 2, encode(inner))]), 0.0)
-            assert "x" not in hearer.group.heard_within(SILENCE_S)
+            recipient.group._take(Bundle("x", True, [item_of("x", 2, encode(inner))]), 0.0)
+            assert "x" not in recipient.group.heard_within(SILENCE_S)
 
 
 def item_of(sender: str, number: int, data: bytes) -> BundleItem:
     return BundleItem(sender, 1, number, 0, False, data)
 
 
-def place_work(teller: Instance, key: str, endpoint: str) -> None:
+def reserve_work(origin: Instance, key: str, endpoint: str) -> None:
     ends_at = trio.current_time() + 8.0
-    teller.capacity.reserve(key, Reservation(endpoint, Role.DECODE, 100, ends_at, 8.0))
-    teller.group.note_work(key)
+    origin.capacity.reserve(key, Reservation(endpoint, Role.DECODE, 100, ends_at, 8.0))
+    origin.group.note_work(key)
 
 
-def known_at(fleet: Fleet, teller: Instance, key: str) -> set[str]:
-    """Give the data centres in which all instances but the teller know some work."""
-    known = {item.data_centre for item in fleet.rest(teller)}
-    for item in fleet.rest(teller):
-        if not item.capacity.knows(teller.name, key):
+def data_centres_that_know(fleet: Fleet, origin: Instance, key: str) -> set[str]:
+    """Return the data centres in which all instances but the origin know some work."""
+    known = {item.data_centre for item in fleet.all_except(origin)}
+    for item in fleet.all_except(origin):
+        if not item.capacity.knows(origin.name, key):
             known.discard(item.data_centre)
     return known
 
 
-async def test_heartbeat_that_says_the_same_again_is_not_decoded(
+async def test_repeated_heartbeat_is_not_decoded(
     monkeypatch: pytest.MonkeyPatch,
     autojump_clock: MockClock,
 ) -> None:
-    """Most of what an instance heard were 89 heartbeats a second that said nothing new."""
+    """Most messages that an instance received were 89 heartbeats a second without any change."""
     async with open_fleet(monkeypatch) as fleet:
-        await fleet.start(MANY)
-        # Ages are told up to 10 s; what follows stays the same.
+        await fleet.start(FLEET_SIZE)
+        # Heartbeats report ages up to 10 s; after that they stay the same.
         await trio.sleep(10.0)
-        taken: list[str] = []
-        hearer = fleet.instances[4].group
-        real = hearer._take_beat
+        processed: list[str] = []
+        recipient = fleet.instances[4].group
+        original = recipient._take_beat
 
         def take(beat: Beat, age_s: float) -> None:
-            taken.append(beat.name)
-            real(beat, age_s)
-
-        monkeypatch.setattr(hearer, "_take_beat", take)
-        await fleet.check_heard(fleet.instances, 5.0)
-        # The few that came directly.
-        assert len(taken) < 5 * 8
-        teller = fleet.instances[1].group
-        teller.fence = 77
+            processed.append(beat.name)
+            original(beat, age_s)
+
+        monkeypatch.setattr(recipient, "_take_beat", take)
+        await fleet.check_connected(fleet.instances, 5.0)
+        # Only the few that are sent directly.
+        assert len(processed) < 5 * 8
+        origin = fleet.instances[1].group
+        origin.fence = 77
         await trio.sleep(1.5)
-        assert hearer.fence == 77
+        assert recipient.fence == 77
--- a/cleatlink/relay/peers/shared_notices.py
+++ b/cleatlink/relay/peers/shared_notices.py
@@ -1,4 +1,8 @@
-"""Tells peers what endpoints said of themselves, so that each is not turned away first."""
+"""Shares endpoints' notices of shutdown and back-off with peers.
+
+An endpoint that announces its shutdown accepts no new work, and one that asks for a back-off
+accepts none for some time. Peers that get the notice need not be rejected by the endpoint first.
+"""
 
 import random
 
@@ -11,103 +15,115 @@
 
 __all__ = ["SharedNotices"]
 
-# Answers of one endpoint come close together; they are told of together.
+# Answers of one endpoint come close together; this delay combines them in one message.
 _GATHER_S = 0.005
-# Heartbeats repeat the newest words, which a loss could have kept from somebody.
-_MOST_REPEATED = 32
-# Lives in one datagram: their names are bounded by what a store takes as a key.
-_MOST_LIVES = 200
-# A rest that peers know of is told again only if it lasts longer by this, in seconds: an
-# endpoint that turns everybody away names a time with each answer.
-_LONGER_S = 0.5
-# Where a rest was told by others, an instance comes back later by up to this share of what was
-# left: its end would bring all instances at the same moment.
-_SPREAD_SHARE = 0.5
+# Heartbeats repeat this many of the newest shutdown notices, which a peer may have missed.
+_MAX_REPEATED = 32
+# Endpoint incarnations in one datagram; the store's limit on keys bounds the length of the names.
+_MAX_INCARNATIONS = 200
+# A back-off that peers know is sent again only if it ends later by at least this many seconds:
+# an endpoint that rejects all requests names a time in each answer.
+_MIN_EXTENSION_S = 0.5
+# An instance extends a back-off reported by a peer by a random part, up to this share of the time
+# left: otherwise all instances would retry at the same moment.
+_MAX_RANDOM_SHARE = 0.5
 
 
 class SharedNotices(NewsChannel):
-    """What this instance tells, and takes, of endpoints' own words."""
+    """Sends and receives the notices that endpoints gave of shutdown and back-off."""
 
     def __init__(self, name: str, notices: EndpointNotices, rng: random.Random) -> None:
-        """Start with nothing to tell.
+        """Initialise the channel without pending notices.
 
         Args:
             name: This instance's name.
-            notices: Where what endpoints say is kept.
-            rng: Spreads the ends of rests.
+            notices: Store of the notices from endpoints.
+            rng: Source of the random extension of reported back-offs.
         """
         self._name = name
         self._notices = notices
         self._rng = rng
         self._leaving: set[str] = set()
-        self._resting: set[str] = set()
-        self._told_until: dict[str, float] = {}
+        self._in_backoff: set[str] = set()
+        self._reported_until: dict[str, float] = {}
         self._wake = trio.Event()
 
-    def tell_leaving(self, life: str) -> None:
-        """Have peers told that an endpoint said that it leaves."""
-        self._leaving.add(life)
+    def tell_leaving(self, incarnation: str) -> None:
+        """Queue an endpoint's notice that it is shutting down, to be sent to peers."""
+        self._leaving.add(incarnation)
         self._wake.set()
 
-    def tell_rest(self, life: str) -> None:
-        """Have peers told of an endpoint's rest, unless they know of one as long."""
-        until = self._notices.rests_until(life)
-        if until - self._told_until.get(life, 0.0) < _LONGER_S:
+    def tell_rest(self, incarnation: str) -> None:
+        """Queue an endpoint's back-off for peers, unless they know one that lasts as long."""
+        until = self._notices.rests_until(incarnation)
+        if until - self._reported_until.get(incarnation, 0.0) < _MIN_EXTENSION_S:
             return
-        self._note_told(life, until, trio.current_time())
-        self._resting.add(life)
+        self._mark_reported(incarnation, until, trio.current_time())
+        self._in_backoff.add(incarnation)
         self._wake.set()
 
     async def next(self) -> list[NoticeNews]:
-        """Wait for something to tell every peer, and give it."""
+        """Wait for pending notices and return the messages for all peers."""
         await self._wake.wait()
         await trio.sleep(_GATHER_S)
         self._wake = trio.Event()
         leaving, self._leaving = sorted(self._leaving), set()
-        resting, self._resting = sorted(self._resting), set()
-        return self._messages(leaving, resting)
+        in_backoff, self._in_backoff = sorted(self._in_backoff), set()
+        return self._messages(leaving, in_backoff)
 
     def repeat(self) -> list[NoticeNews]:
-        """Give what a heartbeat repeats to a few peers: the newest words of leaving."""
-        return self._messages(self._notices.newest_leaving(_MOST_REPEATED), [])
+        """Return the newest shutdown notices, which each heartbeat repeats to a few peers."""
+        return self._messages(self._notices.newest_leaving(_MAX_REPEATED), [])
 
     def introduction(self) -> list[NoticeNews]:
-        """Give everything that was said, for a peer that is new."""
-        leaving = self._notices.newest_leaving(_MOST_LIVES)
-        return self._messages(leaving, self._notices.resting(trio.current_time())[:_MOST_LIVES])
-
-    def _messages(self, leaving: list[str], resting: list[str]) -> list[NoticeNews]:
-        if not leaving and not resting:
+        """Return all current notices, for a new peer."""
+        leaving = self._notices.newest_leaving(_MAX_INCARNATIONS)
+        return self._messages(
+            leaving, self._notices.resting(trio.current_time())[:_MAX_INCARNATIONS]
+        )
+
+    def _messages(self, leaving: list[str], in_backoff: list[str]) -> list[NoticeNews]:
+        if not leaving and not in_backoff:
             return []
         now = trio.current_time()
-        left_s = {life: self._notices.rests_until(life) - now for life in resting}
-        rests = [(life, round(seconds, 3)) for life, seconds in left_s.items() if seconds > 0]
-        return [NoticeNews(self._name, leaving[:_MOST_LIVES], rests)]
+        left_s = {
+            incarnation: self._notices.rests_until(incarnation) - now for incarnation in in_backoff
+        }
+        backoffs = [
+            (incarnation, round(seconds, 3))
+            for incarnation, seconds in left_s.items()
+            if seconds > 0
+        ]
+        return [NoticeNews(self._name, leaving[:_MAX_INCARNATIONS], backoffs)]
 
     def take(self, news: NoticeNews) -> list[str]:
-        """Take what a peer tells; gives the lives of which it is new that they leave."""
+        """Record a peer's notices; return the incarnations not yet known to be shutting down."""
         now = trio.current_time()
-        found = [
-            life
-            for life in news.leaving
-            if self._notices.note_leaving(life, NoticeSource.PEER, now)
+        newly_leaving = [
+            incarnation
+            for incarnation in news.leaving
+            if self._notices.note_leaving(incarnation, NoticeSource.PEER, now)
         ]
-        for life in found:
+        for incarnation in newly_leaving:
             eliot.log_message(
-                message_type="endpoint: leaves, as a peer tells", endpoint=life, peer=news.name
+                message_type="endpoint: leaves, as a peer tells",
+                endpoint=incarnation,
+                peer=news.name,
             )
-        for life, left_s in news.rests:
+        for incarnation, left_s in news.rests:
             if left_s > 0:
-                self._take_rest(life, now, left_s)
-        return found
-
-    def _note_told(self, life: str, until: float, now: float) -> None:
-        """Note that peers know of a rest; those that are over are forgotten."""
-        self._told_until = {name: at for name, at in self._told_until.items() if at > now}
-        self._told_until[life] = until
-
-    def _take_rest(self, life: str, now: float, left_s: float) -> None:
-        """Take a rest that was asked of a peer; it is told no further."""
-        self._note_told(life, max(self._told_until.get(life, 0.0), now + left_s), now)
-        until = now + left_s * (1 + _SPREAD_SHARE * self._rng.random())
-        self._notices.note_told_rest(life, until, now)
+                self._record_backoff(incarnation, now, left_s)
+        return newly_leaving
+
+    def _mark_reported(self, incarnation: str, until: float, now: float) -> None:
+        """Record that peers know of a back-off, and forget those that are over."""
+        self._reported_until = {name: at for name, at in self._reported_until.items() if at > now}
+        self._reported_until[incarnation] = until
+
+    def _record_backoff(self, incarnation: str, now: float, left_s: float) -> None:
+        """Record a back-off that a peer reported, without sending it to others."""
+        self._mark_reported(
+            incarnation, max(self._reported_until.get(incarnation, 0.0), now + left_s), now
+        )
+        until = now + left_s * (1 + _MAX_RANDOM_SHARE * self._rng.random())
+        self._notices.note_told_rest(incarnation, until, now)
--- a/cleatlink/relay/peers/shared_quarantine.py
+++ b/cleatlink/relay/peers/shared_quarantine.py
@@ -1,8 +1,8 @@
-"""Keeps an instance's quarantine alike with its peers'.
+"""Keeps an instance's quarantine consistent with those of its peers.
 
-What an instance finds out goes to every peer at once. Datagrams can be lost, and instances
-start anew or are cut off: so each heartbeat repeats some of it to a few peers, and a peer
-that is new is told everything.
+An instance sends new evidence to every peer at once. Datagrams can be lost, and instances restart
+or are partitioned, so each heartbeat repeats some of the evidence to a few peers, and a new peer
+gets all of it.
 """
 
 import random
@@ -19,25 +19,25 @@
 
 __all__ = ["SharedQuarantine"]
 
-# Connections that one crash ends break within milliseconds; they are told of together.
+# One crash breaks its connections within milliseconds; this delay combines them in one message.
 _GATHER_S = 0.005
-# Crashes in one datagram: 128 requests each still fit.
-_CRASHES_A_MESSAGE = 16
-# Crashes that a heartbeat repeats: the newest, which a loss could have kept from somebody,
-# and some others in turn.
-_NEWEST = 4
-_OTHERS = 4
+# Maximum number of crashes in one datagram; it fits with 128 requests for each crash.
+_MAX_CRASHES_PER_MESSAGE = 16
+# Number of crashes that a heartbeat repeats: the newest, which a peer may have missed, and some
+# others chosen at random.
+_NEWEST_REPEATED = 4
+_OTHERS_REPEATED = 4
 
 
 class SharedQuarantine(NewsChannel):
-    """The quarantine of this instance, and what it tells of it."""
+    """The quarantine of this instance, shared with its peers."""
 
     def __init__(self, name: str, rng: random.Random) -> None:
-        """Start without evidence.
+        """Initialise the quarantine without evidence.
 
         Args:
             name: This instance's name.
-            rng: Chooses what heartbeats repeat.
+            rng: Chooses the older crashes that heartbeats repeat.
         """
         self._name = name
         self._rng = rng
@@ -52,17 +52,17 @@
 
     @property
     def held(self) -> int:
-        """Requests that are held back now."""
+        """Number of requests that are in quarantine now."""
         return len(self.held_requests())
 
     def held_requests(self) -> list[HeldRequest]:
-        """Give the requests that are held back now, and on what evidence."""
+        """Return the requests that are in quarantine now, with the evidence against them."""
         now = trio.current_time()
-        held = []
+        held_requests = []
         for identity, blame in self._quarantine.evidence.blames().items():
             verdict = self._quarantine.judge(identity, now)
             if verdict.is_held:
-                held.append(
+                held_requests.append(
                     HeldRequest(
                         asks=identity.hex(),
                         endpoints=list(blame.lives),
@@ -70,40 +70,42 @@
                         for_s=round(verdict.retry_after_s, 1),
                     )
                 )
-        return held
+        return held_requests
 
     def judge(self, identity: bytes) -> Verdict:
-        """Decide about a request."""
+        """Decide whether a request may run."""
         return self._quarantine.judge(identity, trio.current_time())
 
     def note_crash(self, endpoint: RoutedEndpoint, suspects: Mapping[bytes, float]) -> None:
-        """Note an endpoint that crashed with requests of this instance in progress.
+        """Record the crash of an endpoint with requests of this instance in progress.
 
         Args:
-            endpoint: The endpoint.
-            suspects: The requests' identities, with the seconds for which they had been.
+            endpoint: The crashed endpoint.
+            suspects: Identities of the requests, with the seconds each had been in progress.
         """
-        if self._take(CrashReport(endpoint.name, 0.0, suspects)):
-            self._tell(endpoint.name)
+        if self._add_report(CrashReport(endpoint.name, 0.0, suspects)):
+            self._queue_update(endpoint.name)
 
     def note_served(self, identity: bytes) -> None:
-        """Note that a request ran to its end: it does not crash what runs it."""
+        """Record that a request completed, which clears it of the crashes so far."""
         if not self._quarantine.evidence.suspicion(identity):
             return
-        lives = self._quarantine.evidence.clear(identity)
+        incarnations = self._quarantine.evidence.clear(identity)
         eliot.log_message(
-            message_type="quarantine: clears a request", asks=identity.hex(), crashes=len(lives)
+            message_type="quarantine: clears a request",
+            asks=identity.hex(),
+            crashes=len(incarnations),
         )
-        self._tell(*lives)
+        self._queue_update(*incarnations)
 
     def begin_trial(self, identity: bytes) -> None:
-        """Make the one careful try of a request."""
+        """Record the start of the single trial of a request whose quarantine is over."""
         self._quarantine.begin_trial(identity, trio.current_time())
         eliot.log_message(message_type="quarantine: tries a request", asks=identity.hex())
-        self._tell()
+        self._queue_update()
 
-    def _take(self, report: CrashReport) -> bool:
-        """Take a report in; tells whether it had anything new."""
+    def _add_report(self, report: CrashReport) -> bool:
+        """Add a crash report to the evidence; return whether it contained anything new."""
         now = trio.current_time()
         before = self._quarantine.evidence.blames()
         if not self._quarantine.take_report(report, now):
@@ -121,12 +123,12 @@
                 )
         return True
 
-    def _tell(self, *lives: str) -> None:
-        self._changed.update(lives)
+    def _queue_update(self, *incarnations: str) -> None:
+        self._changed.update(incarnations)
         self._wake.set()
 
     async def next(self) -> list[CrashNews]:
-        """Wait for something to tell every peer, and give it."""
+        """Wait for new evidence and return the messages for all peers."""
         await self._wake.wait()
         await trio.sleep(_GATHER_S)
         self._wake = trio.Event()
@@ -134,37 +136,39 @@
         return self._messages(sorted(changed))
 
     def repeat(self) -> list[CrashNews]:
-        """Give what a heartbeat repeats to a few peers."""
-        lives = self._quarantine.evidence.lives()
-        newest, others = lives[:_NEWEST], lives[_NEWEST:]
-        chosen = self._rng.sample(others, min(_OTHERS, len(others)))
-        return self._messages(newest + chosen) if lives else []
+        """Return the evidence that a heartbeat repeats to a few peers."""
+        incarnations = self._quarantine.evidence.lives()
+        newest, others = incarnations[:_NEWEST_REPEATED], incarnations[_NEWEST_REPEATED:]
+        chosen = self._rng.sample(others, min(_OTHERS_REPEATED, len(others)))
+        return self._messages(newest + chosen) if incarnations else []
 
     def introduction(self) -> list[CrashNews]:
-        """Give everything, for a peer that is new."""
+        """Return all evidence, for a new peer."""
         return [] if self.is_empty else self._messages(self._quarantine.evidence.lives())
 
-    def _messages(self, lives: list[str]) -> list[CrashNews]:
+    def _messages(self, incarnations: list[str]) -> list[CrashNews]:
         now = trio.current_time()
-        found = [self._quarantine.evidence.report(life, now) for life in lives]
-        items = [CrashItem.of(report) for report in found if report is not None]
+        reports = [
+            self._quarantine.evidence.report(incarnation, now) for incarnation in incarnations
+        ]
+        items = [CrashItem.of(report) for report in reports if report is not None]
         trials = [(trial.identity, trial.age_s) for trial in self._quarantine.trials(now)]
         parts = list(_split(items)) or ([[]] if trials else [])
         return [CrashNews(self._name, part, trials) for part in parts]
 
     def take(self, news: CrashNews) -> None:
-        """Take what a peer tells."""
+        """Add the evidence and the trials that a peer reported."""
         for item in news.crashes:
-            self._take(item.report())
+            self._add_report(item.report())
         trials = (Trial(identity, age_s) for identity, age_s in news.trials)
         self._quarantine.take_trials(trials, trio.current_time())
 
     def keep_house(self) -> None:
-        """Forget what is long ago."""
+        """Forget expired evidence and trials."""
         self._quarantine.forget(trio.current_time())
 
 
 def _split(items: list[CrashItem]) -> Iterator[list[CrashItem]]:
-    """Split into parts that fit a datagram."""
-    for first in range(0, len(items), _CRASHES_A_MESSAGE):
-        yield items[first : first + _CRASHES_A_MESSAGE]
+    """Split crashes into parts that fit into one datagram each."""
+    for first in range(0, len(items), _MAX_CRASHES_PER_MESSAGE):
+        yield items[first : first + _MAX_CRASHES_PER_MESSAGE]
