--- a/cleatlink/relay/peers/reflection.py
+++ b/cleatlink/relay/peers/reflection.py
@@ -8,8 +8,8 @@
 
 __all__ = ["ForwardingQueue", "split_items"]
 
-# Longest wait of items that are not urgent. With heartbeats each second, it keeps a peer within the
-# time for which it counts as heard in the calculation of limits.
+# Longest wait of items that are not urgent. With heartbeats each second, a peer still counts as
+# reachable in the calculation of limits.
 _MAX_WAIT_S = 0.2
 # Urgent items wait for further items, and for a minimum interval since the previous bundle:
 # each bundle costs one datagram to every instance of the data centre.
--- a/cleatlink/relay/peers/shared_notices.py
+++ b/cleatlink/relay/peers/shared_notices.py
@@ -96,21 +96,21 @@
         ]
         return [NoticeNews(self._name, leaving[:_MAX_INCARNATIONS], backoffs)]
 
-    def take(self, news: NoticeNews) -> list[str]:
+    def take(self, update: NoticeNews) -> list[str]:
         """Record a peer's notices; return the incarnations not yet known to be shutting down."""
         now = trio.current_time()
         newly_leaving = [
             incarnation
-            for incarnation in news.leaving
+            for incarnation in update.leaving
             if self._notices.note_leaving(incarnation, NoticeSource.PEER, now)
         ]
         for incarnation in newly_leaving:
             eliot.log_message(
                 message_type="endpoint: leaves, as a peer tells",
                 endpoint=incarnation,
-                peer=news.name,
+                peer=update.name,
             )
-        for incarnation, left_s in news.rests:
+        for incarnation, left_s in update.rests:
             if left_s > 0:
                 self._record_backoff(incarnation, now, left_s)
         return newly_leaving
--- a/cleatlink/relay/peers/shared_quarantine.py
+++ b/cleatlink/relay/peers/shared_quarantine.py
@@ -156,11 +156,11 @@
         parts = list(_split(items)) or ([[]] if trials else [])
         return [CrashNews(self._name, part, trials) for part in parts]
 
-    def take(self, news: CrashNews) -> None:
+    def take(self, update: CrashNews) -> None:
         """Add the evidence and the trials that a peer reported."""
-        for item in news.crashes:
+        for item in update.crashes:
             self._add_report(item.report())
-        trials = (Trial(identity, age_s) for identity, age_s in news.trials)
+        trials = (Trial(identity, age_s) for identity, age_s in update.trials)
         self._quarantine.take_trials(trials, trio.current_time())
 
     def keep_house(self) -> None:
