--- a/cleatlink/relay/peers/__init__.py
+++ b/cleatlink/relay/peers/__init__.py
@@ -1,1 +1,1 @@
-"""What instances tell each other: presence, work, limits, crashes and what is known."""
+"""Messages between instances: heartbeats, work, limits, endpoint failures and configuration."""
--- a/cleatlink/relay/peers/catch_up.py
+++ b/cleatlink/relay/peers/catch_up.py
@@ -1,4 +1,4 @@
-"""Learns what a peer knows and this instance does not: route tables and registrations."""
+"""Fetch route tables and registrations that peers have and this instance lacks."""
 
 import random
 from collections.abc import Callable
@@ -15,7 +15,7 @@
 
 
 class CatchUp:
-    """Catches up with route tables and registrations, neither of which waits for the other."""
+    """Catches up with route tables and registrations, independently of each other."""
 
     def __init__(
         self,
@@ -27,15 +27,15 @@
         *,
         must_watch: Callable[[], bool],
     ) -> None:
-        """Prepare.
+        """Initialise the catch-up of tables and of registrations.
 
         Args:
-            data_centre: Where this instance runs.
-            hooks: Give what this instance knows, and take what it learns.
-            heard: The peers that can be asked.
+            data_centre: Data centre of this instance.
+            hooks: Return the local state, and process what is fetched.
+            heard: The peers to copy from.
             metrics: Counters.
-            rng: Spreads the instances over time and over the peers that they ask.
-            must_watch: Tells whether this instance watches the service itself.
+            rng: Randomises when instances send requests, and to which peers.
+            must_watch: Return whether this instance watches the configuration service itself.
         """
         self._hooks = hooks
         copier = PeerCopier(data_centre, hooks, heard, metrics, rng)
@@ -43,7 +43,7 @@
         self._registrations = RegistrationCatchUp(hooks, copier, rng)
 
     def note(self, beat: Beat, spawn: Callable[..., None]) -> None:
-        """Begin to catch up if a peer's heartbeat tells of something newer."""
-        self._hooks.on_table(beat.table, beat.name, beat.finds_source)
+        """Start to catch up if a peer's heartbeat reports a newer revision."""
+        self._hooks.on_table_revision(beat.table, beat.name, beat.finds_source)
         self._tables.note(beat, spawn)
         self._registrations.note(beat, spawn)
--- a/cleatlink/relay/peers/catch_up_rounds.py
+++ b/cleatlink/relay/peers/catch_up_rounds.py
@@ -1,4 +1,4 @@
-"""Rounds of catching up with peers: when one begins, when the next, and when one is pointless."""
+"""Schedule rounds that fetch newer revisions, and cancel rounds that are no longer needed."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable
@@ -10,84 +10,91 @@
 
 __all__ = ["CatchUpRounds"]
 
-# What a heartbeat tells is usually known from elsewhere within so long.
-_HEAR_OF_IT_S = 0.15
-# The pause before a round doubles with each that brought nothing, so many times at the most.
-_MOST_DOUBLINGS = 4
+# Delay before a round, in seconds. Within it, a revision that a heartbeat reports usually arrives
+# from the configuration service anyway.
+_ROUND_DELAY_S = 0.15
+# Maximum number of doublings of the delay; it doubles after each round without progress.
+_MAX_DOUBLINGS = 4
 
 RevisionT = TypeVar("RevisionT")
 
 
 class CatchUpRounds(ABC, Generic[RevisionT]):
-    """Catches up with what heartbeats tell, one round at a time."""
+    """Fetches the newer revisions that heartbeats report, one round at a time."""
 
     def __init__(self) -> None:
         self._is_running = False
-        # The newest heartbeat that a round is still to be made for, and the one of the round.
-        self._told: Beat | None = None
+        # The heartbeat with the newest revision that still needs a round, and that of the
+        # running round.
+        self._pending: Beat | None = None
         self._target: Beat | None = None
-        self._round = trio.CancelScope()
-        # Rounds in a row that brought nothing, and what was known then.
-        self._failures = 0
-        self._known_before: RevisionT | None = None
+        self._round_scope = trio.CancelScope()
+        # Consecutive rounds without progress, and the local revision after the last round.
+        self._rounds_without_progress = 0
+        self._last_revision: RevisionT | None = None
 
     @abstractmethod
     def revision_of(self, beat: Beat) -> RevisionT:
-        """Give the revision that a heartbeat tells."""
+        """Return the revision that a heartbeat reports."""
 
     @abstractmethod
-    def known(self) -> RevisionT:
-        """Give the revision that is known here."""
+    def local_revision(self) -> RevisionT:
+        """Return the revision that this instance has."""
 
     @abstractmethod
     def is_later(self, revision: RevisionT, than: RevisionT) -> bool:
-        """Tell whether a revision is later than another one."""
+        """Check whether a revision is later than another one."""
 
     @abstractmethod
-    async def get(self, beat: Beat) -> None:
-        """Get what a heartbeat told, one way or another."""
+    async def fetch(self, beat: Beat) -> None:
+        """Try to fetch the revision that a heartbeat reports."""
 
     def lacks(self, beat: Beat) -> bool:
-        """Tell whether a heartbeat tells something newer than what is known here."""
-        return self.is_later(self.revision_of(beat), self.known())
+        """Check whether a heartbeat reports a later revision than this instance has."""
+        return self.is_later(self.revision_of(beat), self.local_revision())
 
     def note(self, beat: Beat, spawn: Callable[..., None]) -> None:
-        """Begin to catch up if a heartbeat tells of something newer.
+        """Start to catch up if a heartbeat reports a later revision.
 
-        A round for what is known by now is ended: it would hold up what is newer.
+        A running round whose revision has arrived meanwhile is cancelled, since it would delay
+        the later revision.
         """
         if not self.lacks(beat):
             return
-        told = self._told
-        if told is None or self.is_later(self.revision_of(beat), self.revision_of(told)):
-            self._told = beat
+        pending = self._pending
+        if pending is None or self.is_later(self.revision_of(beat), self.revision_of(pending)):
+            self._pending = beat
         if not self._is_running:
             self._is_running = True
             spawn(self._run)
         elif self._target is not None and not self.lacks(self._target):
-            self._round.cancel()
+            self._round_scope.cancel()
 
     async def _run(self) -> None:
         try:
-            while self._told is not None and self.lacks(self._told):
-                await trio.sleep(_HEAR_OF_IT_S * 2 ** min(self._failures, _MOST_DOUBLINGS))
-                await self._make_round()
+            while self._pending is not None and self.lacks(self._pending):
+                await trio.sleep(
+                    _ROUND_DELAY_S * 2 ** min(self._rounds_without_progress, _MAX_DOUBLINGS)
+                )
+                await self._run_round()
         finally:
-            self._told = self._target = None
+            self._pending = self._target = None
             self._is_running = False
 
-    async def _make_round(self) -> None:
-        """Catch up with the newest that was told by now."""
-        beat, self._told = self._told, None
+    async def _run_round(self) -> None:
+        """Run one round for the newest revision reported so far."""
+        beat, self._pending = self._pending, None
         if beat is None or not self.lacks(beat):
             return
         self._target = beat
-        with trio.CancelScope() as self._round:
-            await self.get(beat)
+        with trio.CancelScope() as self._round_scope:
+            await self.fetch(beat)
         self._target = None
-        self._count_failures()
-
-    def _count_failures(self) -> None:
-        known = self.known()
-        self._failures = self._failures + 1 if known == self._known_before else 0
-        self._known_before = known
+        self._count_round()
+
+    def _count_round(self) -> None:
+        revision = self.local_revision()
+        self._rounds_without_progress = (
+            self._rounds_without_progress + 1 if revision == self._last_revision else 0
+        )
+        self._last_revision = revision
--- a/cleatlink/relay/peers/group.py
+++ b/cleatlink/relay/peers/group.py
@@ -1,11 +1,11 @@
-"""An instance among its peers: heartbeats, shared work, and what one knows for all.
-
-Datagrams carry heartbeats and changes of work; they may be lost, and all work is
-repeated. In a large fleet they go through reflectors (see ``delivery``). Who is
-there is told by rosters, to a peer that is new and to a few others with each
-heartbeat. A route table or list that a peer knows and this instance does not is
-fetched over HTTP, so that one that the configuration service turns away keeps up
-with the others.
+"""Exchange heartbeats, work in progress and shared observations with peer instances.
+
+Heartbeats and work changes are sent as datagrams. Datagrams may be lost, so all work
+is sent again periodically. In a large fleet they are sent through reflectors (see
+``delivery``). Rosters list the known instances; they are sent to each new peer and,
+with each heartbeat, to a few others. A route table or registration list that a peer
+has and this instance lacks is fetched from the peer over HTTP, so that an instance
+refused by the configuration service stays up to date.
 """
 
 import math
@@ -73,45 +73,49 @@
 
 __all__ = ["SILENCE_S", "PeerGroup"]
 
-# A peer that was silent for so long counts as gone for the choice of a leader.
+# Time without a heartbeat after which leader election ignores a peer, in seconds.
 SILENCE_S = 2.5
 
-# Two lost heartbeats in a row still leave a peer within the silence that counts.
-_BEAT_S = 1.0
-# Peers that get a roster with each heartbeat.
-_ROSTERS = 3
-# Who is new gets a whole roster; later ones only heal what was missed, with so many members.
-# Whole ones would be 20 of the 37 kB that one of 195 instances sends each second (encoded
-# sizes); these are 2.4.
-_MEMBERS_A_ROSTER = 24
-# Two heartbeats: work that is over is usually told before.
-_WORK_SLACK_S = 2.0
-# Changes that come within so long of each other go in one datagram: about the pause
+# Interval between heartbeats, in seconds. Two lost heartbeats in a row do not exceed the
+# silence after which leader election ignores a peer.
+_HEARTBEAT_INTERVAL_S = 1.0
+# Number of peers that are sent a roster with each heartbeat.
+_ROSTER_RECIPIENTS = 3
+# Maximum number of members in a periodic roster. A new peer is sent a complete roster; the
+# periodic ones only repair losses. With 195 instances, complete periodic rosters would be 20 of
+# the 37 kB that an instance sends each second (encoded sizes); limited ones are 2.4 kB.
+_MAX_ROSTER_MEMBERS = 24
+# Time that a peer's work is kept beyond twice its expected duration, in seconds. It spans two
+# heartbeats; the end of work is usually announced earlier.
+_WORK_GRACE_S = 2.0
+# Interval in which work changes are combined into one datagram, in seconds: about the pause
 # between two steps of one stream.
-_GATHER_S = 0.002
-# The same where reflectors gather changes of all instances anyway.
-_LARGE_GATHER_S = 0.02
-# Ticks of a large fleet; each second one tells a heartbeat.
-_TICK_S = 0.5
-_MS = 1000.0
-# Ages above this are alike to all: a heartbeat that says them says the same again.
-_OLD_S = 10
-# Pause between two looks at which part of all instances is heard.
-_LOOK_S = 0.2
-
-
-class _WorkNumber(NamedTuple):
-    """Orders what a peer tells of its work."""
+_BATCH_INTERVAL_S = 0.002
+# The same interval in a large fleet, where reflectors combine the changes of all instances anyway.
+_LARGE_FLEET_BATCH_INTERVAL_S = 0.02
+# Interval between updates of the reflector choice in a large fleet, in seconds. Every other
+# update sends a heartbeat.
+_TICK_INTERVAL_S = 0.5
+_MS_PER_S = 1000.0
+# Maximum age of the organisations' totals in a heartbeat, in seconds. Receivers treat all higher
+# ages alike; the cap keeps consecutive heartbeats identical.
+_MAX_REPORTED_AGE_S = 10
+# Interval between checks of the share of instances that are heard, in seconds.
+_HEARD_SHARE_CHECK_INTERVAL_S = 0.2
+
+
+class _WorkSequence(NamedTuple):
+    """Sequence number of a work announcement, ordered first by the sender's incarnation."""
 
     incarnation: int
     number: int
 
 
-_NO_NUMBER = _WorkNumber(0, 0)
+_NO_WORK_SEQUENCE = _WorkSequence(0, 0)
 
 
 class PeerGroup:
-    """This instance's peers."""
+    """Sends this instance's state to its peers and applies the state that they send."""
 
     def __init__(
         self,
@@ -129,38 +133,38 @@
         self._incarnation = incarnation
         self._capacity = capacity
         self._limits = limits
-        self._limit_news = LimitNews(settings.name, incarnation, limits, capacity.limits)
+        self._limit_updates = LimitNews(settings.name, incarnation, limits, capacity.limits)
         self._endpoint_limits = EndpointLimitNews(settings.name, incarnation, capacity.limits)
         self._endpoint_paces = EndpointPaceTeller(
             settings.name, incarnation, capacity.endpoint_paces, metrics
         )
-        self._waiting = WaitingNews(
+        self._waiting_updates = WaitingNews(
             settings.name, incarnation, settings.data_centre, capacity.waiting
         )
         self._quarantine = quarantine
         self._notices = notices
-        self._source_news = SourceNewsChannel(settings.name)
-        self._shed_news = ShedNewsChannel(settings.name)
-        self._plain_news = PlainNews(settings.name, incarnation, capacity)
+        self._source_updates = SourceNewsChannel(settings.name)
+        self._shed_updates = ShedNewsChannel(settings.name)
+        self._plain_updates = PlainNews(settings.name, incarnation, capacity)
         self._channels: tuple[NewsChannel, ...] = (
-            self._plain_news,
-            self._limit_news,
+            self._plain_updates,
+            self._limit_updates,
             self._endpoint_limits,
             self._endpoint_paces,
             quarantine,
             notices,
-            self._source_news,
-            self._shed_news,
-            self._waiting,
+            self._source_updates,
+            self._shed_updates,
+            self._waiting_updates,
         )
         self._metrics = metrics
         self._hooks = hooks
         self._address = str(settings.peer_listen)
-        first = (str(peer) for peer in settings.peers if str(peer) != self._address)
-        self._peers = HeardPeers(settings.name, first, trio.current_time())
-        self._changed: set[str] = set()
-        self._news = WorkNews(settings.name, incarnation, settings.data_centre, capacity)
-        self._wake = trio.Event()
+        configured = (str(peer) for peer in settings.peers if str(peer) != self._address)
+        self._peers = HeardPeers(settings.name, configured, trio.current_time())
+        self._changed_work: set[str] = set()
+        self._work_updates = WorkNews(settings.name, incarnation, settings.data_centre, capacity)
+        self._work_changed = trio.Event()
         self._hints = Hints(capacity)
         self._rng = random.Random(incarnation)
         self._catch_up = CatchUp(
@@ -176,63 +180,64 @@
         self.members: Set[str] = frozenset({settings.name})
         self._spawn: Callable[..., None] = _drop_task
         self._socket = DatagramSocket(settings.peer_listen, metrics)
-        self._takers = self._list_takers()
+        self._handlers = self._message_handlers()
         self._delivery = Delivery(settings, incarnation, self._peers, self._socket, metrics)
-        # The last numbers with which peers told of their work, with their incarnations.
-        self._heard_work: dict[str, _WorkNumber] = {}
-        self._beat_due = False
-        self._told_table = 0
-        self._beat_number = 0
-        self._last_beat: Beat | None = None
-        # Heartbeats as they were encoded, by their sender: most say the same again.
-        self._heard_beats: dict[str, bytes] = {}
-        self._looked_at = -math.inf
-        self._is_work_new = False
+        # The last sequence number of each peer's work announcements.
+        self._last_work_sequences: dict[str, _WorkSequence] = {}
+        self._is_heartbeat_due = False
+        self._announced_table = 0
+        self._heartbeat_number = 0
+        self._last_heartbeat: Beat | None = None
+        # The last encoded heartbeat by sender. Most heartbeats repeat the previous one and
+        # need no decoding.
+        self._encoded_heartbeats: dict[str, bytes] = {}
+        self._heard_share_checked_at = -math.inf
+        self._has_peer_work_changed = False
 
     @property
     def listen(self) -> Address:
-        """Where this instance hears its peers."""
+        """The address at which this instance receives datagrams from its peers."""
         return self._settings.peer_listen
 
     def hearing(self) -> Hearing:
-        """Give what is heard, for the choice of a leader."""
+        """Return the votes and members that peers reported, for leader election."""
         return self._peers.hearing(SILENCE_S, trio.current_time())
 
     def heard_within(self, seconds: float) -> set[str]:
-        """Give the peers that were heard lately."""
+        """Return the names of the peers whose last heartbeat is at most this many seconds old."""
         return self._peers.heard_within(seconds, trio.current_time())
 
     @property
     def alive(self) -> int:
-        """Instances that are heard now, this one included."""
+        """The number of instances that are live now, including this one."""
         return len(self._peers) + 1
 
     @property
     def most_members(self) -> int:
-        """Most instances that were heard at a time, this one included."""
+        """The highest number of simultaneously live instances, including this one."""
         return self._peers.most_members
 
-    def start(self, keep: Callable[..., None], spawn: Callable[..., None]) -> None:
-        """Start to hear and tell.
+    def start(self, supervise: Callable[..., None], spawn: Callable[..., None]) -> None:
+        """Start to send and receive.
 
         Args:
-            keep: Runs a task for as long as the instance runs.
+            supervise: Runs a task until the instance stops.
             spawn: Runs a task once.
         """
         self._spawn = spawn
-        for task in (self._receive, self._beat_always, self._tell_changes, self._delivery.run):
-            keep(task)
+        for task in (self._receive, self._send_heartbeats, self._tell_changes, self._delivery.run):
+            supervise(task)
         for channel in self._channels:
-            keep(partial(self._tell_news, channel))
+            supervise(partial(self._tell_news, channel))
 
     @property
     def shares_watch(self) -> bool:
-        """Whether some instances watch the configuration service for the others."""
+        """Whether some instances watch the configuration service on behalf of the others."""
         is_large = len(self._peers) > FEW_PEERS
         return is_large and self._capacity.switches.uses(Mechanism.SHARED_WATCH)
 
     def must_watch(self) -> bool:
-        """Tell whether this instance has to watch the configuration service itself."""
+        """Check whether this instance has to watch the configuration service itself."""
         if not self.shares_watch or not self._hooks.state().finds_source:
             return True
         now = trio.current_time()
@@ -241,71 +246,90 @@
         return is_watcher(self._settings.name, others)
 
     def tell_source(self, after: StoreRevision, change: SourceChange, found_ago_s: float) -> None:
-        """Tell the peers of this data centre what the configuration service told."""
+        """Send a change read from the configuration service to the peers of this data centre."""
         if self.shares_watch:
-            self._source_news.tell(after, change, found_ago_s)
+            self._source_updates.tell(after, change, found_ago_s)
 
     def close(self) -> None:
-        """Close the socket."""
+        """Close the datagram socket."""
         self._socket.close()
 
     def note_work(self, *keys: str) -> None:
-        """Tell peers that own work changed."""
-        self._changed.update(keys)
-        self._wake.set()
+        """Announce changes of this instance's work to peers.
+
+        Args:
+            keys: Keys of the work that changed.
+        """
+        self._changed_work.update(keys)
+        self._work_changed.set()
 
     def note_spending(self) -> None:
-        """Tell peers soon what was let pass: little is left of an organisation's limit."""
-        self._limit_news.note_spending()
+        """Announce the admitted requests soon, since an organisation's limit is nearly used up."""
+        self._limit_updates.note_spending()
 
     def tell_shed(self, endpoint: str, tokens: int) -> None:
-        """Tell peers at once of a decode that had no room for a stream of so many tokens."""
-        self._shed_news.tell(endpoint, tokens)
+        """Announce immediately that a decode endpoint shed a stream of this many tokens."""
+        self._shed_updates.tell(endpoint, tokens)
 
-    def tell_limit(self, life: str) -> None:
-        """Tell peers at once that an endpoint names another limit, or none any more."""
-        self._endpoint_limits.tell_word(life)
+    def tell_limit(self, endpoint_incarnation: str) -> None:
+        """Announce immediately that an endpoint changed or removed its limit."""
+        self._endpoint_limits.tell_word(endpoint_incarnation)
 
     async def _tell_news(self, channel: NewsChannel) -> None:
         while True:
             for news in await channel.next():
-                here = [self._settings.data_centre] if channel.is_local else None
+                data_centres = [self._settings.data_centre] if channel.is_local else None
                 if self._delivery.uses_reflectors and channel.bears_delay:
-                    self._delivery.tell(news, here, earlier=news)
+                    self._delivery.tell(news, data_centres, earlier=news)
                 elif channel.is_local:
-                    near = self._peers.addresses_by_data_centre()
-                    self._socket.send(news, near.get(self._settings.data_centre, []))
+                    by_data_centre = self._peers.addresses_by_data_centre()
+                    self._socket.send(news, by_data_centre.get(self._settings.data_centre, []))
                 else:
                     self._socket.send(news, self._peers.addresses)
 
     def send_beat(self) -> None:
-        """Send a heartbeat to every known address; in a large fleet, with the next tick."""
+        """Send a heartbeat to every known address.
+
+        In a large fleet it is sent with the next tick, unless this instance is leaving or has a
+        new route table.
+        """
         if not self._delivery.uses_reflectors:
-            self._socket.send(self._beat(), self._peers.known_addresses)
-        elif self._hooks.state().leaving or self._has_new_table():
-            self._tell_beat(urgent=True)
+            self._socket.send(self._make_heartbeat(), self._peers.known_addresses)
+        elif self._hooks.state().leaving or self._has_unannounced_table():
+            self._send_heartbeat_to_fleet(urgent=True)
         else:
-            self._beat_due = True
+            self._is_heartbeat_due = True
 
-    def _has_new_table(self) -> bool:
-        """Tell whether this instance watches for others and has a table that it has not told."""
+    def _has_unannounced_table(self) -> bool:
+        """Check whether this instance watches for others and has a table not yet announced."""
         table = self._hooks.state().table
-        is_new, self._told_table = table != self._told_table, table
+        is_new, self._announced_table = table != self._announced_table, table
         return is_new and self.must_watch()
 
-    def _tell_beat(self, *, urgent: bool = False) -> Beat:
-        """Tell a heartbeat through reflectors, and with all work to peers of earlier builds."""
+    def _send_heartbeat_to_fleet(self, *, urgent: bool = False) -> Beat:
+        """Send a heartbeat through reflectors.
+
+        Peers of earlier builds, which take no bundles, receive it directly with all work in it.
+        """
         now = trio.current_time()
-        beat = self._beat(work_apart=True)
+        beat = self._make_heartbeat(work_apart=True)
         earlier = None
         if self._peers.earlier_addresses():
-            earlier = msgspec.structs.replace(beat, work=self._news.work(now), work_apart=False)
-        self._beat_due = False
+            earlier = msgspec.structs.replace(
+                beat, work=self._work_updates.work(now), work_apart=False
+            )
+        self._is_heartbeat_due = False
         self._delivery.tell(beat, earlier=earlier, urgent=urgent)
         return beat
 
-    def _beat(self, *, work_apart: bool = False) -> Beat:
-        """Give a heartbeat of now; its number stays while it says the same, but for work."""
+    def _make_heartbeat(self, *, work_apart: bool = False) -> Beat:
+        """Return a heartbeat with the current state.
+
+        Its number changes only when its content, apart from work, changes.
+
+        Args:
+            work_apart: Whether work is sent in separate messages instead of the heartbeat.
+        """
         state = self._hooks.state()
         now = trio.current_time()
         beat = Beat(
@@ -323,27 +347,27 @@
             len(self.members),
             self._limits.totals(now),
             self._limits.spenders,
-            min(int(self._limits.age_s(now)), _OLD_S),
+            min(int(self._limits.age_s(now)), _MAX_REPORTED_AGE_S),
             state.newest.era,
             self._capacity.limits.spenders,
             state.finds_source,
             self._delivery.size,
-            self._beat_number,
+            self._heartbeat_number,
             True,
         )
-        if beat != self._last_beat:
-            self._beat_number = self._delivery.next_number()
-            beat = msgspec.structs.replace(beat, number=self._beat_number)
-            self._last_beat = beat
+        if beat != self._last_heartbeat:
+            self._heartbeat_number = self._delivery.next_number()
+            beat = msgspec.structs.replace(beat, number=self._heartbeat_number)
+            self._last_heartbeat = beat
         if work_apart:
             return beat
-        return msgspec.structs.replace(beat, work=self._news.work(now), work_apart=False)
+        return msgspec.structs.replace(beat, work=self._work_updates.work(now), work_apart=False)
 
-    def _tell_few(self, *first: Message) -> None:
-        """Tell a few peers, picked anew each time, who is there and what was measured."""
+    def _tell_few(self, *messages_before: Message) -> None:
+        """Send a roster, measured paces and repeated updates to a few randomly chosen peers."""
         addresses = self._peers.addresses
-        chosen = self._rng.sample(addresses, min(_ROSTERS, len(addresses)))
-        messages = [*first, self._roster(_MEMBERS_A_ROSTER)]
+        chosen = self._rng.sample(addresses, min(_ROSTER_RECIPIENTS, len(addresses)))
+        messages = [*messages_before, self._roster(_MAX_ROSTER_MEMBERS)]
         paces = self._capacity.pace_summaries(trio.current_time())
         if paces:
             messages.append(PaceNews(self._settings.name, paces))
@@ -351,71 +375,75 @@
             messages += channel.repeat()
         self._delivery.send_directly(messages, chosen)
 
-    def _roster(self, most: int | None = None) -> Roster:
-        """Give the instances that are known here, or at the most some of them."""
+    def _roster(self, max_members: int | None = None) -> Roster:
+        """Return the instances that this instance knows.
+
+        Args:
+            max_members: Maximum number of instances, chosen at random; None for all.
+        """
         names = sorted(self.members | self._peers.names)
-        if most is not None and len(names) > most:
-            names = self._rng.sample(names, most)
+        if max_members is not None and len(names) > max_members:
+            names = self._rng.sample(names, max_members)
         return Roster(self._settings.name, [self._peers.member(name) for name in names])
 
-    async def _beat_always(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
             self._forget_silent()
             if self._delivery.uses_reflectors:
-                self._tick(is_beat_due=True)
-                await trio.sleep(_TICK_S)
-                self._tick(is_beat_due=False)
-                await trio.sleep(_BEAT_S - _TICK_S)
+                self._tick(is_heartbeat_due=True)
+                await trio.sleep(_TICK_INTERVAL_S)
+                self._tick(is_heartbeat_due=False)
+                await trio.sleep(_HEARTBEAT_INTERVAL_S - _TICK_INTERVAL_S)
             else:
                 self._delivery.tick(trio.current_time())
                 self.send_beat()
                 self._tell_few()
-                await trio.sleep(_BEAT_S)
+                await trio.sleep(_HEARTBEAT_INTERVAL_S)
 
-    def _tick(self, *, is_beat_due: bool) -> None:
-        """Tell peers of a large fleet what is due, or what a new reflector has missed."""
+    def _tick(self, *, is_heartbeat_due: bool) -> None:
+        """Send peers of a large fleet the messages that are due or that a new reflector missed."""
         now = trio.current_time()
-        has_new = self._delivery.tick(now)
-        if not (is_beat_due or has_new or self._beat_due):
+        has_new_reflector = self._delivery.tick(now)
+        if not (is_heartbeat_due or has_new_reflector or self._is_heartbeat_due):
             return
-        beat = self._tell_beat()
-        if is_beat_due:
-            self._socket.send(self._beat(), self._peers.unheard_addresses())
+        beat = self._send_heartbeat_to_fleet()
+        if is_heartbeat_due:
+            self._socket.send(self._make_heartbeat(), self._peers.unheard_addresses())
             self._tell_few(beat)
-        due = self._news.due(self._peers.addresses_by_data_centre(), now)
+        due = self._work_updates.due(self._peers.addresses_by_data_centre(), now)
         if due:
-            self._delivery.tell(self._news.list_all(now), due, urgent=False, copies=1)
+            self._delivery.tell(self._work_updates.list_all(now), due, urgent=False, copies=1)
 
     async def _tell_changes(self) -> None:
         while True:
-            await self._wake.wait()
-            self._wake = trio.Event()
+            await self._work_changed.wait()
+            self._work_changed = trio.Event()
             is_large = self._delivery.uses_reflectors
             if is_large:
-                await trio.sleep(_LARGE_GATHER_S)
-            changed, self._changed = self._changed, set()
+                await trio.sleep(_LARGE_FLEET_BATCH_INTERVAL_S)
+            changed, self._changed_work = self._changed_work, set()
             addresses = self._peers.addresses_by_data_centre()
             now = trio.current_time()
-            told = self._news.changes(changed, addresses, len(self._peers), now)
-            for data_centre, changes in told.items():
+            announced = self._work_updates.changes(changed, addresses, len(self._peers), now)
+            for data_centre, changes in announced.items():
                 if is_large:
                     self._delivery.tell(changes, [data_centre], earlier=changes, copies=1)
                 else:
                     self._socket.send(changes, addresses[data_centre])
             if not is_large:
-                await trio.sleep(_GATHER_S)
+                await trio.sleep(_BATCH_INTERVAL_S)
 
     def _forget_silent(self) -> None:
         now = trio.current_time()
-        self._limit_news.look(now)
-        self._capacity.expire_peers(now, _WORK_SLACK_S)
+        self._limit_updates.look(now)
+        self._capacity.expire_peers(now, _WORK_GRACE_S)
         self._capacity.waiting.note_peers(len(self._peers))
         self._capacity.spill_over.note_peers(len(self._peers))
         for lost in self._peers.forget_silent(now):
             self._capacity.forget_peer(lost.name)
-            self._heard_work.pop(lost.name, None)
+            self._last_work_sequences.pop(lost.name, None)
             self._capacity.waiting.forget(lost.name)
-            self._heard_beats.pop(lost.name, None)
+            self._encoded_heartbeats.pop(lost.name, None)
             eliot.log_message(
                 message_type="peers: lost a peer",
                 peer=lost.name,
@@ -428,35 +456,35 @@
             for message in await self._socket.receive():
                 self._take(message, 0.0)
             self._look()
-            if self._is_work_new:
-                self._is_work_new = False
-                self._hooks.on_work()
+            if self._has_peer_work_changed:
+                self._has_peer_work_changed = False
+                self._hooks.on_work_change()
 
-    def _list_takers(self) -> dict[type, Callable[[Any], None]]:
-        """Give what takes each kind of message."""
+    def _message_handlers(self) -> dict[type, Callable[[Any], None]]:
+        """Return the handler of each message type."""
         return {
             Bundle: self._take_bundle,
             Changes: self._take_changes,
-            EndpointHint: self._take_hint,
+            EndpointHint: self._handle_hint,
             PlainCalls: self._take_plain_calls,
             Roster: self._take_roster,
-            PaceNews: self._take_paces,
-            CrashNews: self._take_crashes,
-            NoticeNews: self._take_notices,
+            PaceNews: self._handle_paces,
+            CrashNews: self._handle_crashes,
+            NoticeNews: self._handle_notices,
             EndpointPaceNews: self._take_endpoint_paces,
-            EndpointSpending: self._take_endpoint_spending,
-            ShedNews: self._take_shed_news,
-            SourceNews: self._take_source_news,
-            Spending: self._take_spending,
+            EndpointSpending: self._handle_endpoint_spending,
+            ShedNews: self._handle_shed_update,
+            SourceNews: self._handle_source_update,
+            Spending: self._handle_spending,
             WorkList: self._take_list,
             WaitNews: self._take_wait_news,
         }
 
     def _take_plain_calls(self, news: PlainCalls) -> None:
         self._metrics.count_message("plain_calls")
-        self._plain_news.take(news)
+        self._plain_updates.take(news)
 
-    def _take_hint(self, hint: EndpointHint) -> None:
+    def _handle_hint(self, hint: EndpointHint) -> None:
         self._metrics.count_message(hint.kind.value)
         self._hints.take(hint, trio.current_time())
 
@@ -464,19 +492,20 @@
         self._metrics.count_message("roster")
         found = self._peers.note_roster(roster, trio.current_time())
         if found and len(self._peers) + len(found) > FEW_PEERS:
-            # Who joins a large fleet is heard a heartbeat earlier, and hears it.
-            self._socket.send(self._beat(), found)
+            # An instance that joins a large fleet and its peers then discover each other one
+            # heartbeat earlier.
+            self._socket.send(self._make_heartbeat(), found)
 
-    def _take_crashes(self, news: CrashNews) -> None:
+    def _handle_crashes(self, news: CrashNews) -> None:
         self._metrics.count_message("crashes")
         self._quarantine.take(news)
 
-    def _take_notices(self, news: NoticeNews) -> None:
+    def _handle_notices(self, news: NoticeNews) -> None:
         self._metrics.count_message("notices")
-        for life in self._notices.take(news):
-            self._hooks.on_leaving(life)
+        for endpoint_incarnation in self._notices.take(news):
+            self._hooks.on_endpoint_leaving(endpoint_incarnation)
 
-    def _take_endpoint_spending(self, news: EndpointSpending) -> None:
+    def _handle_endpoint_spending(self, news: EndpointSpending) -> None:
         self._metrics.count_message("endpoint_limits")
         self._endpoint_limits.take(news)
 
@@ -484,44 +513,49 @@
         self._metrics.count_message("endpoint_paces")
         self._endpoint_paces.take(news)
 
-    def _take_shed_news(self, news: ShedNews) -> None:
+    def _handle_shed_update(self, news: ShedNews) -> None:
         self._metrics.count_message("shed")
         now = trio.current_time()
         for endpoint, tokens in news.refused:
             self._capacity.note_shed(endpoint, tokens, now)
 
-    def _take_source_news(self, news: SourceNews) -> None:
+    def _handle_source_update(self, news: SourceNews) -> None:
         self._metrics.count_message("source")
-        self._hooks.on_source_news(news)
+        self._hooks.on_source_update(news)
 
     def _take_wait_news(self, news: WaitNews) -> None:
         self._metrics.count_message("waiting")
-        self._waiting.take(news)
+        self._waiting_updates.take(news)
 
-    def _take_spending(self, news: Spending) -> None:
+    def _handle_spending(self, news: Spending) -> None:
         self._metrics.count_message("spending")
-        self._limit_news.take_spending(news, trio.current_time())
+        self._limit_updates.take_spending(news, trio.current_time())
 
     def _look(self) -> None:
-        """Go by the part of all instances that is heard."""
+        """Periodically adjust the limits to the share of instances that are heard."""
         now = trio.current_time()
-        if now - self._looked_at >= _LOOK_S:
-            self._looked_at = now
-            self._limit_news.look(now)
+        if now - self._heard_share_checked_at >= _HEARD_SHARE_CHECK_INTERVAL_S:
+            self._heard_share_checked_at = now
+            self._limit_updates.look(now)
 
     def _take(self, message: Message | None, age_s: float) -> None:
-        """Take a message that was told so many seconds ago."""
+        """Process a message.
+
+        Args:
+            message: The message; None if it could not be decoded.
+            age_s: Seconds since it was sent.
+        """
         if isinstance(message, Beat):
             self._take_beat(message, age_s)
             return
-        take = self._takers.get(type(message))
-        if take is None:
+        handler = self._handlers.get(type(message))
+        if handler is None:
             self._metrics.count_message("not_understood")
         else:
-            take(message)
+            handler(message)
 
     def _take_bundle(self, bundle: Bundle) -> None:
-        """Take what others told, each message once, however often it comes."""
+        """Process the messages of a bundle, each only once even if it is received repeatedly."""
         self._metrics.count_message("bundle")
         now = trio.current_time()
         for item in bundle.items:
@@ -529,70 +563,70 @@
             if item.sender == self._settings.name:
                 self._delivery.note_echo(bundle.name, now)
             elif is_new:
-                self._take_item(item, now)
+                self._handle_bundle_item(item, now)
 
-    def _take_item(self, item: BundleItem, now: float) -> None:
-        """Take a message out of a bundle; a heartbeat that says the same again is not decoded."""
-        age_s = max(0, item.age_ms) / _MS
-        if self._heard_beats.get(item.sender) == item.data:
+    def _handle_bundle_item(self, item: BundleItem, now: float) -> None:
+        """Process one message of a bundle; a repeated heartbeat is not decoded again."""
+        age_s = max(0, item.age_ms) / _MS_PER_S
+        if self._encoded_heartbeats.get(item.sender) == item.data:
             beat = self._peers.note_again(item.sender, now - age_s)
-            if beat is not None and self._limit_news.note_again(item.sender, now - age_s, now):
+            if beat is not None and self._limit_updates.note_again(item.sender, now - age_s, now):
                 self._catch_up.note(beat, self._spawn)
                 return
         message = decode_datagram(item.data)
-        # A bundle in a bundle is none of ours: it would be passed on for ever.
+        # Instances never nest bundles; a nested bundle would be forwarded endlessly.
         self._take(None if isinstance(message, Bundle) else message, age_s)
         if isinstance(message, Beat) and self._peers.is_last(message):
-            self._heard_beats[message.name] = item.data
+            self._encoded_heartbeats[message.name] = item.data
 
     def _take_beat(self, beat: Beat, age_s: float) -> None:
         if beat.name == self._settings.name or self._peers.is_old(beat):
             return
         self._metrics.count_message("beat")
-        self._heard_beats.pop(beat.name, None)
+        self._encoded_heartbeats.pop(beat.name, None)
         if self._peers.incarnation(beat.name) not in (None, beat.incarnation):
-            # Started anew: what it worked on before is over.
+            # The peer restarted: its earlier work has ended.
             self._capacity.forget_peer(beat.name)
-            self._is_work_new = True
+            self._has_peer_work_changed = True
         now = trio.current_time()
         if self._peers.note_beat(beat, now - age_s):
             eliot.log_message(message_type="peers: heard a peer", peer=beat.name, alive=self.alive)
-            self._introduce(beat)
-        self._limit_news.take_beat(beat, now - age_s, now)
+            self._send_introduction(beat)
+        self._limit_updates.take_beat(beat, now - age_s, now)
         self.fence = max(self.fence, beat.fence)
         for endpoint, left_s in beat.switching.items():
             self._capacity.note_switching(endpoint, now - age_s + left_s)
         if not beat.work_apart and (beat.work or self._capacity.has_work_of(beat.name)):
-            self._take_work(beat.name, beat.work, now)
+            self._replace_peer_work(beat.name, beat.work, now)
         self._catch_up.note(beat, self._spawn)
 
-    def _take_list(self, told: WorkList) -> None:
-        """Take all the work of a peer, told apart from its heartbeat."""
+    def _take_list(self, work_list: WorkList) -> None:
+        """Process a list of all work of a peer that is sent separately from its heartbeat."""
         self._metrics.count_message("work")
-        if self._is_in_order(told):
-            self._take_work(told.name, told.work, trio.current_time())
+        if self._is_newer(work_list):
+            self._replace_peer_work(work_list.name, work_list.work, trio.current_time())
 
-    def _is_in_order(self, told: Changes | WorkList) -> bool:
-        """Tell whether news of a peer's work is newer than what it told before."""
-        if self._peers.incarnation(told.name) != told.incarnation:
+    def _is_newer(self, announcement: Changes | WorkList) -> bool:
+        """Check whether a work announcement is newer than the last one of its sender."""
+        if self._peers.incarnation(announcement.name) != announcement.incarnation:
             return False
-        if told.number:
-            number = _WorkNumber(told.incarnation, told.number)
-            if number <= self._heard_work.get(told.name, _NO_NUMBER):
+        if announcement.number:
+            number = _WorkSequence(announcement.incarnation, announcement.number)
+            if number <= self._last_work_sequences.get(announcement.name, _NO_WORK_SEQUENCE):
                 return False
-            self._heard_work[told.name] = number
+            self._last_work_sequences[announcement.name] = number
         return True
 
-    def _take_work(self, peer: str, items: list[WorkItem], now: float) -> None:
-        """Take all the work of a peer; most instances of a large fleet have none."""
+    def _replace_peer_work(self, peer: str, items: list[WorkItem], now: float) -> None:
+        """Replace all known work of a peer; in a large fleet, most instances have none."""
         work = {item.key: item.reservation(now) for item in items}
         for key, item in work.items():
-            self._note_placed(peer, key, item)
+            self._report_new_placement(peer, key, item)
         self._capacity.peer_replace(peer, work)
-        self._is_work_new = True
+        self._has_peer_work_changed = True
 
-    def _introduce(self, beat: Beat) -> None:
-        """Tell a peer that is new who is there, what was measured, and all news."""
+    def _send_introduction(self, beat: Beat) -> None:
+        """Send a new peer the roster, the measured paces and the full state of all channels."""
         messages: list[Message] = []
         known = len(self.members | self._peers.names)
         if not self._delivery.uses_reflectors or beat.members < known:
@@ -602,49 +636,58 @@
             messages.append(PaceNews(self._settings.name, paces))
         for channel in self._channels:
             messages += channel.introduction()
-        if self._delivery.uses_reflectors and beat.size and self._news.work(trio.current_time()):
-            messages.append(self._news.list_all(trio.current_time()))
+        if (
+            self._delivery.uses_reflectors
+            and beat.size
+            and self._work_updates.work(trio.current_time())
+        ):
+            messages.append(self._work_updates.list_all(trio.current_time()))
         if messages:
             self._delivery.send_directly(messages, [beat.address])
 
-    def _take_paces(self, news: PaceNews) -> None:
-        """Take over what a peer measured, where this instance has not."""
+    def _handle_paces(self, news: PaceNews) -> None:
+        """Adopt a peer's measured paces for services that this instance has not measured."""
         self._metrics.count_message("paces")
         now = trio.current_time()
         for service, (summary, age_s) in news.paces.items():
             self._capacity.pace(service).adopt(summary, age_s, now)
 
     def tell_hint(self, endpoint: str, kind: HintKind) -> None:
-        """Tell peers of an endpoint that was slow, or in this data centre not reached."""
+        """Announce an endpoint that was slow or could not be reached.
+
+        Unreachable endpoints are announced only in this data centre.
+        """
         now = trio.current_time()
         if not self._hints.is_due(endpoint, kind, now):
             return
-        here = self._settings.data_centre
-        near = self._peers.addresses_by_data_centre().get(here, [])
-        addresses = self._peers.addresses if kind is HintKind.SLOW else near
+        own_data_centre = self._settings.data_centre
+        local_addresses = self._peers.addresses_by_data_centre().get(own_data_centre, [])
+        addresses = self._peers.addresses if kind is HintKind.SLOW else local_addresses
         hint = EndpointHint(self._settings.name, endpoint, kind)
         if self._delivery.uses_reflectors:
-            self._delivery.tell(hint, None if kind is HintKind.SLOW else [here], earlier=hint)
+            self._delivery.tell(
+                hint, None if kind is HintKind.SLOW else [own_data_centre], earlier=hint
+            )
         else:
             self._socket.send(hint, addresses)
         self._hints.take(hint, now)
 
     def _take_changes(self, changes: Changes) -> None:
-        if not self._is_in_order(changes):
+        if not self._is_newer(changes):
             return
         now = trio.current_time()
         for item in changes.placed:
             work = item.reservation(now)
-            self._note_placed(changes.name, item.key, work)
+            self._report_new_placement(changes.name, item.key, work)
             self._capacity.peer_reserve(changes.name, item.key, work)
         for key in changes.over:
             self._capacity.peer_release(changes.name, key)
-        self._is_work_new = self._is_work_new or bool(changes.over)
+        self._has_peer_work_changed = self._has_peer_work_changed or bool(changes.over)
 
-    def _note_placed(self, peer: str, key: str, item: Reservation) -> None:
+    def _report_new_placement(self, peer: str, key: str, item: Reservation) -> None:
         if not self._capacity.knows(peer, key):
-            self._hooks.on_placed(item)
+            self._hooks.on_placement(item)
 
 
 def _drop_task(*_: object) -> None:
-    """Stand for a nursery before the start."""
+    """Ignore a task; used before the group is started."""
--- a/cleatlink/relay/peers/group_test.py
+++ b/cleatlink/relay/peers/group_test.py
@@ -1,4 +1,4 @@
-"""What instances tell each other, and how much of it."""
+"""Tests of the messages between instances: their content, number and size."""
 
 import random
 from collections.abc import AsyncIterator
@@ -33,11 +33,11 @@
 from cleatlink.routing.notices import EndpointNotices
 from standins.relay.fleet import free_address
 
-MANY = 80
+PEER_COUNT = 80
 
 
 class Listener:
-    """A socket that stands for peers and keeps what it is told."""
+    """A socket that acts as one or more peers and records received messages."""
 
     def __init__(self) -> None:
         self._socket = trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM)
@@ -53,7 +53,7 @@
     def close(self) -> None:
         self._socket.close()
 
-    async def tell(self, group: Address, message: Message) -> None:
+    async def send(self, group: Address, message: Message) -> None:
         await self._socket.sendto(encode(message), (group.host, group.port))
 
     async def _receive(self) -> None:
@@ -66,7 +66,7 @@
                 self.rosters.append(message)
 
 
-async def close_at_the_end(listener: Listener) -> None:
+async def close_on_exit(listener: Listener) -> None:
     try:
         await trio.sleep_forever()
     finally:
@@ -74,10 +74,10 @@
 
 
 async def open_listener(nursery: trio.Nursery) -> Listener:
-    """Start a listener that is closed with the nursery."""
+    """Start a listener that is closed when the nursery ends."""
     listener = Listener()
     await listener.start(nursery)
-    nursery.start_soon(close_at_the_end, listener)
+    nursery.start_soon(close_on_exit, listener)
     return listener
 
 
@@ -89,7 +89,7 @@
 
 @asynccontextmanager
 async def open_group(nursery: trio.Nursery, name: str, *peers: str) -> AsyncIterator[PeerGroup]:
-    """Run a group by itself."""
+    """Run a peer group without the rest of an instance."""
     settings = RelaySettings(
         name=name,
         data_centre="a",
@@ -130,45 +130,47 @@
         group.close()
 
 
-async def test_heartbeat_stays_small_however_many_there_are() -> None:
+async def test_heartbeats_and_rosters_stay_small_with_80_peers() -> None:
     async with trio.open_nursery() as nursery:
         listener = await open_listener(nursery)
         async with open_group(nursery, "front-data-centre-1", listener.address) as group:
-            for number in range(MANY):
+            for number in range(PEER_COUNT):
                 name = f"front-data-centre-{number + 2}"
-                await listener.tell(group.listen, beat(name, listener.address))
+                await listener.send(group.listen, beat(name, listener.address))
             await trio.sleep(2.2)
-            assert len(group.hearing().votes) == MANY
+            assert len(group.hearing().votes) == PEER_COUNT
             assert max(listener.sizes[Beat]) < 150
-            # A roster to each that is new, and then to a few at a time.
-            assert MANY <= len(listener.rosters) <= MANY + 3 * 3
-            whole = {member.name for member in listener.rosters[MANY - 1].members}
-            assert len(whole) == MANY + 1
-            # Those that follow stay small, and together tell of many.
-            later = listener.rosters[MANY:]
-            assert len(later) >= 3
-            assert max(len(roster.members) for roster in later) <= 24
-            assert len({member.name for roster in later for member in roster.members}) > 24
+            # Each new peer gets a roster, and each heartbeat sends one to 3 more peers.
+            assert PEER_COUNT <= len(listener.rosters) <= PEER_COUNT + 3 * 3
+            complete = {member.name for member in listener.rosters[PEER_COUNT - 1].members}
+            assert len(complete) == PEER_COUNT + 1
+            # Periodic rosters stay small, and together list many members.
+            periodic = listener.rosters[PEER_COUNT:]
+            assert len(periodic) >= 3
+            assert max(len(roster.members) for roster in periodic) <= 24
+            assert len({member.name for roster in periodic for member in roster.members}) > 24
             nursery.cancel_scope.cancel()
 
 
-async def test_peer_without_work_wakes_nobody_and_one_that_is_done_does() -> None:
+async def test_heartbeat_signals_a_work_change_only_if_the_sender_has_or_had_work() -> None:
     async with trio.open_nursery() as nursery:
         listener = await open_listener(nursery)
         async with open_group(nursery, "n1", listener.address) as group:
-            woken: list[float] = []
-            group._hooks = group._hooks._replace(on_work=lambda: woken.append(trio.current_time()))
+            work_changes: list[float] = []
+            group._hooks = group._hooks._replace(
+                on_work_change=lambda: work_changes.append(trio.current_time())
+            )
             busy = beat("n2", listener.address)
             work = WorkItem("k", "e1", "decode", 100, 5.0, 5.0, 10)
             for message in (busy, busy, msgspec.structs.replace(busy, work=[work]), busy, busy):
-                await listener.tell(group.listen, message)
+                await listener.send(group.listen, message)
                 await trio.sleep(0.05)
-            assert len(woken) == 2
+            assert len(work_changes) == 2
             assert not group._capacity.has_work_of("n2")
             nursery.cancel_scope.cancel()
 
 
-async def test_instances_that_know_one_find_all() -> None:
+async def test_instances_that_know_one_peer_discover_all_others() -> None:
     async with trio.open_nursery() as nursery, open_group(nursery, "n0") as first:
         address = str(first.listen)
         async with (
@@ -181,47 +183,47 @@
             nursery.cancel_scope.cancel()
 
 
-async def test_instance_that_left_is_not_present_on_the_word_of_others() -> None:
+async def test_roster_does_not_add_an_instance_again_after_it_left() -> None:
     async with trio.open_nursery() as nursery:
         listener = await open_listener(nursery)
         async with open_group(nursery, "n1") as group:
             for name in ("n2", "n3"):
-                await listener.tell(group.listen, beat(name, listener.address))
-            await listener.tell(group.listen, beat("n3", listener.address, leaving=True))
-            await listener.tell(group.listen, Roster("n2", [Member("n3", ""), Member("n4", "")]))
+                await listener.send(group.listen, beat(name, listener.address))
+            await listener.send(group.listen, beat("n3", listener.address, leaving=True))
+            await listener.send(group.listen, Roster("n2", [Member("n3", ""), Member("n4", "")]))
             await trio.sleep(0.1)
             hearing = group.hearing()
             assert (set(hearing.known), set(hearing.left)) == ({"n4"}, {"n3"})
-            await listener.tell(group.listen, beat("n3", listener.address))
+            await listener.send(group.listen, beat("n3", listener.address))
             await trio.sleep(0.1)
             assert not group.hearing().left
             nursery.cancel_scope.cancel()
 
 
-async def test_majority_is_of_the_most_instances_that_anybody_knows() -> None:
+async def test_leader_majority_uses_the_highest_member_count_of_all_peers() -> None:
     async with trio.open_nursery() as nursery:
         listener = await open_listener(nursery)
         async with open_group(nursery, "n1") as group:
-            await listener.tell(group.listen, beat("n2", listener.address, members=7))
-            await listener.tell(group.listen, beat("n3", listener.address, members=5))
+            await listener.send(group.listen, beat("n2", listener.address, members=7))
+            await listener.send(group.listen, beat("n3", listener.address, members=5))
             await trio.sleep(0.1)
             assert group.hearing().members == 7
             nursery.cancel_scope.cancel()
 
 
-async def test_endpoint_that_was_not_reached_is_told_in_the_data_centre_alone() -> None:
+async def test_unreached_endpoint_is_announced_only_within_the_data_centre() -> None:
     async with trio.open_nursery() as nursery:
-        near, far = await open_listener(nursery), await open_listener(nursery)
+        local, remote = await open_listener(nursery), await open_listener(nursery)
         async with open_group(nursery, "n1") as group:
-            await near.tell(group.listen, beat("n2", near.address))
-            await far.tell(group.listen, beat("n3", far.address, data_centre="b"))
+            await local.send(group.listen, beat("n2", local.address))
+            await remote.send(group.listen, beat("n3", remote.address, data_centre="b"))
             await trio.sleep(0.1)
             for _ in range(5):
                 group.tell_hint("e1", HintKind.UNREACHED)
             await trio.sleep(0.1)
-            assert len(near.sizes[EndpointHint]) == 1
-            assert EndpointHint not in far.sizes
+            assert len(local.sizes[EndpointHint]) == 1
+            assert EndpointHint not in remote.sizes
             group.tell_hint("e1", HintKind.SLOW)
             await trio.sleep(0.1)
-            assert (len(near.sizes[EndpointHint]), len(far.sizes[EndpointHint])) == (2, 1)
+            assert (len(local.sizes[EndpointHint]), len(remote.sizes[EndpointHint])) == (2, 1)
             nursery.cancel_scope.cancel()
--- a/cleatlink/relay/peers/heard.py
+++ b/cleatlink/relay/peers/heard.py
@@ -1,4 +1,4 @@
-"""Which peers are heard, where, and which ones others told of."""
+"""Track peers by their heartbeats, and the instances and addresses that peers report."""
 
 from collections import defaultdict
 from collections.abc import Iterable, Set
@@ -10,89 +10,96 @@
 
 __all__ = ["HeardPeers", "LostPeer"]
 
-# A peer that is silent for so long is gone; its work is forgotten.
-_GONE_S = 4.0
-# Addresses without a word are tried for so long.
-_FORGET_ADDRESS_S = 60.0
-# An instance that left is not taken for present on the word of others for so long.
-_LEFT_S = 60.0
+# Time without a heartbeat after which a peer and its work are removed, in seconds.
+_PEER_EXPIRY_S = 4.0
+# Time for which an address without heartbeats is still tried, in seconds.
+_ADDRESS_EXPIRY_S = 60.0
+# Time for which rosters of other peers do not add an instance again after it left, in seconds.
+_LEFT_RETENTION_S = 60.0
 
 
 class LostPeer(NamedTuple):
-    """A peer that is no longer heard, and for how long it has been silent."""
+    """A removed peer, and the seconds since its last heartbeat."""
 
     name: str
     silent_s: float
 
 
-class _Peer(NamedTuple):
-    """One peer as heard."""
+class _LivePeer(NamedTuple):
+    """The last heartbeat of a peer, and when it was sent."""
 
     beat: Beat
     heard_at: float
 
 
 class HeardPeers:
-    """The peers of one instance; every method takes the time as an argument."""
+    """Tracks the peers of one instance; methods that depend on the time take it as an argument.
 
-    def __init__(self, name: str, first: Iterable[str], now: float) -> None:
-        """Start without any.
+    A peer is live from its first heartbeat until it has been silent for ``_PEER_EXPIRY_S``.
+    """
+
+    def __init__(self, name: str, configured: Iterable[str], now: float) -> None:
+        """Start without peers.
 
         Args:
             name: This instance's name.
-            first: Addresses that the settings name; they are tried for ever.
-            now: The time.
+            configured: Peer addresses from the settings; they never expire.
+            now: Current time.
         """
         self._name = name
-        self._first = frozenset(first)
-        self._peers: dict[str, _Peer] = {}
-        self._addresses = dict.fromkeys(self._first, now)
+        self._configured_addresses = frozenset(configured)
+        self._peers: dict[str, _LivePeer] = {}
+        self._addresses = dict.fromkeys(self._configured_addresses, now)
         self._most_members = 1
-        # Instances that peers told of, and when others left by their own word.
-        self._told: set[str] = set()
-        self._left: dict[str, float] = {}
+        # Instances listed in rosters, and when instances announced that they leave.
+        self._reported: set[str] = set()
+        self._left_at: dict[str, float] = {}
 
     def __len__(self) -> int:
         return len(self._peers)
 
     @property
     def names(self) -> set[str]:
-        """Names of the peers that are heard."""
+        """Names of the live peers."""
         return set(self._peers)
 
     @property
     def beats(self) -> list[Beat]:
-        """The last heartbeats of the peers that are heard."""
+        """The last heartbeats of the live peers."""
         return [peer.beat for peer in self._peers.values()]
 
     @property
     def most_members(self) -> int:
-        """Most instances that were heard at a time, this one included."""
+        """The highest number of simultaneously live instances, including this one."""
         return self._most_members
 
     @property
     def known_addresses(self) -> list[str]:
-        """Addresses at which a peer is, or may be."""
+        """All addresses that heartbeats are sent to, with or without a live peer."""
         return list(self._addresses)
 
     @property
     def addresses(self) -> list[str]:
-        """Addresses of the peers that are heard."""
+        """Addresses of the live peers."""
         return [peer.beat.address for peer in self._peers.values()]
 
     def addresses_by_data_centre(self) -> dict[str, list[str]]:
-        """Give the addresses of the peers that are heard, by data centre."""
-        found: dict[str, list[str]] = defaultdict(list)
+        """Return the addresses of the live peers by data centre."""
+        addresses: dict[str, list[str]] = defaultdict(list)
         for peer in self._peers.values():
-            found[peer.beat.data_centre].append(peer.beat.address)
-        return found
+            addresses[peer.beat.data_centre].append(peer.beat.address)
+        return addresses
 
     def unheard_addresses(self) -> list[str]:
-        """Give the addresses at which a peer may be that is not heard."""
+        """Return the known addresses without a live peer."""
         return list(self._addresses.keys() - set(self.addresses))
 
     def earlier_addresses(self, data_centres: Set[str] | None = None) -> list[str]:
-        """Give the addresses of peers that take no bundles, in some data centres or in all."""
+        """Return the addresses of live peers whose builds do not support bundles.
+
+        Args:
+            data_centres: Only peers in these data centres; None for all.
+        """
         beats = (peer.beat for peer in self._peers.values())
         return [
             beat.address
@@ -101,7 +108,11 @@
         ]
 
     def bundle_addresses(self, data_centre: str | None = None) -> list[str]:
-        """Give the addresses of peers that take bundles, in one data centre or in all."""
+        """Return the addresses of live peers that support bundles.
+
+        Args:
+            data_centre: Only peers in this data centre; None for all.
+        """
         beats = (peer.beat for peer in self._peers.values())
         return [
             beat.address
@@ -110,12 +121,12 @@
         ]
 
     def address(self, name: str) -> str | None:
-        """Give the address of a peer; None for one that is not heard."""
+        """Return the address of a peer; None if it is not live."""
         peer = self._peers.get(name)
         return None if peer is None else peer.beat.address
 
     def candidates(self, now: float) -> list[Candidate]:
-        """Give the peers that may reflect."""
+        """Return the peers that may act as reflectors."""
         return [
             Candidate(name, peer.beat.data_centre, peer.beat.size, now - peer.heard_at)
             for name, peer in self._peers.items()
@@ -123,16 +134,16 @@
         ]
 
     def incarnation(self, name: str) -> int | None:
-        """Give the incarnation of a peer; None for one that is not heard."""
+        """Return the incarnation of a peer; None if it is not live."""
         peer = self._peers.get(name)
         return None if peer is None else peer.beat.incarnation
 
     def heard_within(self, seconds: float, now: float) -> set[str]:
-        """Give the peers that were heard lately."""
+        """Return the peers whose last heartbeat is at most this many seconds old."""
         return {name for name, peer in self._peers.items() if now - peer.heard_at <= seconds}
 
     def watch_candidates(self, data_centre: str, silence_s: float, now: float) -> list[str]:
-        """Give the peers of a data centre that can watch the configuration service."""
+        """Return the peers of a data centre that can watch the configuration service."""
         return [
             name
             for name, peer in self._peers.items()
@@ -143,95 +154,100 @@
         ]
 
     def hearing(self, silence_s: float, now: float) -> Hearing:
-        """Give what is heard, for the choice of a leader."""
+        """Return the votes and members that peers reported, for leader election."""
         beats = {name: self._peers[name].beat for name in self.heard_within(silence_s, now)}
         return Hearing(
             {name: beat.vote for name, beat in beats.items()},
-            set(self._told),
+            set(self._reported),
             max((beat.members for beat in beats.values()), default=0),
-            set(self._left),
+            set(self._left_at),
         )
 
     def is_old(self, beat: Beat) -> bool:
-        """Tell whether a heartbeat was overtaken by a later one of its sender."""
+        """Check whether a later heartbeat of the same sender was already received."""
         peer = self._peers.get(beat.name)
         if peer is None:
             return False
-        known = peer.beat
-        if beat.incarnation != known.incarnation:
-            return beat.incarnation < known.incarnation
-        return 0 < beat.number < known.number
+        last = peer.beat
+        if beat.incarnation != last.incarnation:
+            return beat.incarnation < last.incarnation
+        return 0 < beat.number < last.number
 
     def is_last(self, beat: Beat) -> bool:
-        """Tell whether a heartbeat is the one that its sender is known by."""
+        """Check whether this is the heartbeat recorded for its sender."""
         peer = self._peers.get(beat.name)
         return peer is not None and peer.beat is beat
 
     def note_again(self, name: str, now: float) -> Beat | None:
-        """Note that a peer says the same as before, and give it; None for one not heard.
+        """Record a repetition of a peer's last heartbeat.
 
         Args:
-            name: The peer.
-            now: When it was told.
+            name: Name of the peer.
+            now: When the repetition was sent.
+
+        Returns:
+            The last heartbeat; None if the peer is not live or is leaving.
         """
         peer = self._peers.get(name)
         if peer is None or peer.beat.leaving:
             return None
         if now > peer.heard_at:
-            self._peers[name] = _Peer(peer.beat, now)
+            self._peers[name] = _LivePeer(peer.beat, now)
         self._addresses[peer.beat.address] = now
         return peer.beat
 
     def note_beat(self, beat: Beat, now: float) -> bool:
-        """Take a heartbeat; tells whether its sender is new.
+        """Record a heartbeat and return whether its sender is new.
 
         Args:
-            beat: The heartbeat, which is not old.
-            now: When it was told.
+            beat: The heartbeat; no later one of its sender was received.
+            now: When it was sent.
         """
-        known = self._peers.get(beat.name)
-        is_new = known is None
-        heard_at = now if known is None else max(now, known.heard_at)
-        self._peers[beat.name] = _Peer(beat, heard_at)
+        previous = self._peers.get(beat.name)
+        is_new = previous is None
+        heard_at = now if previous is None else max(now, previous.heard_at)
+        self._peers[beat.name] = _LivePeer(beat, heard_at)
         self._most_members = max(self._most_members, len(self._peers) + 1)
         self._addresses[beat.address] = now
         if beat.leaving:
-            self._left[beat.name] = now
-            self._told.discard(beat.name)
+            self._left_at[beat.name] = now
+            self._reported.discard(beat.name)
         else:
-            self._left.pop(beat.name, None)
+            self._left_at.pop(beat.name, None)
         return is_new
 
     def note_roster(self, roster: Roster, now: float) -> list[str]:
-        """Take the names and addresses that a peer knows; gives the addresses that are new."""
-        found = []
+        """Record the instances that a peer knows and return the addresses that are new."""
+        new_addresses = []
         for member in roster.members:
-            if member.name in self._left or member.name == self._name:
+            if member.name in self._left_at or member.name == self._name:
                 continue
-            self._told.add(member.name)
+            self._reported.add(member.name)
             if member.address and member.address not in self._addresses:
                 self._addresses[member.address] = now
-                found.append(member.address)
-        return found
+                new_addresses.append(member.address)
+        return new_addresses
 
     def member(self, name: str) -> Member:
-        """Describe an instance for a roster; without an address if it is not heard."""
+        """Return the roster entry of an instance; without an address if it is not live."""
         peer = self._peers.get(name)
         return Member(name, "" if peer is None else peer.beat.address)
 
     def forget_silent(self, now: float) -> list[LostPeer]:
-        """Forget those that have been silent for long; gives the peers among them."""
+        """Remove expired peers, addresses and departures, and return the removed peers."""
         lost = [
             LostPeer(name, now - peer.heard_at)
             for name, peer in self._peers.items()
-            if now - peer.heard_at > _GONE_S
+            if now - peer.heard_at > _PEER_EXPIRY_S
         ]
         for peer in lost:
             del self._peers[peer.name]
         self._addresses = {
             address: heard_at
             for address, heard_at in self._addresses.items()
-            if now - heard_at <= _FORGET_ADDRESS_S or address in self._first
+            if now - heard_at <= _ADDRESS_EXPIRY_S or address in self._configured_addresses
+        }
+        self._left_at = {
+            name: at for name, at in self._left_at.items() if now - at <= _LEFT_RETENTION_S
         }
-        self._left = {name: at for name, at in self._left.items() if now - at <= _LEFT_S}
         return lost
--- a/cleatlink/relay/peers/hints.py
+++ b/cleatlink/relay/peers/hints.py
@@ -1,4 +1,4 @@
-"""Hints among peers: endpoints that were slow, or in one data centre not reached."""
+"""Share reports of endpoints that were slow or, within one data centre, unreachable."""
 
 import math
 from typing import NamedTuple
@@ -9,42 +9,46 @@
 
 __all__ = ["Hints"]
 
-# An endpoint that is still not reached is told of again after so long.
-_TELL_AGAIN_S = 0.4
-# Reports of peers have to come within so long of each other.
-_UNREACHED_S = 1.0
-_SLOW_S = 3.0
+# Interval between announcements of the same endpoint and kind, in seconds.
+_ANNOUNCEMENT_INTERVAL_S = 0.4
+# Maximum time between the reports of different instances that count together, in seconds.
+_UNREACHED_WINDOW_S = 1.0
+_SLOW_WINDOW_S = 3.0
 
 
-class _Told(NamedTuple):
-    """What was told."""
+class _Announcement(NamedTuple):
+    """Key of an announcement to peers."""
 
     endpoint: str
     kind: HintKind
 
 
 class Hints:
-    """What this instance and its peers met at endpoints."""
+    """Combines the reports of this instance and its peers on endpoints."""
 
     def __init__(self, capacity: Capacity) -> None:
         self._capacity = capacity
         self._hints = {
-            HintKind.UNREACHED: SharedHints(_UNREACHED_S),
-            HintKind.SLOW: SharedHints(_SLOW_S),
+            HintKind.UNREACHED: SharedHints(_UNREACHED_WINDOW_S),
+            HintKind.SLOW: SharedHints(_SLOW_WINDOW_S),
         }
-        self._told: dict[_Told, float] = {}
+        self._announced_at: dict[_Announcement, float] = {}
 
     def is_due(self, endpoint: str, kind: HintKind, now: float) -> bool:
-        """Tell whether peers should be told, and count them as told then."""
-        told = _Told(endpoint, kind)
-        if now - self._told.get(told, -math.inf) < _TELL_AGAIN_S:
+        """Check whether peers should be informed now, and if so, record that they were."""
+        announcement = _Announcement(endpoint, kind)
+        if now - self._announced_at.get(announcement, -math.inf) < _ANNOUNCEMENT_INTERVAL_S:
             return False
-        self._told = {item: at for item, at in self._told.items() if now - at < _TELL_AGAIN_S}
-        self._told[told] = now
+        self._announced_at = {
+            item: at
+            for item, at in self._announced_at.items()
+            if now - at < _ANNOUNCEMENT_INTERVAL_S
+        }
+        self._announced_at[announcement] = now
         return True
 
     def take(self, hint: EndpointHint, now: float) -> None:
-        """Take a hint of an instance; enough of them count."""
+        """Record a hint; once enough instances agree, pass it to the capacity model."""
         if not self._hints[hint.kind].note(hint.endpoint, hint.name, now):
             return
         if hint.kind is HintKind.SLOW:
--- a/cleatlink/relay/peers/hooks.py
+++ b/cleatlink/relay/peers/hooks.py
@@ -1,4 +1,4 @@
-"""What the group of peers needs of its instance."""
+"""Callbacks from the peer group into its instance."""
 
 from collections.abc import Awaitable, Callable
 from typing import NamedTuple
@@ -14,27 +14,27 @@
 
 
 class PeerHooks(NamedTuple):
-    """What the group needs of its instance.
+    """Callbacks from the peer group into its instance.
 
     Attributes:
-        state: Gives whether it is leaving, and the newest revisions that it knows.
-        look_again: Has the configuration service asked anew.
-        on_snapshot: Takes what a peer knows.
-        on_work: Told that peers' work changed.
-        on_placed: Told of each piece of work that a peer placed.
-        on_leaving: Told of a life of which a peer tells that it leaves.
-        on_source_news: Takes what a peer read from the configuration service.
-        on_table: Told of the revision of a peer's route table, the peer's name, and whether the
-            configuration service answered it last.
-        read_table: Reads the route table alone from the configuration service.
+        state: Return whether the instance is leaving, and its newest revisions.
+        poll_service: Query the configuration service again.
+        on_snapshot: Process a copy of a peer's state.
+        on_work_change: Process a change of peers' work.
+        on_placement: Process a reservation that a peer made.
+        on_endpoint_leaving: Process a peer's report that an endpoint's incarnation is leaving.
+        on_source_update: Process a change that a peer read from the configuration service.
+        on_table_revision: Process the revision of a peer's route table, the peer's name, and
+            whether the peer's last request to the configuration service was answered.
+        read_table: Read only the route table from the configuration service.
     """
 
     state: Callable[[], KnownState]
-    look_again: Callable[[], None]
+    poll_service: Callable[[], None]
     on_snapshot: Callable[[Snapshot], None]
-    on_work: Callable[[], None]
-    on_placed: Callable[[Reservation], None]
-    on_leaving: Callable[[str], None]
-    on_source_news: Callable[[SourceNews], None]
-    on_table: Callable[[int, str, bool], None] = lambda *_: None
+    on_work_change: Callable[[], None]
+    on_placement: Callable[[Reservation], None]
+    on_endpoint_leaving: Callable[[str], None]
+    on_source_update: Callable[[SourceNews], None]
+    on_table_revision: Callable[[int, str, bool], None] = lambda *_: None
     read_table: Callable[[], Awaitable[None]] = trio.lowlevel.checkpoint
--- a/cleatlink/relay/peers/known_state.py
+++ b/cleatlink/relay/peers/known_state.py
@@ -1,4 +1,4 @@
-"""What an instance tells its peers of what it knows."""
+"""The state that an instance advertises to its peers."""
 
 from typing import NamedTuple
 
@@ -8,13 +8,13 @@
 
 
 class KnownState(NamedTuple):
-    """What an instance tells of itself.
+    """The state that an instance advertises to its peers.
 
     Attributes:
-        leaving: Whether it is stopping.
+        leaving: Whether the instance is stopping.
         table: Revision of its route table.
         newest: Revision of the newest registration that it knows.
-        finds_source: Whether the configuration service answered it last.
+        finds_source: Whether its last request to the configuration service was answered.
     """
 
     leaving: bool
--- a/cleatlink/relay/peers/peer_copier.py
+++ b/cleatlink/relay/peers/peer_copier.py
@@ -1,4 +1,4 @@
-"""Copies parts of what peers know into what this instance knows."""
+"""Copy parts of a peer's state into the state of this instance."""
 
 import random
 from collections.abc import Callable
@@ -11,17 +11,16 @@
 from cleatlink.relay.peers.heard import HeardPeers
 from cleatlink.relay.peers.hooks import PeerHooks
 from cleatlink.relay.peers.messages import Beat
-from cleatlink.relay.peers.peer_copy import fetch
+from cleatlink.relay.peers.peer_copy import fetch_snapshot
 from cleatlink.relay.peers.snapshots import Part
 
 __all__ = ["PeerCopier"]
 
-# Milliseconds a second.
-_MS = 1000.0
+_MS_PER_S = 1000.0
 
 
 class PeerCopier:
-    """Picks the peers that are asked, and copies from them."""
+    """Chooses peers to copy from, and copies their state."""
 
     def __init__(
         self,
@@ -31,14 +30,14 @@
         metrics: RelayMetrics,
         rng: random.Random,
     ) -> None:
-        """Prepare.
+        """Initialise the copier.
 
         Args:
-            data_centre: Where this instance runs.
-            hooks: Take what is copied.
-            heard: The peers that can be asked.
+            data_centre: Data centre of this instance.
+            hooks: Process what is copied.
+            heard: The peers to copy from.
             metrics: Counters.
-            rng: Spreads the instances over the peers that they ask.
+            rng: Randomises which peers the instances copy from.
         """
         self._data_centre = data_centre
         self._hooks = hooks
@@ -46,25 +45,27 @@
         self._metrics = metrics
         self._rng = rng
 
-    def holders(self, has: Callable[[Beat], bool]) -> list[Beat]:
-        """Give peers in the order in which to ask them: near ones first, leaving ones last.
+    def peers_with(self, has_missing: Callable[[Beat], bool]) -> list[Beat]:
+        """Return the heartbeats of peers that have the missing state, in order of preference.
+
+        Peers of this data centre come first and leaving peers last.
 
         Args:
-            has: Tells by a peer's heartbeat whether it has what is missing here.
+            has_missing: Return whether a peer has the missing state, judged by its heartbeat.
         """
-        found = [beat for beat in self._heard.beats if has(beat)]
+        found = [beat for beat in self._heard.beats if has_missing(beat)]
         self._rng.shuffle(found)
-        return sorted(found, key=lambda beat: (beat.leaving, not self.is_near(beat)))
+        return sorted(found, key=lambda beat: (beat.leaving, not self.is_local(beat)))
 
-    def is_near(self, beat: Beat) -> bool:
-        """Tell whether a peer is in this data centre."""
+    def is_local(self, beat: Beat) -> bool:
+        """Check whether a peer is in this data centre."""
         return beat.data_centre == self._data_centre
 
     async def copy(self, beat: Beat, part: Part) -> None:
-        """Copy a part of what a peer knows; a copy that fails is logged."""
+        """Copy a part of a peer's state; a failure is logged."""
         started_at = trio.current_time()
         try:
-            copy = await fetch(beat.address, part)
+            copy = await fetch_snapshot(beat.address, part)
         except PeerError as error:
             eliot.log_message(
                 message_type="peers: can't fetch",
@@ -89,4 +90,4 @@
 
 
 def _ms_since(started_at: float) -> int:
-    return int(_MS * (trio.current_time() - started_at))
+    return int(_MS_PER_S * (trio.current_time() - started_at))
--- a/cleatlink/relay/peers/peer_copy.py
+++ b/cleatlink/relay/peers/peer_copy.py
@@ -1,4 +1,4 @@
-"""Copies a part of what a peer knows, over HTTP."""
+"""Fetch a part of a peer's state over HTTP."""
 
 from typing import NamedTuple
 
@@ -11,76 +11,77 @@
 from cleatlink.relay.peers.deflate import ACCEPT_DEFLATE, DEFLATE, decompress
 from cleatlink.relay.peers.snapshots import Part, Snapshot, decode_snapshot
 
-__all__ = ["Part", "PeerCopy", "fetch"]
+__all__ = ["Part", "PeerCopy", "fetch_snapshot"]
 
-# Seconds in which the connection and the head of the answer have to be there.
-_HEAD_S = 1.0
-# The rest may take as long as bytes keep coming, up to a bound in all.
-_SILENCE_S = 1.0
-_COPY_S = 10.0
-# Far above the largest table and list, compressed or not: a store's value holds a megabyte.
-_MOST_BYTES = 64_000_000
-_OK = 200
+# Timeout for the connection, and for the head of the response, in seconds.
+_HEAD_TIMEOUT_S = 1.0
+# Maximum time without received bytes, and timeout for the whole fetch, in seconds.
+_IDLE_TIMEOUT_S = 1.0
+_FETCH_TIMEOUT_S = 10.0
+# Maximum size of a response body, compressed or not. It is far above the largest route table and
+# registration list: a value in the store holds at most a megabyte.
+_MAX_BODY_BYTES = 64_000_000
+_STATUS_OK = 200
 
 
 class PeerCopy(NamedTuple):
-    """What a peer answered.
+    """Response of a peer.
 
     Attributes:
-        snapshot: The part that was asked for; earlier builds answer with everything.
-        transferred_bytes: Size of the answer's body as it was transferred.
+        snapshot: The requested part; earlier builds send the whole state.
+        transferred_bytes: Size of the response body as transferred.
     """
 
     snapshot: Snapshot
     transferred_bytes: int
 
 
-class _Answer(NamedTuple):
+class _Response(NamedTuple):
     head: ReplyHead
     body: bytes
 
 
-async def fetch(address: str, part: Part) -> PeerCopy:
-    """Copy a part of what a peer knows.
+async def fetch_snapshot(address: str, part: Part) -> PeerCopy:
+    """Fetch a part of a peer's state.
 
     Args:
-        address: IP number and port at which the peer hears its peers.
-        part: What to ask for.
+        address: IP address and port at which the peer listens for its peers.
+        part: Part to request.
 
     Raises:
-        PeerError: There was no answer in time, or one that can't be used.
+        PeerError: The peer sent no valid response in time.
     """
     try:
-        with trio.fail_after(_COPY_S):
-            answer = await _ask(address, part)
-        return PeerCopy(decode_snapshot(_body_of(answer)), len(answer.body))
+        with trio.fail_after(_FETCH_TIMEOUT_S):
+            response = await _request(address, part)
+        return PeerCopy(decode_snapshot(_decoded_body(response)), len(response.body))
     except (EndpointError, trio.TooSlowError, msgspec.MsgspecError) as error:
         raise PeerError(f"{address}{part.value.decode()}: {error!r}") from error
 
 
-async def _ask(address: str, part: Part) -> _Answer:
-    connection = await EndpointConnection.open(address, _SILENCE_S, _HEAD_S)
+async def _request(address: str, part: Part) -> _Response:
+    connection = await EndpointConnection.open(address, _IDLE_TIMEOUT_S, _HEAD_TIMEOUT_S)
     try:
         headers = ((b"Host", address.encode()), ACCEPT_DEFLATE)
-        with trio.fail_after(_HEAD_S):
+        with trio.fail_after(_HEAD_TIMEOUT_S):
             head = await connection.exchange(OutgoingRequest(b"GET", part.value, headers, b""))
-        body = await connection.read_body(_MOST_BYTES, silence_s=_SILENCE_S)
-        return _Answer(head, body)
+        body = await connection.read_body(_MAX_BODY_BYTES, silence_s=_IDLE_TIMEOUT_S)
+        return _Response(head, body)
     finally:
         connection.close()
 
 
-def _body_of(answer: _Answer) -> bytes:
-    """Give the body of an answer as it was before its transfer.
+def _decoded_body(response: _Response) -> bytes:
+    """Return the body of a response, decompressed if necessary.
 
     Raises:
-        PeerError: The peer did not give what was asked for, or in a form that is not known.
+        PeerError: The response has another status than 200 or an unknown content coding.
     """
-    if answer.head.status != _OK:
-        raise PeerError(f"status {answer.head.status}")
-    coding = answer.head.get(b"content-encoding")
+    if response.head.status != _STATUS_OK:
+        raise PeerError(f"unexpected status {response.head.status}")
+    coding = response.head.get(b"content-encoding")
     if coding is None:
-        return answer.body
+        return response.body
     if coding.lower() != DEFLATE:
-        raise PeerError(f"content coding {coding!r}")
-    return decompress(answer.body, _MOST_BYTES)
+        raise PeerError(f"unsupported content coding {coding!r}")
+    return decompress(response.body, _MAX_BODY_BYTES)
--- a/cleatlink/relay/peers/registration_catch_up.py
+++ b/cleatlink/relay/peers/registration_catch_up.py
@@ -1,7 +1,8 @@
-"""Gets registrations that peers know and this instance lacks.
+"""Fetch registrations that peers have and this instance lacks.
 
-The configuration service is asked first: it may have lost a wait of this instance, and it bears
-all instances at once better than a peer does. An instance that the service turns away copies them.
+The configuration service is queried first: it may have lost this instance's pending watch request,
+and it copes better with requests of all instances at once than a peer does. An instance refused
+by the service copies the registrations from a peer.
 """
 
 import random
@@ -17,20 +18,21 @@
 
 __all__ = ["RegistrationCatchUp"]
 
-# The service has so long to tell, and up to twice that, before a peer is asked.
-_ASK_PEER_S = 0.2
+# Minimum time that the service has to respond before a peer is asked, in seconds. The actual time
+# is random, up to twice this.
+_SERVICE_WAIT_S = 0.2
 
 
 class RegistrationCatchUp(CatchUpRounds[StoreRevision]):
-    """Gets registrations from the service, or else from a peer."""
+    """Fetches registrations from the configuration service, or else from a peer."""
 
     def __init__(self, hooks: PeerHooks, copier: PeerCopier, rng: random.Random) -> None:
-        """Prepare.
+        """Initialise the catch-up.
 
         Args:
-            hooks: Give what this instance knows, and have the service asked anew.
-            copier: Copies from peers.
-            rng: Spreads the instances over time.
+            hooks: Return the local state, and query the configuration service again.
+            copier: Copies state from peers.
+            rng: Randomises when instances ask peers.
         """
         super().__init__()
         self._hooks = hooks
@@ -38,23 +40,23 @@
         self._rng = rng
 
     def revision_of(self, beat: Beat) -> StoreRevision:
-        """Give the newest revision that a peer knows."""
+        """Return the newest registration revision that a peer knows."""
         return beat.newest_revision
 
-    def known(self) -> StoreRevision:
-        """Give the newest revision that is known here."""
+    def local_revision(self) -> StoreRevision:
+        """Return the newest registration revision that this instance knows."""
         return self._hooks.state().newest
 
     def is_later(self, revision: StoreRevision, than: StoreRevision) -> bool:
-        """Tell whether a revision is later than another one."""
+        """Check whether a revision is later than another one."""
         return revision > than
 
-    async def get(self, beat: Beat) -> None:
-        """Have the service asked anew; if that does not help, copy from a peer."""
-        self._hooks.look_again()
-        await trio.sleep(_ASK_PEER_S * (1 + self._rng.random()))
+    async def fetch(self, beat: Beat) -> None:
+        """Query the configuration service again; if that does not help, copy from a peer."""
+        self._hooks.poll_service()
+        await trio.sleep(_SERVICE_WAIT_S * (1 + self._rng.random()))
         if not self.lacks(beat):
             return
-        holders = self._copier.holders(self.lacks)
-        if holders:
-            await self._copier.copy(holders[0], Part.REGISTRATIONS)
+        peers = self._copier.peers_with(self.lacks)
+        if peers:
+            await self._copier.copy(peers[0], Part.REGISTRATIONS)
--- a/cleatlink/relay/peers/snapshots.py
+++ b/cleatlink/relay/peers/snapshots.py
@@ -1,4 +1,4 @@
-"""All that an instance knows of routes and endpoints, for a peer that knows less."""
+"""Snapshots of the routes and endpoints that an instance knows, fetched by its peers."""
 
 from collections.abc import Iterable
 from enum import Enum
@@ -14,7 +14,7 @@
 
 
 class Part(Enum):
-    """A part of what an instance knows; its value is the path under which peers ask for it."""
+    """A part of an instance's state; the value is the request path."""
 
     TABLE = b"/table"
     REGISTRATIONS = b"/registrations"
@@ -22,21 +22,21 @@
 
     @classmethod
     def of_target(cls, target: bytes) -> "Part":
-        """Give the part that a request asks for; a path that is not known means everything."""
+        """Return the part that a request path selects; unknown paths select the whole state."""
         path = target.partition(b"?")[0]
         return next((part for part in cls if part.value == path), cls.WHOLE)
 
 
 class RecordItem(msgspec.Struct, array_like=True, frozen=True):
-    """A registration as of a revision; its era stands beside it in the snapshot.
+    """A registration at a revision; the snapshot holds the era of the revision separately.
 
-    It gets no more fields: earlier builds read it as a tuple of these four.
+    No fields can be added: earlier builds decode it as a tuple of these four.
 
     Attributes:
-        name: The name that it stands under.
+        name: Name of the registration.
         revision: Number of the revision.
-        endpoint: None once it was removed, and for one that can't be used.
-        fault: Why it can't be used.
+        endpoint: The endpoint; None if the registration was removed or is invalid.
+        fault: Why the registration is invalid; None if it is valid.
     """
 
     name: str
@@ -46,14 +46,14 @@
 
 
 class Snapshot(msgspec.Struct, array_like=True, frozen=True):
-    """All that an instance knows, for a peer that knows less.
+    """The routes and endpoints that an instance knows, sent to a peer that lacks some.
 
     Attributes:
         table: The route table in force.
-        records: All registrations, removed ones included.
-        revision: Number of the revision up to which all of them are known.
+        records: All registrations, including removed ones.
+        revision: Number of the revision up to which the registrations are complete.
         era: Era of that revision.
-        eras: Eras of the records' revisions, in their order; empty where all are 0.
+        eras: Eras of the revisions of ``records``, in the same order; empty if all are 0.
     """
 
     table: RouteTable | None
@@ -66,22 +66,23 @@
     def of(
         cls, table: RouteTable | None, records: Iterable[EndpointRecord], revision: StoreRevision
     ) -> "Snapshot":
-        """Describe all that is known.
+        """Build a snapshot.
 
         Args:
             table: The route table in force.
-            records: All registrations, removed ones included.
-            revision: The revision up to which all of them are known.
+            records: All registrations, including removed ones.
+            revision: The revision up to which the registrations are complete.
         """
-        known = list(records)
+        record_list = list(records)
         items = [
-            RecordItem(item.name, item.revision.number, item.endpoint, item.fault) for item in known
+            RecordItem(item.name, item.revision.number, item.endpoint, item.fault)
+            for item in record_list
         ]
-        eras = [item.revision.era for item in known]
+        eras = [item.revision.era for item in record_list]
         return cls(table, items, revision.number, revision.era, eras if any(eras) else [])
 
     def endpoint_records(self) -> list[EndpointRecord]:
-        """Give the registrations."""
+        """Return the registrations."""
         eras = self.eras or [0] * len(self.records)
         return [
             EndpointRecord(item.name, StoreRevision(era, item.revision), item.endpoint, item.fault)
@@ -90,7 +91,7 @@
 
     @property
     def complete_revision(self) -> StoreRevision:
-        """The revision up to which all registrations are known."""
+        """The revision up to which the registrations are complete."""
         return StoreRevision(self.era, self.revision)
 
 
@@ -101,6 +102,6 @@
     """Decode a snapshot.
 
     Raises:
-        msgspec.MsgspecError: It is none of ours.
+        msgspec.MsgspecError: The data is not an encoded snapshot.
     """
     return _DECODER.decode(data)
--- a/cleatlink/relay/peers/table_catch_up.py
+++ b/cleatlink/relay/peers/table_catch_up.py
@@ -1,8 +1,9 @@
-"""Gets a route table that peers have and this instance lacks.
+"""Fetch a route table that peers have and this instance lacks.
 
-It is copied from a peer of the same data centre first, which costs the service nothing. While that
-goes on, the service is read for the table as well, whatever revision of registrations is known
-here, and then further peers; the first way to bring it ends the others.
+The table is first copied from a peer of the same data centre, which puts no load on the
+configuration service. While that copy runs, the table is also read from the service, regardless of
+the registrations known here, and then from further peers. The first method to succeed cancels the
+others.
 """
 
 import random
@@ -19,20 +20,21 @@
 
 __all__ = ["TableCatchUp"]
 
-# An instance that watches the service has so long to hear of a change there.
-_WATCH_S = 0.2
-# Instances ask peers within so long of each other: who asks later finds more that have it.
-_SPREAD_S = 0.2
-# Each way to the table has so long before the next one is tried beside it.
-_NEXT_WAY_S = 0.4
-# Peers that are asked in one round.
-_MOST_PEERS = 3
+# Time that a renewed watch has to report the change before other methods start, in seconds.
+_WATCH_WAIT_S = 0.2
+# Maximum random delay before a fetch, in seconds. More peers have the table by the time that later
+# instances ask.
+_MAX_RANDOM_DELAY_S = 0.2
+# Delay before the next fetch method is started in parallel, in seconds.
+_NEXT_METHOD_DELAY_S = 0.4
+# Maximum number of peers asked in one round.
+_MAX_PEERS = 3
 
-_Way = Callable[[], Awaitable[None]]
+_FetchMethod = Callable[[], Awaitable[None]]
 
 
 class TableCatchUp(CatchUpRounds[int]):
-    """Gets route tables, several ways beside each other."""
+    """Fetches route tables by several methods in parallel."""
 
     def __init__(
         self,
@@ -41,64 +43,66 @@
         rng: random.Random,
         must_watch: Callable[[], bool],
     ) -> None:
-        """Prepare.
+        """Initialise the catch-up.
 
         Args:
-            hooks: Give what this instance knows, and read the service.
-            copier: Copies from peers.
-            rng: Spreads the instances over time.
-            must_watch: Tells whether this instance watches the service itself.
+            hooks: Return the local state, and read the configuration service.
+            copier: Copies state from peers.
+            rng: Randomises when instances send requests.
+            must_watch: Return whether this instance watches the configuration service itself.
         """
         super().__init__()
         self._hooks = hooks
         self._copier = copier
         self._rng = rng
         self._must_watch = must_watch
-        # The last table for which the service's changes were asked for anew.
-        self._looked_for = 0
+        # Revision of the last table for which the watch on the service was renewed.
+        self._watch_renewed_for = 0
 
     def revision_of(self, beat: Beat) -> int:
-        """Give the revision of a peer's table."""
+        """Return the revision of a peer's table."""
         return beat.table
 
-    def known(self) -> int:
-        """Give the revision of the table in force here."""
+    def local_revision(self) -> int:
+        """Return the revision of the table in force here."""
         return self._hooks.state().table
 
     def is_later(self, revision: int, than: int) -> bool:
-        """Tell whether a revision is later than another one."""
+        """Check whether a revision is later than another one."""
         return revision > than
 
-    async def get(self, beat: Beat) -> None:
-        """Get a table: from a near peer, from the service, from further peers."""
-        await self._wait_for_watch(beat)
-        await trio.sleep(_SPREAD_S * self._rng.random())
+    async def fetch(self, beat: Beat) -> None:
+        """Fetch a table from a local peer, then from the service, then from further peers."""
+        await self._renew_watch(beat)
+        await trio.sleep(_MAX_RANDOM_DELAY_S * self._rng.random())
         if not self.lacks(beat):
             return
         async with trio.open_nursery() as nursery:
-            for way in self._ways():
-                nursery.start_soon(self._until_known, beat, way, nursery.cancel_scope)
-                await trio.sleep(_NEXT_WAY_S)
+            for method in self._fetch_methods():
+                nursery.start_soon(self._run_method, beat, method, nursery.cancel_scope)
+                await trio.sleep(_NEXT_METHOD_DELAY_S)
 
-    async def _wait_for_watch(self, beat: Beat) -> None:
-        """Have a wait for changes begun anew that the service may have forgotten, once a table."""
-        if not self._must_watch() or beat.table == self._looked_for:
+    async def _renew_watch(self, beat: Beat) -> None:
+        """Renew the watch, which the service may have lost, and wait; at most once per table."""
+        if not self._must_watch() or beat.table == self._watch_renewed_for:
             return
-        self._looked_for = beat.table
-        self._hooks.look_again()
-        await trio.sleep(_WATCH_S)
-
-    def _ways(self) -> list[_Way]:
-        """Give the ways to a newer table, in the order in which they are tried."""
-        known = self.known()
-        holders = self._copier.holders(lambda beat: beat.table > known)[:_MOST_PEERS]
-        ways: list[_Way] = [partial(self._copier.copy, beat, Part.TABLE) for beat in holders]
-        has_near = bool(holders) and self._copier.is_near(holders[0])
-        ways.insert(1 if has_near else 0, self._hooks.read_table)
-        return ways
-
-    async def _until_known(self, beat: Beat, way: _Way, others: trio.CancelScope) -> None:
-        """Try one way; once the table is known, the others are ended."""
-        await way()
+        self._watch_renewed_for = beat.table
+        self._hooks.poll_service()
+        await trio.sleep(_WATCH_WAIT_S)
+
+    def _fetch_methods(self) -> list[_FetchMethod]:
+        """Return the methods to fetch a newer table, in the order in which they are started."""
+        revision = self.local_revision()
+        peers = self._copier.peers_with(lambda beat: beat.table > revision)[:_MAX_PEERS]
+        methods: list[_FetchMethod] = [
+            partial(self._copier.copy, beat, Part.TABLE) for beat in peers
+        ]
+        has_local_peer = bool(peers) and self._copier.is_local(peers[0])
+        methods.insert(1 if has_local_peer else 0, self._hooks.read_table)
+        return methods
+
+    async def _run_method(self, beat: Beat, method: _FetchMethod, others: trio.CancelScope) -> None:
+        """Run one method and cancel all others if this instance has the table then."""
+        await method()
         if not self.lacks(beat):
             others.cancel()
