--- a/cleatlink/relay/peers/catch_up.py
+++ b/cleatlink/relay/peers/catch_up.py
@@ -21,7 +21,7 @@
         self,
         data_centre: str,
         hooks: PeerHooks,
-        heard: HeardPeers,
+        live_peers: HeardPeers,
         metrics: RelayMetrics,
         rng: random.Random,
         *,
@@ -32,13 +32,13 @@
         Args:
             data_centre: Data centre of this instance.
             hooks: Return the local state, and process what is fetched.
-            heard: The peers to copy from.
+            live_peers: The peers to copy from.
             metrics: Counters.
             rng: Randomises when instances send requests, and to which peers.
             must_watch: Return whether this instance watches the configuration service itself.
         """
         self._hooks = hooks
-        copier = PeerCopier(data_centre, hooks, heard, metrics, rng)
+        copier = PeerCopier(data_centre, hooks, live_peers, metrics, rng)
         self._tables = TableCatchUp(hooks, copier, rng, must_watch)
         self._registrations = RegistrationCatchUp(hooks, copier, rng)
 
--- a/cleatlink/relay/peers/catch_up_rounds.py
+++ b/cleatlink/relay/peers/catch_up_rounds.py
@@ -49,7 +49,7 @@
     async def fetch(self, beat: Beat) -> None:
         """Try to fetch the revision that a heartbeat reports."""
 
-    def lacks(self, beat: Beat) -> bool:
+    def is_behind(self, beat: Beat) -> bool:
         """Check whether a heartbeat reports a later revision than this instance has."""
         return self.is_later(self.revision_of(beat), self.local_revision())
 
@@ -59,7 +59,7 @@
         A running round whose revision has arrived meanwhile is cancelled, since it would delay
         the later revision.
         """
-        if not self.lacks(beat):
+        if not self.is_behind(beat):
             return
         pending = self._pending
         if pending is None or self.is_later(self.revision_of(beat), self.revision_of(pending)):
@@ -67,12 +67,12 @@
         if not self._is_running:
             self._is_running = True
             spawn(self._run)
-        elif self._target is not None and not self.lacks(self._target):
+        elif self._target is not None and not self.is_behind(self._target):
             self._round_scope.cancel()
 
     async def _run(self) -> None:
         try:
-            while self._pending is not None and self.lacks(self._pending):
+            while self._pending is not None and self.is_behind(self._pending):
                 await trio.sleep(
                     _ROUND_DELAY_S * 2 ** min(self._rounds_without_progress, _MAX_DOUBLINGS)
                 )
@@ -84,7 +84,7 @@
     async def _run_round(self) -> None:
         """Run one round for the newest revision reported so far."""
         beat, self._pending = self._pending, None
-        if beat is None or not self.lacks(beat):
+        if beat is None or not self.is_behind(beat):
             return
         self._target = beat
         with trio.CancelScope() as self._round_scope:
--- a/cleatlink/relay/peers/group.py
+++ b/cleatlink/relay/peers/group.py
@@ -100,7 +100,7 @@
 # Maximum age of the organisations' totals in a heartbeat, in seconds. Receivers treat all higher
 # ages alike; the cap keeps consecutive heartbeats identical.
 _MAX_REPORTED_AGE_S = 10
-# Interval between checks of the share of instances that are heard, in seconds.
+# Interval between checks of the share of instances that send heartbeats, in seconds.
 _HEARD_SHARE_CHECK_INTERVAL_S = 0.2
 
 
@@ -200,7 +200,7 @@
         return self._settings.peer_listen
 
     def hearing(self) -> Hearing:
-        """Return the votes and members that peers reported, for leader election."""
+        """Return what live peers reported for leader election: votes, members and departures."""
         return self._peers.hearing(SILENCE_S, trio.current_time())
 
     def heard_within(self, seconds: float) -> set[str]:
@@ -209,7 +209,7 @@
 
     @property
     def alive(self) -> int:
-        """The number of instances that are live now, including this one."""
+        """The number of live instances, including this one."""
         return len(self._peers) + 1
 
     @property
@@ -532,7 +532,7 @@
         self._limit_updates.take_spending(news, trio.current_time())
 
     def _look(self) -> None:
-        """Periodically adjust the limits to the share of instances that are heard."""
+        """Periodically adjust the limits to the share of instances that send heartbeats."""
         now = trio.current_time()
         if now - self._heard_share_checked_at >= _HEARD_SHARE_CHECK_INTERVAL_S:
             self._heard_share_checked_at = now
--- a/cleatlink/relay/peers/group_test.py
+++ b/cleatlink/relay/peers/group_test.py
@@ -105,7 +105,7 @@
         lambda snapshot: None,
         lambda: None,
         lambda work: None,
-        lambda life: None,
+        lambda incarnation: None,
         lambda news: None,
     )
     limits = OrganisationLimits(settings.limit_tolerance, 0.0)
--- a/cleatlink/relay/peers/heard.py
+++ b/cleatlink/relay/peers/heard.py
@@ -154,7 +154,7 @@
         ]
 
     def hearing(self, silence_s: float, now: float) -> Hearing:
-        """Return the votes and members that peers reported, for leader election."""
+        """Return what recently seen peers reported for leader election."""
         beats = {name: self._peers[name].beat for name in self.heard_within(silence_s, now)}
         return Hearing(
             {name: beat.vote for name, beat in beats.items()},
--- a/cleatlink/relay/peers/late_tables_test.py
+++ b/cleatlink/relay/peers/late_tables_test.py
@@ -29,21 +29,26 @@
         self.polls: list[float] = []
         self.reads: list[float] = []
         self._read_s = read_s
-        self._heard = HeardPeers("n2", [], trio.current_time())
+        self._live_peers = HeardPeers("n2", [], trio.current_time())
         for item in beats:
-            self._heard.note_beat(item, trio.current_time())
+            self._live_peers.note_beat(item, trio.current_time())
         hooks = PeerHooks(
             self._state,
             lambda: self.polls.append(trio.current_time()),
             self.snapshots.append,
             lambda: None,
             lambda work: None,
-            lambda life: None,
+            lambda incarnation: None,
             lambda news: None,
             read_table=self._read,
         )
         self.catch_up = CatchUp(
-            "a", hooks, self._heard, RelayMetrics(), random.Random(seed), must_watch=lambda: False
+            "a",
+            hooks,
+            self._live_peers,
+            RelayMetrics(),
+            random.Random(seed),
+            must_watch=lambda: False,
         )
 
     @property
--- a/cleatlink/relay/peers/peer_copier.py
+++ b/cleatlink/relay/peers/peer_copier.py
@@ -26,7 +26,7 @@
         self,
         data_centre: str,
         hooks: PeerHooks,
-        heard: HeardPeers,
+        live_peers: HeardPeers,
         metrics: RelayMetrics,
         rng: random.Random,
     ) -> None:
@@ -35,13 +35,13 @@
         Args:
             data_centre: Data centre of this instance.
             hooks: Process what is copied.
-            heard: The peers to copy from.
+            live_peers: The peers to copy from.
             metrics: Counters.
             rng: Randomises which peers the instances copy from.
         """
         self._data_centre = data_centre
         self._hooks = hooks
-        self._heard = heard
+        self._live_peers = live_peers
         self._metrics = metrics
         self._rng = rng
 
@@ -53,7 +53,7 @@
         Args:
             has_missing: Return whether a peer has the missing state, judged by its heartbeat.
         """
-        found = [beat for beat in self._heard.beats if has_missing(beat)]
+        found = [beat for beat in self._live_peers.beats if has_missing(beat)]
         self._rng.shuffle(found)
         return sorted(found, key=lambda beat: (beat.leaving, not self.is_local(beat)))
 
--- a/cleatlink/relay/peers/registration_catch_up.py
+++ b/cleatlink/relay/peers/registration_catch_up.py
@@ -55,8 +55,8 @@
         """Query the configuration service again; if that does not help, copy from a peer."""
         self._hooks.poll_service()
         await trio.sleep(_SERVICE_WAIT_S * (1 + self._rng.random()))
-        if not self.lacks(beat):
+        if not self.is_behind(beat):
             return
-        peers = self._copier.peers_with(self.lacks)
+        peers = self._copier.peers_with(self.is_behind)
         if peers:
             await self._copier.copy(peers[0], Part.REGISTRATIONS)
--- a/cleatlink/relay/peers/table_catch_up.py
+++ b/cleatlink/relay/peers/table_catch_up.py
@@ -75,7 +75,7 @@
         """Fetch a table from a local peer, then from the service, then from further peers."""
         await self._renew_watch(beat)
         await trio.sleep(_MAX_RANDOM_DELAY_S * self._rng.random())
-        if not self.lacks(beat):
+        if not self.is_behind(beat):
             return
         async with trio.open_nursery() as nursery:
             for method in self._fetch_methods():
@@ -104,5 +104,5 @@
     async def _run_method(self, beat: Beat, method: _FetchMethod, others: trio.CancelScope) -> None:
         """Run one method and cancel all others if this instance has the table then."""
         await method()
-        if not self.lacks(beat):
+        if not self.is_behind(beat):
             others.cancel()
