--- a/cleatlink/relay/peers/peer_copier.py
+++ b/cleatlink/relay/peers/peer_copier.py
@@ -16,6 +16,7 @@
 
 __all__ = ["PeerCopier"]
 
+# Milliseconds per second.
 _MS_PER_S = 1000.0
 
 
