--- a/cleatlink/relay/__init__.py
+++ b/cleatlink/relay/__init__.py
@@ -1,1 +1,1 @@
-"""The relay: serves hosts and paths from route tables, over HTTP/1.1 by the letter."""
+"""The relay: serves hosts and paths from route tables, in strict HTTP/1.1."""
--- a/cleatlink/relay/budgets.py
+++ b/cleatlink/relay/budgets.py
@@ -1,4 +1,4 @@
-"""The retry budgets of services, as the settings say."""
+"""Retry budgets of services, configured by the settings."""
 
 from cleatlink.relay.settings import RelaySettings
 from cleatlink.request.shared_budget import SharedRetryBudget
@@ -7,14 +7,14 @@
 
 
 class ServiceBudgets:
-    """A retry budget for each service, made when it is asked for first."""
+    """Holds a retry budget for each service, created on first use."""
 
     def __init__(self, settings: RelaySettings) -> None:
         self._settings = settings
         self._budgets: dict[str, SharedRetryBudget] = {}
 
     def of(self, service: str) -> SharedRetryBudget:
-        """Give the budget of a service."""
+        """Return the retry budget of a service."""
         budget = self._budgets.get(service)
         if budget is None:
             settings = self._settings
@@ -25,7 +25,7 @@
         return budget
 
     def change(self, settings: RelaySettings) -> None:
-        """Use other settings, also for what has been spent."""
+        """Apply new settings, also to existing budgets and to what they have counted."""
         self._settings = settings
         for budget in self._budgets.values():
             budget.change(settings.retry_ratio, settings.retry_allowance, settings.retry_window_s)
--- a/cleatlink/relay/daemon.py
+++ b/cleatlink/relay/daemon.py
@@ -1,4 +1,4 @@
-"""Runs a relay instance until SIGTERM; SIGHUP loads its settings anew."""
+"""Runs a relay instance until SIGTERM or SIGINT; SIGHUP reloads its settings."""
 
 import signal
 from collections.abc import Callable
@@ -26,13 +26,13 @@
 
     Args:
         load: Loads the settings; called again on SIGHUP.
-        protocol: Names on the wire.
-        open_source: Opens the configuration service.
+        protocol: Names of headers and paths on the wire.
+        open_source: Opens the client of the configuration service.
 
     Raises:
         ConfigurationError: The settings can't be used.
     """
-    # Before the settings are read: a change right after that must not be missed.
+    # Open the receiver before loading the settings, so that no SIGHUP for a later change is missed.
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
         settings = load()
         writer = write_lines()
--- a/cleatlink/relay/exchange.py
+++ b/cleatlink/relay/exchange.py
@@ -1,4 +1,4 @@
-"""One request of a caller and the answer that is written to it."""
+"""One request of a caller and its answer."""
 
 from abc import ABC, abstractmethod
 from typing import NamedTuple
@@ -11,14 +11,14 @@
 
 
 class RawRequest(NamedTuple):
-    """A request as read.
+    """A request as received from the caller.
 
     Attributes:
-        method: As sent.
-        target: Path and query as sent.
-        headers: As sent.
+        method: Method as received.
+        target: Path and query as received.
+        headers: Headers as received.
         body: The body; empty if it was not kept.
-        is_whole: Whether ``body`` is all that the caller sent.
+        is_whole: Whether ``body`` is the complete body that the caller sent.
     """
 
     method: bytes
@@ -29,7 +29,7 @@
 
 
 class AnswerStream(ABC):
-    """What an answer is written to."""
+    """The connection to which an answer is written."""
 
     @abstractmethod
     async def send_head(self, status: int, headers: Headers) -> None:
@@ -37,11 +37,11 @@
 
     @abstractmethod
     async def send_event(self, event: h11.Event) -> None:
-        """Send a part of an answer."""
+        """Send a part of the body, or the end of the answer."""
 
 
 class Exchange:
-    """One request and its answer; the handler answers through it."""
+    """One request, and the methods through which a handler answers it."""
 
     def __init__(self, stream: AnswerStream, request: RawRequest) -> None:
         self._stream = stream
@@ -59,20 +59,20 @@
         await self._stream.send_event(h11.Data(data=data))
 
     async def end(self) -> None:
-        """End the answer; without it the connection is broken off."""
+        """End the answer; an answer that is not ended makes the server close the connection."""
         await self._stream.send_event(h11.EndOfMessage())
         self.ended = True
 
     async def answer(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send a whole answer."""
+        """Send a complete answer."""
         length = (b"Content-Length", b"%d" % len(body))
-        if self.request.method != b"HEAD" and not _bodiless(status):
+        if self.request.method != b"HEAD" and not _has_no_body(status):
             headers = (*headers, length)
         await self.start(status, headers)
-        if body and self.request.method != b"HEAD" and not _bodiless(status):
+        if body and self.request.method != b"HEAD" and not _has_no_body(status):
             await self.send(body)
         await self.end()
 
 
-def _bodiless(status: int) -> bool:
+def _has_no_body(status: int) -> bool:
     return status in (204, 304)
--- a/cleatlink/relay/logs.py
+++ b/cleatlink/relay/logs.py
@@ -1,7 +1,7 @@
-"""The relay's logs: eliot messages on standard output, bounded and never blocking.
+"""Writes the relay's logs, eliot messages, to standard output without blocking.
 
-Lines wait in a bounded queue. A pipe that can take a whole block without
-blocking gets one; what finds the queue full is dropped and counted.
+Lines wait in a bounded queue and are written in blocks that the pipe can accept without blocking.
+Messages that arrive while the queue is full are dropped and counted.
 """
 
 import os
@@ -14,49 +14,49 @@
 
 __all__ = ["LineAllowance", "LineWriter", "write_lines"]
 
-# About a megabyte, and seconds of lines under load.
-_MOST_LINES = 4_000
-# A pipe that polls as writable takes this many bytes without blocking.
+# About a megabyte, or several seconds of lines under load.
+_MAX_QUEUED_LINES = 4_000
+# A pipe that poll() reports as writable accepts this many bytes without blocking.
 _BLOCK_BYTES = 4_096
 
 
 class LineAllowance:
-    """Allows some lines of a kind in each span of time."""
+    """Limits the number of log lines of a kind in each time window."""
 
-    def __init__(self, most: int, span_s: float) -> None:
-        """Start with all of them allowed.
+    def __init__(self, max_lines: int, window_s: float) -> None:
+        """Initialise with no lines counted.
 
         Args:
-            most: Lines in one span.
-            span_s: Its length in seconds.
+            max_lines: Most lines in one window.
+            window_s: Length of the window in seconds.
         """
-        self._most = most
-        self._span_s = span_s
-        self._began_at = 0.0
-        self._taken = 0
+        self._max_lines = max_lines
+        self._window_s = window_s
+        self._window_start = 0.0
+        self._line_count = 0
 
     def take(self, now: float) -> bool:
-        """Take one; tells whether there was one."""
-        if now - self._began_at >= self._span_s:
-            self._began_at, self._taken = now, 0
-        self._taken += 1
-        return self._taken <= self._most
+        """Count one line; return whether the limit allows it."""
+        if now - self._window_start >= self._window_s:
+            self._window_start, self._line_count = now, 0
+        self._line_count += 1
+        return self._line_count <= self._max_lines
 
 
 class LineWriter:
-    """Writes lines of JSON to a descriptor without ever waiting for it."""
+    """Writes JSON lines to a file descriptor without blocking."""
 
-    def __init__(self, descriptor: int, most_lines: int = _MOST_LINES) -> None:
+    def __init__(self, descriptor: int, most_lines: int = _MAX_QUEUED_LINES) -> None:
         self._descriptor = descriptor
         self._most_lines = most_lines
         self._lines: deque[bytes] = deque()
-        self._partial = b""
+        self._pending = b""
         self._poll = select.poll()
         self._poll.register(descriptor, select.POLLOUT)
         self.dropped = 0
 
     def __call__(self, message: dict[str, Any]) -> None:
-        """Take a message as an eliot destination."""
+        """Queue a message; this makes the writer an eliot destination."""
         if len(self._lines) >= self._most_lines:
             self.dropped += 1
             return
@@ -65,34 +65,34 @@
         self._lines.append(msgspec.json.encode(message, enc_hook=str) + b"\n")
 
     def flush(self) -> bool:
-        """Write what can be written at once; tells whether nothing is left."""
-        while self._partial or self._lines:
-            if not self._writable():
+        """Write as much as possible without blocking; return whether the queue is empty."""
+        while self._pending or self._lines:
+            if not self._is_writable():
                 return False
-            self._fill()
-            block, rest = self._partial[:_BLOCK_BYTES], self._partial[_BLOCK_BYTES:]
+            self._fill_pending()
+            block, remaining = self._pending[:_BLOCK_BYTES], self._pending[_BLOCK_BYTES:]
             try:
                 written = os.write(self._descriptor, block)
             except OSError:
                 return False
-            self._partial = block[written:] + rest
+            self._pending = block[written:] + remaining
         return True
 
-    def _fill(self) -> None:
-        parts = [self._partial]
-        size = len(self._partial)
+    def _fill_pending(self) -> None:
+        parts = [self._pending]
+        size = len(self._pending)
         while self._lines and size < _BLOCK_BYTES:
             line = self._lines.popleft()
             parts.append(line)
             size += len(line)
-        self._partial = b"".join(parts)
+        self._pending = b"".join(parts)
 
-    def _writable(self) -> bool:
+    def _is_writable(self) -> bool:
         return any(events & select.POLLOUT for _, events in self._poll.poll(0))
 
 
 def write_lines(descriptor: int = 1) -> LineWriter:
-    """Send all logs of this process to a descriptor."""
+    """Send all logs of this process to a file descriptor."""
     writer = LineWriter(descriptor)
     eliot.add_destinations(writer)
     return writer
--- a/cleatlink/relay/settings.py
+++ b/cleatlink/relay/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a relay instance, checked before anything starts."""
+"""Settings of a relay instance, validated before it starts."""
 
 from typing import NamedTuple
 
@@ -11,30 +11,32 @@
 
 
 class RelaySettings(NamedTuple):
-    """What a relay instance learns before it starts.
+    """The settings of a relay instance.
 
     Attributes:
         name: Name of this instance.
-        data_centre: Data centre in which it runs.
-        listen: Where callers reach it.
-        ready_listen: Where it is asked whether it takes new connections.
-        peer_listen: Where other instances reach it, over TCP and UDP.
-        peers: Instances to ask first; they may be gone.
+        data_centre: Data centre in which this instance runs.
+        listen: Address on which it serves callers.
+        ready_listen: Address on which it serves readiness checks.
+        peer_listen: Address on which it serves other instances, over TCP and UDP.
+        peers: Instances to contact first; they may no longer exist.
         store: Address of the configuration service.
-        metrics_listen: Where counters are read; None serves none.
-        drain_s: Longest time from a planned stop to the end of the process.
-        retry_ratio: Extra sends as a share of requests, over all instances.
-        retry_allowance: Extra sends beyond that, over all instances.
-        retry_window_s: Window of the retry budget.
-        leaving_s: Time within which an endpoint that leaves gets nothing more.
-        lease_s: Silence after which another instance may give orders.
-        history_s: Time for which the configuration service keeps its history.
-        limit_tolerance: By how much organisations may pass their limits in a cut.
-        memory_mb: Memory of the machine, in megabytes; 0 where it is not known.
-        size: Its part of processors, in cores.
-        crossing_share: What it costs to send a stream to another data centre, as a share of its
+        metrics_listen: Address on which it serves metrics; None disables them.
+        drain_s: Longest time from a planned stop to the end of the process, in seconds.
+        retry_ratio: Extra sends allowed as a share of requests, over all instances.
+        retry_allowance: Extra sends allowed in addition to that share, over all instances.
+        retry_window_s: Time window of the retry budget, in seconds.
+        leaving_s: Time after which a leaving endpoint must get no more requests, in seconds.
+        lease_s: Time that must pass after the last order of a leader before another instance may give
+            orders, in seconds.
+        history_s: Time for which the configuration service keeps its history, in seconds.
+        limit_tolerance: By how much organisations may exceed their limits while instances can't
+            reach each other.
+        memory_mb: Memory of the machine, in megabytes; 0 if it is unknown.
+        size: Processor share of this instance, in cores.
+        crossing_share: Cost of sending a stream to another data centre, as a share of the stream's
             target.
-        without: Mechanisms that are switched off for an experiment.
+        without: Mechanisms that are disabled for an experiment.
     """
 
     name: str
--- a/cleatlink/relay/sockets.py
+++ b/cleatlink/relay/sockets.py
@@ -1,4 +1,4 @@
-"""Socket options that make silent peers show themselves."""
+"""TCP sockets with options that detect unresponsive peers."""
 
 import socket
 
@@ -8,15 +8,21 @@
 
 __all__ = ["bind", "connect", "listen", "quicken"]
 
-# Silent peers are found after three seconds at the most.
+# Detect an unresponsive peer within three seconds.
 _KEEPALIVE_IDLE_S = 1
 _KEEPALIVE_PROBES = 2
-# New connections that wait to be accepted; a herd after a restart fits.
+# Room for all clients that reconnect at once after a restart.
 _BACKLOG = 512
 
 
 def quicken(sock: socket.socket | trio.socket.SocketType, silence_s: float) -> None:
-    """Have the kernel end a connection whose peer acknowledges nothing for so long."""
+    """Disable Nagle's algorithm, and detect unresponsive peers.
+
+    Args:
+        sock: The socket of a connection.
+        silence_s: Time without an acknowledgement of sent data after which the kernel closes the
+            connection, in seconds.
+    """
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(1000 * silence_s))
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
@@ -26,10 +32,10 @@
 
 
 async def connect(host: str, port: int, silence_s: float) -> trio.SocketStream:
-    """Connect to an IP number.
+    """Connect to an IP address.
 
     Raises:
-        OSError: The connection did not come up.
+        OSError: The connection could not be opened.
     """
     sock = trio.socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
@@ -42,10 +48,10 @@
 
 
 def listen(host: str, port: int) -> trio.SocketListener:
-    """Listen on an IP number; port 0 lets the system pick one.
+    """Listen on an IP address; with port 0 the system chooses the port.
 
     Raises:
-        ListenError: The address is taken, or not this machine's.
+        ListenError: The address is in use or doesn't belong to this machine.
     """
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -56,10 +62,10 @@
 
 
 def bind(sock: socket.socket, host: str, port: int) -> None:
-    """Bind a socket, or close it.
+    """Bind a socket; close it if that fails.
 
     Raises:
-        ListenError: The address is taken, or not this machine's.
+        ListenError: The address is in use or doesn't belong to this machine.
     """
     try:
         sock.bind((host, port))
--- a/cleatlink/relay/status.py
+++ b/cleatlink/relay/status.py
@@ -1,4 +1,4 @@
-"""What is told of an instance to operators, peers and the platform."""
+"""The state that an instance reports to operators, peers and the platform."""
 
 from typing import Protocol, TypedDict
 
@@ -11,10 +11,10 @@
     """A request in quarantine.
 
     Attributes:
-        asks: Its identity, as in the log.
-        endpoints: The endpoints' lives that it ended.
-        last_ago_s: Seconds since the last of them.
-        for_s: Seconds until it may be tried again.
+        asks: Identity of the request, as in the log.
+        endpoints: Incarnations of endpoints that crashed during the request.
+        last_ago_s: Seconds since the last of these crashes.
+        for_s: Seconds until the request may be retried.
     """
 
     asks: str
@@ -24,20 +24,22 @@
 
 
 class InstanceStatus(TypedDict):
-    """What an instance knows just now.
+    """The current status of an instance.
 
     Attributes:
-        name: Its name.
-        version: Version of the program; told for operators, and compared by nobody.
+        name: Name of the instance.
+        version: Version of the program, for operators only; no code compares it.
         table_revision: Revision of the route table in force.
-        store_era: How often the configuration service came back from a copy, as far as it told.
-        endpoints: Endpoints that are registered.
-        unusable: Registrations that can't be used, with the reason.
-        instances: Instances that are heard, itself included.
-        leads: Whether it gives orders.
-        quarantine: Requests that are held back.
-        leaving: Lives of endpoints that take no new work, with who told it first.
-        limits: Calls a second that endpoints take of all instances, by life.
+        store_era: Number of times that the configuration service was restored from a copy, by its
+            own count.
+        endpoints: Number of registered endpoints.
+        unusable: Unusable registrations, each with the reason.
+        instances: Number of instances whose heartbeats arrive, this one included.
+        leads: Whether the instance is the leader, which gives orders to the others.
+        quarantine: Requests in quarantine.
+        leaving: Incarnations of endpoints that accept no new work, with the first source of that
+            notice.
+        limits: Calls per second that endpoints accept from all instances, by incarnation.
     """
 
     name: str
@@ -54,22 +56,22 @@
 
 
 class InstanceState(Protocol):
-    """What is told of an instance."""
+    """The interface through which the state of an instance is read."""
 
     @property
     def ready(self) -> bool:
-        """Whether it takes new connections."""
+        """Whether the instance accepts new connections."""
 
     def snapshot(self, part: Part, *, is_compressed: bool) -> bytes:
-        """Give a part of what it knows, encoded for a peer.
+        """Return a part of the instance's state, encoded for a peer.
 
         Args:
-            part: What of it.
-            is_compressed: Whether to compress it.
+            part: Which part of the state.
+            is_compressed: Whether to compress the result.
         """
 
     def render_metrics(self) -> bytes:
-        """Give its metrics as text."""
+        """Return the metrics of the instance as text."""
 
     def status(self) -> InstanceStatus:
-        """Give what it knows just now."""
+        """Return the current status of the instance."""
--- a/cleatlink/relay/tasks.py
+++ b/cleatlink/relay/tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that outlive a fault of the program."""
+"""Helpers to run tasks: logging of unexpected exceptions, restarts, and watched work."""
 
 from collections.abc import Awaitable, Callable
 from traceback import format_exc
@@ -12,16 +12,16 @@
 Task = Callable[..., Awaitable[None]]
 _Result = TypeVar("_Result")
 
-# Pause before a task that failed is started again.
-_RESTART_S = 0.5
-# Timers are usually late by less than this.
+# Delay before a task is started again after an exception.
+_RESTART_DELAY_S = 0.5
+# Normal delay of timers; a longer delay means that the process did not run for a while.
 _LATE_WAKE_S = 0.02
-# Within this, tasks read what lies in their sockets.
-_READ_S = 0.02
+# Time in which other tasks read the data that waits in their sockets.
+_SOCKET_READ_S = 0.02
 
 
 async def run_once(task: Task, *args: object) -> None:
-    """Run a task; a fault of the program in it ends nothing else."""
+    """Run a task once; log an unexpected exception, so that other tasks continue."""
     try:
         await task(*args)
     except Exception as error:
@@ -35,15 +35,15 @@
 async def run_watched(
     work: Callable[[], Awaitable[_Result]], watch: Callable[[trio.CancelScope], Awaitable[None]]
 ) -> _Result | None:
-    """Run some work beside a watch that may end it.
+    """Run work together with a watch that may cancel it.
 
     Args:
-        work: The work. What it raises is raised as it is, not in a group; so is a
-            cancellation from outside.
-        watch: Gets the scope of the work, to cancel it.
+        work: The work. Its exceptions are raised as they are, not in an exception group; so is
+            a cancellation from outside.
+        watch: Receives the cancel scope of the work.
 
     Returns:
-        The result; None if the watch ended the work.
+        The result of the work; None if the watch cancelled it.
     """
     result: _Result | None = None
     failure: Exception | None = None
@@ -57,7 +57,7 @@
             nursery.cancel_scope.cancel()
     except BaseExceptionGroup as group:
         if group.split(trio.Cancelled)[1] is None:
-            # Both were cancelled from outside: raises one cancellation in place of the two.
+            # Both were cancelled from outside: raise one cancellation instead of a group of two.
             await trio.lowlevel.checkpoint_if_cancelled()
         raise
     if failure is not None:
@@ -66,18 +66,18 @@
 
 
 async def sleep_and_read(until: float) -> None:
-    """Sleep until a time, and after a late wake until others have read what came meanwhile.
+    """Sleep until a time; after a late wake-up, let other tasks read received data first.
 
-    When the instance has not run for a while, timers and answers are due at once: whoever judges
-    a silence would not know of an answer that lies unread.
+    When the process has not run for a while, timers and received data are due together. A task
+    that checks for a timeout could otherwise miss an answer that has arrived but is not read yet.
     """
     await trio.sleep_until(until)
     if trio.current_time() - until > _LATE_WAKE_S:
-        await trio.sleep(_READ_S)
+        await trio.sleep(_SOCKET_READ_S)
 
 
 async def supervise(task: Task) -> None:
-    """Run a task for ever, again after a fault."""
+    """Run a task repeatedly: start it again after it returns or raises an exception."""
     while True:
         await run_once(task)
-        await trio.sleep(_RESTART_S)
+        await trio.sleep(_RESTART_DELAY_S)
--- a/cleatlink/relay/whole_read.py
+++ b/cleatlink/relay/whole_read.py
@@ -1,4 +1,4 @@
-"""Reads everything that a configuration service knows, and goes on after a call that failed."""
+"""Reads all data of a configuration service, and resumes after a failed call."""
 
 from collections.abc import Awaitable, Callable
 from typing import NamedTuple
@@ -12,11 +12,11 @@
 
 
 class ListPage(NamedTuple):
-    """A part of the list of endpoints.
+    """One page of the list of endpoints.
 
     Attributes:
-        records: Records by the keys that the list is ordered by, in that order.
-        revision: The service's revision when it was read.
+        records: Records by the keys that order the list, in that order.
+        revision: The service's revision when the page was read.
         has_more: Whether another page follows.
     """
 
@@ -28,8 +28,9 @@
 class WholeRead:
     """Reads the list of endpoints page by page, then the route table, all of one era.
 
-    What was read stays when a later call fails, and only what is missing is asked for then. It
-    is given as of the revision of the first page: a watch from there tells what changed since.
+    When a call fails, the pages that were read are kept, and the next run reads only the missing
+    ones. The result has the revision of the first page: a watch from that revision returns what
+    changed since.
     """
 
     def __init__(
@@ -37,58 +38,66 @@
         read_page: Callable[[str], Awaitable[ListPage]],
         read_table: Callable[[int], Awaitable[SourceTable]],
     ) -> None:
-        """Start with nothing read.
+        """Initialise without any data.
 
         Args:
-            read_page: Reads the page that begins after a key; the first one after none.
-            read_table: Reads the route table, of an era.
+            read_page: Reads the page that begins after a key; an empty key reads the first page.
+            read_table: Reads the route table of an era.
         """
         self._read_page = read_page
         self._read_table = read_table
-        self._begin_anew()
+        self._reset()
 
     async def run(self) -> SourceChange:
-        """Read what is missing; the next call begins anew.
+        """Read the missing data; after a success the next run starts from the beginning.
 
         Raises:
-            HistoryGoneError: The answers are of different eras; the next call begins anew.
-            PlatformError: A call failed; the next one goes on from there.
+            HistoryGoneError: The answers have different eras; the next run starts from the
+                beginning.
+            PlatformError: A call failed; the next run resumes with that call.
         """
         try:
-            change = await self._read_rest()
+            change = await self._read_missing()
         except HistoryGoneError:
-            self._begin_anew()
+            self._reset()
             raise
-        self._begin_anew()
+        self._reset()
         return change
 
-    def _begin_anew(self) -> None:
+    def _reset(self) -> None:
         self._records: list[EndpointRecord] = []
         self._revision = NO_REVISION
-        # Key of the last record so far.
-        self._after = ""
+        # Key of the last record read so far.
+        self._last_key = ""
         self._has_more = True
 
-    async def _read_rest(self) -> SourceChange:
+    async def _read_missing(self) -> SourceChange:
         while self._has_more:
-            self._take(await self._read_page(self._after))
+            self._add_page(await self._read_page(self._last_key))
         found = await self._read_table(self._revision.era)
         return SourceChange(
             found.table, self._records, self._revision, whole=True, table_fault=found.fault
         )
 
-    def _take(self, page: ListPage) -> None:
-        if not self._after:
+    def _add_page(self, page: ListPage) -> None:
+        if not self._last_key:
             self._revision = page.revision
         self._require_same_era(page.revision)
-        last = next(reversed(page.records), "")
-        if page.has_more and last <= self._after:
-            raise PlatformError("the list of endpoints does not go on")
-        self._records += [record for key, record in page.records.items() if key > self._after]
-        self._after = last
+        last_key = next(reversed(page.records), "")
+        if page.has_more and last_key <= self._last_key:
+            raise PlatformError(
+                "the next page of the endpoint list does not advance past the previous page"
+            )
+        self._records += [record for key, record in page.records.items() if key > self._last_key]
+        self._last_key = last_key
         self._has_more = page.has_more
 
     def _require_same_era(self, revision: StoreRevision) -> None:
-        """See that a page is of the era of the first; one that goes back is of another, too."""
+        """Check that a page has the era of the first page.
+
+        A revision before that of the first page also means that the era changed.
+        """
         if revision.era != self._revision.era or revision < self._revision:
-            raise HistoryGoneError(f"{revision} after {self._revision}")
+            raise HistoryGoneError(
+                f"page of revision {revision} after first page of {self._revision}"
+            )
--- a/cleatlink/relay/whole_read_test.py
+++ b/cleatlink/relay/whole_read_test.py
@@ -1,4 +1,4 @@
-"""Pages that fit and pages that don't."""
+"""Tests of reading the endpoint list with pages that do not advance."""
 
 import pytest
 import trio
@@ -12,26 +12,26 @@
 pytestmark = pytest.mark.virtual_time
 
 
-class PreparedService:
-    """A service with prepared pages.
+class FakeService:
+    """A service that returns prepared pages.
 
     Attributes:
-        pages: Pages still to be read.
-        asked_after: Keys that pages were asked for after.
+        pages: Pages that are not read yet.
+        requested_after: Key of each requested page.
     """
 
     def __init__(self, *pages: ListPage) -> None:
         self.pages = list(pages)
-        self.asked_after: list[str] = []
+        self.requested_after: list[str] = []
 
     async def read_page(self, after: str) -> ListPage:
-        """Give the next page."""
+        """Return the next page."""
         await trio.lowlevel.checkpoint()
-        self.asked_after.append(after)
+        self.requested_after.append(after)
         return self.pages.pop(0)
 
     async def read_table(self, era: int) -> SourceTable:
-        """Give no table."""
+        """Return no table."""
         await trio.lowlevel.checkpoint()
         return SourceTable(None)
 
@@ -43,21 +43,21 @@
     )
 
 
-@pytest.mark.parametrize("bad", [page(8, has_more=True), page(8, "a", has_more=True)])
-async def test_page_that_does_not_go_on_changes_nothing(bad: ListPage) -> None:
-    service = PreparedService(page(7, "a", "b", has_more=True), bad, page(9, "b", "c"))
+@pytest.mark.parametrize("invalid_page", [page(8, has_more=True), page(8, "a", has_more=True)])
+async def test_page_that_does_not_advance_is_ignored(invalid_page: ListPage) -> None:
+    service = FakeService(page(7, "a", "b", has_more=True), invalid_page, page(9, "b", "c"))
     read = WholeRead(service.read_page, service.read_table)
-    with pytest.raises(PlatformError, match="does not go on"):
+    with pytest.raises(PlatformError, match="does not advance past the previous page"):
         await read.run()
     change = await read.run()
-    assert service.asked_after == ["", "b", "b"]
+    assert service.requested_after == ["", "b", "b"]
     assert [record.name for record in change.records] == ["a", "b", "c"]
     assert change.revision.number == 7
 
 
-async def test_first_page_that_does_not_go_on_gives_no_revision() -> None:
-    service = PreparedService(page(7, has_more=True), page(9, "a"))
+async def test_first_page_that_does_not_advance_sets_no_revision() -> None:
+    service = FakeService(page(7, has_more=True), page(9, "a"))
     read = WholeRead(service.read_page, service.read_table)
-    with pytest.raises(PlatformError, match="does not go on"):
+    with pytest.raises(PlatformError, match="does not advance past the previous page"):
         await read.run()
     assert (await read.run()).revision.number == 9
