--- a/cleatlink/relay/following/follower.py
+++ b/cleatlink/relay/following/follower.py
@@ -354,7 +354,7 @@
                 source=source,
             )
 
-    def take_news(self, news: SourceNews) -> None:
+    def take_news(self, update: SourceNews) -> None:
         """Apply an update that a peer read from the configuration service.
 
         An update of another era is ignored: heartbeats announce the era, which causes a full read.
@@ -362,23 +362,23 @@
         revision = self.records.revision
         if (
             not self._has_endpoint_list
-            or news.era != revision.era
-            or news.revision <= revision.number
+            or update.era != revision.era
+            or update.revision <= revision.number
         ):
             return
-        if news.found_ago_s < RECOVERY_S:
+        if update.found_ago_s < RECOVERY_S:
             self._registrations.note_reconnected()
-        self._registrations.apply(news.changes())
-        if news.after > revision.number:
+        self._registrations.apply(update.changes())
+        if update.after > revision.number:
             eliot.log_message(
                 message_type="source: missed a peer's news",
-                peer=news.name,
-                after=news.after,
+                peer=update.name,
+                after=update.after,
                 revision=revision.number,
             )
             self.look_again()
             return
-        self.records.note_complete(StoreRevision(news.era, news.revision))
+        self.records.note_complete(StoreRevision(update.era, update.revision))
         self._metrics.count_read("told_by_peer")
 
     def take_snapshot(self, snapshot: Snapshot) -> None:
--- a/cleatlink/relay/settings.py
+++ b/cleatlink/relay/settings.py
@@ -27,8 +27,8 @@
         retry_allowance: Extra sends allowed in addition to that share, over all instances.
         retry_window_s: Time window of the retry budget, in seconds.
         leaving_s: Time after which a leaving endpoint must get no more requests, in seconds.
-        lease_s: Time that must pass after the last order of a leader before another instance may give
-            orders, in seconds.
+        lease_s: Time that must pass after the last order of a leader before another instance may
+            give orders, in seconds.
         history_s: Time for which the configuration service keeps its history, in seconds.
         limit_tolerance: By how much organisations may exceed their limits while instances can't
             reach each other.
