--- a/cleatlink/relay/following/store_client.py
+++ b/cleatlink/relay/following/store_client.py
@@ -13,7 +13,7 @@
 
 __all__ = ["StoreAnswer", "StoreClient"]
 
-# The store is in the same network, so a slower connection attempt means that it is unreachable.
+# The network distance to the store is short; a connection that takes longer to open is given up.
 _CONNECT_TIMEOUT_S = 0.5
 # The kernel closes a connection whose data is not acknowledged within this time.
 _ACK_TIMEOUT_S = 1.5
--- a/cleatlink/relay/logs.py
+++ b/cleatlink/relay/logs.py
@@ -14,7 +14,7 @@
 
 __all__ = ["LineAllowance", "LineWriter", "write_lines"]
 
-# About a megabyte, or several seconds of lines under load.
+# About a megabyte, or some seconds of log lines under load.
 _MAX_QUEUED_LINES = 4_000
 # A pipe that poll() reports as writable accepts this many bytes without blocking.
 _BLOCK_BYTES = 4_096
