--- a/cleatlink/relay/endpoints/__init__.py
+++ b/cleatlink/relay/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""What the relay needs to talk to endpoints: the wire, connections, and what answers tell."""
+"""Communication of the relay with endpoints: protocol, connections, notices, crash detection."""
--- a/cleatlink/relay/endpoints/answer_notices.py
+++ b/cleatlink/relay/endpoints/answer_notices.py
@@ -1,4 +1,8 @@
-"""Takes what endpoints say of themselves from every answer, whatever it is an answer to."""
+"""Reads the notices that endpoints put into the headers of their responses.
+
+Every response is read, whichever request it belongs to. A notice says that the endpoint is
+shutting down, asks for a back-off, or names a rate limit.
+"""
 
 from collections.abc import Callable
 
@@ -15,14 +19,13 @@
 
 __all__ = ["AnswerNotices"]
 
-# Lines about rests, and about limits, at the most in so many seconds: an endpoint can say
-# something new with each answer.
-_LINES = 50
-_LINES_S = 10.0
-
+# Most log lines about back-offs, and about rate limits, within the window in seconds: each
+# response of an endpoint can carry a new value.
+_MAX_LOG_LINES = 50
+_LOG_WINDOW_S = 10.0
 
-# Fields of answers that are usual in HTTP and say nothing of an endpoint's state.
-_USUAL_FIELDS = frozenset(
+# Response headers that are common in HTTP and say nothing about an endpoint's state.
+_COMMON_HEADERS = frozenset(
     {
         b"accept-ranges",
         b"age",
@@ -51,12 +54,12 @@
         b"www-authenticate",
     }
 )
-# Other fields are told of once each, up to so many: an endpoint may make them up.
-_MOST_UNKNOWN_FIELDS = 32
+# Most other headers that are logged, once each: an endpoint may send arbitrary header names.
+_MAX_UNKNOWN_HEADERS = 32
 
 
 class AnswerNotices:
-    """Reads the heads of answers for one instance."""
+    """Reads the notices in the response heads that one instance receives."""
 
     def __init__(
         self,
@@ -69,53 +72,53 @@
         on_rest: Callable[[str], None],
         on_limit: Callable[[str], None],
     ) -> None:
-        """Start without any.
+        """Create a reader that has received no notices.
 
         Args:
-            protocol: Reads heads.
-            notices: Where it is kept that endpoints leave or want a rest.
-            limits: Where the limits are kept that endpoints name.
-            metrics: Counts it.
-            on_leaving: Told of a life that says for the first time that it leaves.
-            on_rest: Told of a life each time that it asks for a rest.
-            on_limit: Told of a life whose limit is named anew, changes or ends.
+            protocol: Parses response heads.
+            notices: Stores which endpoints are shutting down or have asked for a back-off.
+            limits: Stores the rate limits that endpoints name.
+            metrics: Counts the notices.
+            on_leaving: Called with an incarnation when it first says that it is shutting down.
+            on_rest: Called with an incarnation each time that it asks for a back-off.
+            on_limit: Called with an incarnation whose rate limit is set, changed or removed.
         """
         self._limits = limits
-        self._on_limit = on_limit
-        self._on_rest = on_rest
+        self._on_limit_changed = on_limit
+        self._on_backoff = on_rest
         self._on_leaving = on_leaving
         self._protocol = protocol
-        self._known_fields = _USUAL_FIELDS | protocol.names.answer_fields
-        self._unknown_fields: set[bytes] = set()
+        self._known_headers = _COMMON_HEADERS | protocol.names.response_headers
+        self._unknown_headers: set[bytes] = set()
         self._notices = notices
         self._metrics = metrics
-        self._rest_lines = LineAllowance(_LINES, _LINES_S)
-        self._limit_lines = LineAllowance(_LINES, _LINES_S)
+        self._backoff_log_quota = LineAllowance(_MAX_LOG_LINES, _LOG_WINDOW_S)
+        self._limit_log_quota = LineAllowance(_MAX_LOG_LINES, _LOG_WINDOW_S)
 
     def note_head(self, endpoint: RoutedEndpoint, head: ReplyHead) -> None:
-        """Take what an answer of an endpoint says; most say nothing."""
+        """Process the notice in a response of an endpoint; most responses carry none."""
         now = trio.current_time()
-        self._note_fields(endpoint, head)
+        self._log_unknown_headers(endpoint, head)
         if self._protocol.takes_work(head):
             self._notices.note_served(endpoint.name, now)
         notice = self._protocol.read_notice(head)
-        self._note_limit(endpoint, head, notice, now)
+        self._record_limit(endpoint, head, notice, now)
         if notice == NO_NOTICE:
             return
         if notice.leaving:
-            self._note_leaving(endpoint, head.status, now)
+            self._record_leaving(endpoint, head.status, now)
         if notice.rest_s:
-            self._note_rest(endpoint, notice.rest_s, now)
+            self._record_backoff(endpoint, notice.rest_s, now)
 
-    def _note_fields(self, endpoint: RoutedEndpoint, head: ReplyHead) -> None:
-        """Log fields that nothing here reads: an endpoint may say something of itself in them."""
+    def _log_unknown_headers(self, endpoint: RoutedEndpoint, head: ReplyHead) -> None:
+        """Log headers that the relay does not read, since they may carry an unsupported notice."""
         for name, _ in head.headers:
             field = name.lower()
-            if field in self._known_fields or field in self._unknown_fields:
+            if field in self._known_headers or field in self._unknown_headers:
                 continue
-            if len(self._unknown_fields) >= _MOST_UNKNOWN_FIELDS:
+            if len(self._unknown_headers) >= _MAX_UNKNOWN_HEADERS:
                 return
-            self._unknown_fields.add(field)
+            self._unknown_headers.add(field)
             eliot.log_message(
                 message_type="endpoint: answers with a field that is not known",
                 endpoint=endpoint.name,
@@ -123,7 +126,7 @@
                 field=field.decode("latin-1"),
             )
 
-    def _note_leaving(self, endpoint: RoutedEndpoint, status: int, now: float) -> None:
+    def _record_leaving(self, endpoint: RoutedEndpoint, status: int, now: float) -> None:
         self._metrics.count_notice("leaving")
         if self._notices.note_leaving(endpoint.name, NoticeSource.ANSWER, now):
             self._on_leaving(endpoint.name)
@@ -134,11 +137,11 @@
                 status=status,
             )
 
-    def _note_rest(self, endpoint: RoutedEndpoint, rest_s: float, now: float) -> None:
+    def _record_backoff(self, endpoint: RoutedEndpoint, rest_s: float, now: float) -> None:
         self._metrics.count_notice("rest")
-        begins = self._notices.note_rest(endpoint.name, rest_s, now)
-        self._on_rest(endpoint.name)
-        if begins and self._rest_lines.take(now):
+        is_new = self._notices.note_rest(endpoint.name, rest_s, now)
+        self._on_backoff(endpoint.name)
+        if is_new and self._backoff_log_quota.take(now):
             eliot.log_message(
                 message_type="endpoint: asks for a rest",
                 endpoint=endpoint.name,
@@ -146,25 +149,26 @@
                 rest_s=rest_s,
             )
 
-    def _note_limit(
+    def _record_limit(
         self, endpoint: RoutedEndpoint, head: ReplyHead, notice: EndpointNotice, now: float
     ) -> None:
-        """Take a limit over all instances that an endpoint names anew, changes or takes back.
+        """Set, change or remove the rate limit that an endpoint names for all instances together.
 
-        A limit that can't be read changes nothing. One ends with an answer to a caller, since
-        others may not name what an endpoint takes of callers' calls.
+        A malformed limit changes nothing. Only a response to a caller's request that names no
+        limit removes it, since responses to the relay's own requests may omit the limit on
+        callers' requests.
         """
         before = self._limits.rate_per_s(endpoint.name)
         if notice.names_rate:
             self._metrics.count_notice("limit")
             if notice.rate_per_s is None:
                 return
-        elif before is None or not self._protocol.answers_caller(head):
+        elif before is None or not self._protocol.is_response_to_caller(head):
             return
         if not self._limits.note_answer(endpoint.name, notice.rate_per_s, now):
             return
-        self._on_limit(endpoint.name)
-        if self._limit_lines.take(now):
+        self._on_limit_changed(endpoint.name)
+        if self._limit_log_quota.take(now):
             eliot.log_message(
                 message_type="endpoint: names a limit",
                 endpoint=endpoint.name,
--- a/cleatlink/relay/endpoints/answer_notices_test.py
+++ b/cleatlink/relay/endpoints/answer_notices_test.py
@@ -1,4 +1,4 @@
-"""What heads of answers say of their endpoints is read from each of them, and nonsense is not."""
+"""Tests of the notices in response heads: every response is read, malformed values are ignored."""
 
 from typing import Any
 
@@ -19,12 +19,12 @@
 
 
 def rest(value: bytes) -> tuple[bytes, bytes]:
-    """Give the header with which an endpoint names a time."""
+    """Return the header with which an endpoint asks for a back-off."""
     return (b"Retry-After", value)
 
 
 def limit(value: bytes) -> tuple[bytes, bytes]:
-    """Give the header with which an endpoint names a limit."""
+    """Return the header with which an endpoint names a rate limit."""
     return (b"Server-Limit", value)
 
 
@@ -44,11 +44,11 @@
         (200, (limit(b"3.6"),), EndpointNotice(rate_per_s=3.6, names_rate=True)),
         (500, (limit(b"3"), LEAVING), EndpointNotice(True, 0.0, 3.0, names_rate=True)),
         (503, (limit(b"2"), rest(b"1")), EndpointNotice(False, 1.0, 2.0, names_rate=True)),
-        # Another endpoint answers at the address: it says nothing of the one that was asked.
+        # Another endpoint answers at the address: its headers say nothing about the one called.
         (421, (LEAVING, rest(b"3"), limit(b"1")), NO_NOTICE),
     ],
 )
-def test_head_says_what_it_says(
+def test_notice_is_read_from_status_and_headers(
     status: int, headers: tuple[tuple[bytes, bytes], ...], expected: EndpointNotice
 ) -> None:
     assert PROTOCOL.read_notice(ReplyHead(status, headers)) == expected
@@ -71,7 +71,9 @@
         ([b"soon", b"2"], 2.0),
     ],
 )
-def test_time_that_is_nonsense_is_bounded(values: list[bytes], rest_s: float) -> None:
+def test_malformed_backoff_is_ignored_and_a_long_one_is_capped(
+    values: list[bytes], rest_s: float
+) -> None:
     head = ReplyHead(503, tuple(rest(value) for value in values))
     assert PROTOCOL.read_notice(head).rest_s == rest_s
 
@@ -82,7 +84,7 @@
         ([b"4"], 4.0),
         ([b" .5 "], 0.5),
         ([b"5."], 5.0),
-        # One that takes none is asked now and then whether that still holds.
+        # An endpoint that accepts no calls is still called occasionally, in case that has changed.
         ([b"0"], 0.1),
         ([b"999999999999"], 1e6),
         ([b"7", b"3.5"], 3.5),
@@ -94,26 +96,28 @@
         ([b"few"], None),
     ],
 )
-def test_limit_that_is_nonsense_is_bounded(values: list[bytes], rate_per_s: float | None) -> None:
+def test_malformed_limit_is_ignored_and_extreme_ones_are_bounded(
+    values: list[bytes], rate_per_s: float | None
+) -> None:
     notice = PROTOCOL.read_notice(ReplyHead(200, tuple(limit(value) for value in values)))
     assert notice == EndpointNotice(rate_per_s=rate_per_s, names_rate=True)
 
 
-async def test_limit_is_logged_when_it_is_named_changes_and_ends() -> None:
+async def test_limit_is_logged_when_it_is_set_changed_and_removed() -> None:
     lines: list[dict[str, Any]] = []
-    take = lines.append
-    eliot.add_destinations(take)
+    collect = lines.append
+    eliot.add_destinations(collect)
     try:
         async with open_fleet() as fleet:
             worker = Worker("plain")
             await start(fleet, worker)
-            for said in ("50", "50", "20", "few", None, None):
-                worker.names_limit = said
-                # Answers can overtake each other: one without a limit counts a little later.
-                await trio.sleep(0.0 if said else 0.6)
+            for value in ("50", "50", "20", "few", None, None):
+                worker.names_limit = value
+                # Responses can arrive out of order: one without a limit takes effect after a delay.
+                await trio.sleep(0.0 if value else 0.6)
                 assert (await fleet.caller().ask("/safe/x")).status == 200
     finally:
-        eliot.remove_destination(take)
+        eliot.remove_destination(collect)
     found = [
         (line["before"], line["per_s"])
         for line in lines
@@ -122,11 +126,11 @@
     assert found == [(None, 50.0), (50.0, 20.0), (20.0, None)]
 
 
-async def test_field_that_nothing_reads_is_told_of_once() -> None:
-    """Endpoints named a limit for days, and no line of any instance said that they do."""
+async def test_unknown_header_is_logged_once() -> None:
+    """Endpoints named a limit for days in a header that no instance read, and none logged it."""
     lines: list[dict[str, Any]] = []
-    take = lines.append
-    eliot.add_destinations(take)
+    collect = lines.append
+    eliot.add_destinations(collect)
     try:
         async with open_fleet() as fleet:
             worker = Worker("plain")
@@ -137,18 +141,18 @@
             worker.more_headers = {f"X-{number}": "1" for number in range(99)}
             await fleet.caller().ask("/safe/x")
     finally:
-        eliot.remove_destination(take)
-    kind = "endpoint: answers with a field that is not known"
+        eliot.remove_destination(collect)
+    message_type = "endpoint: answers with a field that is not known"
     fields = [
         line["field"]
         for line in lines
-        if line.get("message_type") == kind and line["endpoint"] == worker.name
+        if line.get("message_type") == message_type and line["endpoint"] == worker.name
     ]
     assert fields[0] == "server-temper"
     assert len(fields) == len(set(fields)) == 32
 
 
-async def test_leaving_is_read_from_every_kind_of_answer() -> None:
+async def test_leaving_notice_is_read_from_responses_of_every_stage() -> None:
     kinds = {
         "plain": ("/safe/x", {}),
         "prefill": ("/stream/x", STREAM),
@@ -158,17 +162,17 @@
         async with open_fleet() as fleet:
             workers = (Worker("plain"), *engines())
             await start(fleet, *workers)
-            speaking = [item for item in workers if (item.stage or "plain") == kind]
-            for worker in speaking:
+            announcing = [item for item in workers if (item.stage or "plain") == kind]
+            for worker in announcing:
                 worker.says_leaving = True
             await fleet.caller().ask(path, headers=headers)
             notices = fleet.instances[0].capacity.notices
-            told = {item.name for item in workers if notices.is_leaving(item.name)}
-            assert told, kind
-            assert told <= {item.name for item in speaking}
+            leaving = {item.name for item in workers if notices.is_leaving(item.name)}
+            assert leaving, kind
+            assert leaving <= {item.name for item in announcing}
 
 
-async def test_hold_says_that_its_endpoint_leaves() -> None:
+async def test_leaving_notice_is_read_from_a_reservation_response() -> None:
     async with open_fleet() as fleet:
         prefill, decode = Worker("model", "prefill"), Worker("model", "decode")
         await start(fleet, prefill, decode)
@@ -179,10 +183,10 @@
         assert fleet.instances[0].capacity.notices.is_leaving(decode.name)
 
 
-async def test_leaving_is_logged_once_and_counted_each_time() -> None:
+async def test_leaving_notice_is_logged_once_and_counted_in_the_metrics() -> None:
     lines: list[dict[str, Any]] = []
-    take = lines.append
-    eliot.add_destinations(take)
+    collect = lines.append
+    eliot.add_destinations(collect)
     try:
         async with open_fleet() as fleet:
             worker = Worker("plain")
@@ -192,7 +196,7 @@
                 await fleet.caller().ask("/safe/x")
             metrics = fleet.instances[0].render_metrics().decode()
     finally:
-        eliot.remove_destination(take)
+        eliot.remove_destination(collect)
     found = [
         line
         for line in lines
--- a/cleatlink/relay/endpoints/connection.py
+++ b/cleatlink/relay/endpoints/connection.py
@@ -1,8 +1,8 @@
 """One HTTP/1.1 connection to an endpoint, on h11 and trio.
 
-A client library hides three things that the promises need: whether a byte of
-the request can have left, whether bytes follow the answer, and the request
-line as the caller wrote it. h11, which those libraries use, shows all three.
+The relay's guarantees depend on three things that HTTP client libraries hide: whether any byte
+of the request may have been sent, whether extra bytes follow the response, and the request line
+exactly as the caller wrote it. h11, on which those libraries are built, exposes all three.
 """
 
 import math
@@ -25,21 +25,22 @@
 
 __all__ = ["EndpointConnection"]
 
-# Bytes read at a time: what a socket's buffer usually holds.
+# Bytes to read at a time: the usual size of a socket's buffer.
 _READ_BYTES = 65_536
-# Far above the longest head that an endpoint writes.
+# Far above the longest response head that an endpoint sends.
 _MAX_HEAD_BYTES = 65_536
-# A body up to this size fits the socket's buffer, so that sending it cannot block for long.
+# A body up to this size fits into the socket's buffer, so sending it cannot block for long.
 _SMALL_BODY_BYTES = 16_384
-# A long body is handed to the kernel in parts of this size.
+# A long body is passed to the kernel in parts of this size.
 _PART_BYTES = 16_384
-# How soon it is looked at whether a long body has been taken, doubled each time up to the longest.
-_FIRST_LOOK_S = 0.001
-_LONGEST_LOOK_S = 0.02
+# First and longest interval between checks of how much of a long body the endpoint has accepted;
+# the interval doubles after each check.
+_FIRST_CHECK_INTERVAL_S = 0.001
+_MAX_CHECK_INTERVAL_S = 0.02
 
 
 class EndpointConnection:
-    """A connection that carries one exchange at a time."""
+    """A connection that carries one request and its response at a time."""
 
     def __init__(
         self,
@@ -51,9 +52,9 @@
         self._on_send = on_send
         self._stream = stream
         self._http = h11.Connection(h11.CLIENT, max_incomplete_event_size=_MAX_HEAD_BYTES)
-        self._sent_whole = True
-        # Bytes of the request that the kernel has accepted.
-        self._accepted = 0
+        self._is_request_sent = True
+        # Bytes of the request that this machine's kernel has accepted.
+        self._accepted_bytes = 0
         self._keep_alive_s: float | None = None
         self._on_head = on_head
         self._on_bytes: Callable[[], None] | None = None
@@ -64,7 +65,7 @@
     async def open(
         cls,
         address: str,
-        silence_s: float,
+        ack_timeout_s: float,
         timeout_s: float,
         on_head: Callable[[ReplyHead], None] | None = None,
         on_send: Callable[[], None] | None = None,
@@ -72,45 +73,46 @@
         """Open a connection.
 
         Args:
-            address: IP number and port.
-            silence_s: Seconds after which data that is not acknowledged breaks it.
-            timeout_s: Seconds in which it has to come up.
-            on_head: Told of the head of each answer, and of headers that follow a body.
-            on_send: Told of each request that is sent.
+            address: IP address and port.
+            ack_timeout_s: Seconds that sent data may stay unacknowledged before the connection
+                fails.
+            timeout_s: Seconds within which the connection must be established.
+            on_head: Called with the head of each response, and with trailers after a body.
+            on_send: Called for each request that is sent.
 
         Raises:
-            EndpointUnreachableError: It did not come up.
+            EndpointUnreachableError: The connection was not established.
         """
         host, _, port = address.rpartition(":")
         try:
             with trio.fail_after(timeout_s):
-                stream = await connect(host, int(port), silence_s)
+                stream = await connect(host, int(port), ack_timeout_s)
         except (OSError, trio.TooSlowError) as error:
             raise EndpointUnreachableError(f"{address}: {error!r}") from error
         return cls(stream, trio.current_time(), on_head, on_send)
 
     @property
     def usable(self) -> bool:
-        """Whether the connection is idle and nothing has arrived on it."""
-        return self._http.our_state is h11.IDLE and self.is_quiet
+        """Whether the connection is open and idle, with nothing received on it."""
+        return self._http.our_state is h11.IDLE and self.is_open_without_input
 
     @property
-    def is_quiet(self) -> bool:
-        """Whether the connection is open, and nothing waits to be read from it, nor its end."""
+    def is_open_without_input(self) -> bool:
+        """Whether the connection is open, with neither data nor its end waiting to be read."""
         try:
             return not self._stream.socket.is_readable()
         except (OSError, ValueError):
             return False
 
     async def wait_readable(self) -> None:
-        """Wait until something, or the end, can be read; also when it is closed meanwhile."""
+        """Wait until data or the end can be read, or until this side closes the connection."""
         try:
             await trio.lowlevel.wait_readable(self._stream.socket.fileno())
         except (OSError, ValueError, trio.ClosedResourceError):
             return
 
-    def may_be_idle(self, now: float, limit_s: float) -> bool:
-        """Tell whether the other side still keeps the connection open."""
+    def is_within_idle_limit(self, now: float, limit_s: float) -> bool:
+        """Check whether the endpoint is expected to still keep the idle connection open."""
         if self._keep_alive_s is not None:
             limit_s = min(limit_s, self._keep_alive_s - 1.0)
         return now - self.idle_since < limit_s
@@ -121,15 +123,15 @@
         on_bytes: Callable[[], None] | None = None,
         upload: Upload | None = None,
     ) -> ReplyHead:
-        """Send a request and read the head of its answer.
+        """Send a request and read the head of its response.
 
         Args:
             request: The request.
-            on_bytes: Told each time that bytes of the answer came, also of its body.
-            upload: Told how far a long body has come.
+            on_bytes: Called each time that bytes of the response arrive, including its body.
+            upload: Receives the progress of a long body.
 
         Raises:
-            OutcomeUnknownError: No answer came, or bytes that are none.
+            OutcomeUnknownError: No response arrived, or bytes that are not a valid response.
         """
         self._on_bytes = on_bytes
         if self._on_send is not None:
@@ -153,46 +155,46 @@
             raise OutcomeUnknownError(repr(error)) from error
 
     async def _send_and_read(self, data: bytes, upload: Upload | None) -> ReplyHead:
-        """Send a long request while reading: the answer may come before its end."""
-        self._sent_whole, self._accepted = False, 0
+        """Send a long request while reading, since the response may arrive before its end."""
+        self._is_request_sent, self._accepted_bytes = False, 0
         if upload is not None:
             upload.begin(len(data), trio.current_time())
-        head = await run_watched(self._read_head, lambda _: self._send_long(data, upload))
-        assert head is not None, "sending does not end the reading"
+        head = await run_watched(self._read_head, lambda _: self._send_in_parts(data, upload))
+        assert head is not None, "sending the body must not cancel reading the response"
         return head
 
-    async def _send_long(self, data: bytes, upload: Upload | None) -> None:
-        """Send a long request, and follow it until the other side has all of it."""
+    async def _send_in_parts(self, data: bytes, upload: Upload | None) -> None:
+        """Send a long request in parts, and track it until the endpoint has all of it."""
         async with trio.open_nursery() as nursery:
             if upload is not None:
-                nursery.start_soon(self._follow, upload)
+                nursery.start_soon(self._track_upload, upload)
             try:
                 for begin in range(0, len(data), _PART_BYTES):
                     part = data[begin : begin + _PART_BYTES]
                     await self._stream.send_all(part)
-                    self._accepted += len(part)
+                    self._accepted_bytes += len(part)
             except (trio.BrokenResourceError, trio.ClosedResourceError):
-                # The answer, if there is one, can still be read.
+                # A response that the endpoint has already sent can still be read.
                 nursery.cancel_scope.cancel()
                 return
-            self._sent_whole = True
+            self._is_request_sent = True
 
-    async def _follow(self, upload: Upload) -> None:
-        """Have an upload know how far it has come, until the other side has all of it."""
-        pause_s = _FIRST_LOOK_S
+    async def _track_upload(self, upload: Upload) -> None:
+        """Report the progress of an upload until the endpoint has all of it."""
+        interval_s = _FIRST_CHECK_INTERVAL_S
         while not upload.is_whole:
-            await trio.sleep(pause_s)
-            upload.note_taken(self._count_taken(), trio.current_time())
-            pause_s = min(_LONGEST_LOOK_S, 2 * pause_s)
-
-    def _count_taken(self) -> TakenBytes:
-        """Give what the other side has of the request."""
-        file_number = self._stream.socket.fileno()
-        waiting = count_unacknowledged(file_number) if file_number >= 0 else None
-        if waiting is None:
-            return TakenBytes(self._accepted, False)
-        # The kernel may hold a part of what it has not accepted in full yet.
-        return TakenBytes(max(0, self._accepted - waiting), True)
+            await trio.sleep(interval_s)
+            upload.note_taken(self._count_accepted(), trio.current_time())
+            interval_s = min(_MAX_CHECK_INTERVAL_S, 2 * interval_s)
+
+    def _count_accepted(self) -> TakenBytes:
+        """Return how many bytes of the request the endpoint has accepted."""
+        file_descriptor = self._stream.socket.fileno()
+        unacknowledged = count_unacknowledged(file_descriptor) if file_descriptor >= 0 else None
+        if unacknowledged is None:
+            return TakenBytes(self._accepted_bytes, False)
+        # The kernel may already buffer some of a part that is not counted as accepted yet.
+        return TakenBytes(max(0, self._accepted_bytes - unacknowledged), True)
 
     async def _read_head(self) -> ReplyHead:
         while True:
@@ -200,10 +202,10 @@
             if isinstance(event, h11.InformationalResponse):
                 continue
             if isinstance(event, h11.Response):
-                return self._note_head(event)
-            raise OutcomeUnknownError("the connection ended before an answer")
+                return self._record_head(event)
+            raise OutcomeUnknownError("the server closed the connection before a response")
 
-    def _note_head(self, event: h11.Response) -> ReplyHead:
+    def _record_head(self, event: h11.Response) -> ReplyHead:
         head = ReplyHead(event.status_code, tuple(event.headers.raw_items()))
         keep_alive = head.get(b"keep-alive") or b""
         for item in keep_alive.split(b","):
@@ -211,18 +213,21 @@
             if name.lower() == b"timeout" and value.isdigit():
                 self._keep_alive_s = float(value)
         self._status = head.status
-        self._tell(head)
+        self._report_head(head)
         return head
 
-    def _tell(self, head: ReplyHead) -> None:
+    def _report_head(self, head: ReplyHead) -> None:
         if self._on_head is not None:
             self._on_head(head)
 
     async def read_chunk(self) -> bytes | None:
-        """Read more of the answer's body; None at its proper end.
+        """Read more of the response body.
+
+        Returns:
+            The bytes; None at the regular end of the body.
 
         Raises:
-            StreamBrokenError: The connection ended or reset before that.
+            StreamBrokenError: The connection was closed or reset before the end of the body.
         """
         try:
             event = await self._next_event()
@@ -232,36 +237,36 @@
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
             if event.headers:
-                self._tell(ReplyHead(self._status, tuple(event.headers.raw_items())))
+                self._report_head(ReplyHead(self._status, tuple(event.headers.raw_items())))
             return None
-        raise StreamBrokenError("the connection ended within the answer")
+        raise StreamBrokenError("the server closed the connection within the response")
 
-    async def read_body(self, most_bytes: int, *, silence_s: float = math.inf) -> bytes:
-        """Read the whole body.
+    async def read_body(self, max_bytes: int, *, silence_s: float = math.inf) -> bytes:
+        """Read the whole response body.
 
         Args:
-            most_bytes: Longest body that is read.
-            silence_s: Longest time without any byte of it.
+            max_bytes: Longest body that is accepted.
+            silence_s: Longest time without any byte of the body.
 
         Raises:
-            EndpointSilentError: Nothing came for ``silence_s``.
-            StreamBrokenError: It broke off, or is longer than ``most_bytes``.
+            EndpointSilentError: No byte arrived for ``silence_s``.
+            StreamBrokenError: The body ended early or is longer than ``max_bytes``.
         """
         parts: list[bytes] = []
         size = 0
-        while (chunk := await self._read_chunk_within(silence_s)) is not None:
+        while (chunk := await self._read_chunk_with_timeout(silence_s)) is not None:
             parts.append(chunk)
             size += len(chunk)
-            if size > most_bytes:
-                raise StreamBrokenError("the body is too long")
+            if size > max_bytes:
+                raise StreamBrokenError("the response body exceeds the size limit")
         return b"".join(parts)
 
-    async def _read_chunk_within(self, silence_s: float) -> bytes | None:
+    async def _read_chunk_with_timeout(self, silence_s: float) -> bytes | None:
         try:
             with trio.fail_after(silence_s):
                 return await self.read_chunk()
         except trio.TooSlowError as error:
-            raise EndpointSilentError(f"no byte of the answer for {silence_s} s") from error
+            raise EndpointSilentError(f"no byte of the response body for {silence_s} s") from error
 
     async def _next_event(self) -> object:
         while True:
@@ -274,15 +279,19 @@
             self._http.receive_data(data)
 
     def finish(self, now: float) -> bool:
-        """End an exchange; tells whether the connection can be used again."""
-        leftover = self._http.trailing_data[0]
-        done = self._http.our_state is h11.DONE and self._http.their_state is h11.DONE
-        if not (done and self._sent_whole) or leftover:
+        """End an exchange.
+
+        Returns:
+            Whether the connection can be used again.
+        """
+        extra_bytes = self._http.trailing_data[0]
+        is_complete = self._http.our_state is h11.DONE and self._http.their_state is h11.DONE
+        if not (is_complete and self._is_request_sent) or extra_bytes:
             return False
         self._http.start_next_cycle()
         self.idle_since = now
         return True
 
     def close(self) -> None:
-        """Close at once, without a wait."""
+        """Close the connection immediately, without waiting."""
         self._stream.socket.close()
--- a/cleatlink/relay/endpoints/crash_watch.py
+++ b/cleatlink/relay/endpoints/crash_watch.py
@@ -1,8 +1,8 @@
-"""Finds out whether an endpoint that broke an answer off has crashed.
+"""Detects whether an endpoint that broke off a response has crashed.
 
-A broken answer alone says little: a connection can be reset, and an endpoint can spoil one
-answer and go on. One that has crashed also refuses new connections, or something beside it takes
-them and closes them, and no other connection to it is open any more.
+A broken response alone is no proof: a connection can be reset, and an endpoint can send one bad
+response and keep running. An endpoint that has crashed also refuses new connections, or a proxy
+on its machine accepts and closes them, and no other connection to the endpoint is open any more.
 """
 
 from collections.abc import Callable, Mapping
@@ -18,27 +18,28 @@
 
 __all__ = ["CrashWatch"]
 
-# The kernel ends all connections of a process at once, and so do the requests on them; those
-# that break within so long of each other are asked about together.
-_GATHER_S = 0.01
-# The way there and back between data centres, several times.
-_ASK_S = 0.15
-# An endpoint that takes no answer is asked so often: a lost packet is sent again after 0.2 s.
-_MOST_ASKS = 3
-_ASK_PAUSE_S = 0.1
-# Something that takes connections for an endpoint that is gone closes them at once: within this,
-# so often in a row.
-_CLOSED_S = 0.03
-_MOST_CLOSED = 2
-_CLOSED_PAUSE_S = 0.01
-# An endpoint that crashed says so in a way there and back; callers don't wait for longer.
-_KNOWN_S = 0.05
-# Requests whose connections break later than this after a crash was found belong to another.
-_SAME_CRASH_S = 1.0
+# The kernel closes all connections of a process at once, so its requests fail together. Requests
+# that fail within this time after the first one are checked together.
+_BATCH_DELAY_S = 0.01
+# Several times the round trip between data centres.
+_PROBE_TIMEOUT_S = 0.15
+# Most connection attempts to an endpoint, and the pause after one that fails: a lost packet is
+# sent again after 0.2 s.
+_MAX_PROBES = 3
+_PROBE_PAUSE_S = 0.1
+# A proxy that accepts connections for an endpoint that no longer runs closes them at once. An
+# endpoint counts as crashed after this many new connections are each closed within this time.
+_CLOSE_DETECTION_S = 0.03
+_CLOSED_CONNECTIONS_FOR_CRASH = 2
+_CLOSED_RETRY_PAUSE_S = 0.01
+# A crash shows within one round trip, so callers wait no longer than this for the result.
+_MAX_CALLER_WAIT_S = 0.05
+# A request whose connection breaks later than this after a detected crash belongs to a new crash.
+_SAME_CRASH_WINDOW_S = 1.0
 
 
 class CrashWatch:
-    """Watches the endpoints that this instance's requests are in progress at."""
+    """Detects crashes of endpoints on which this instance has requests in progress."""
 
     def __init__(
         self,
@@ -48,103 +49,111 @@
         spawn: Callable[..., None],
         on_crash: Callable[[RoutedEndpoint, Mapping[bytes, float]], None],
     ) -> None:
-        """Start without any in doubt.
+        """Create a detector with no checks in progress.
 
         Args:
-            pool: Keeps the connections that show an endpoint to be alive.
+            pool: The connections; one that is still open shows that its endpoint is alive.
             metrics: Counts crashes.
-            spawn: Runs a task once.
-            on_crash: Told of an endpoint that has crashed, with the identities of the requests
-                that were in progress there and the seconds for which they had been; again for
-                requests that are found out later.
+            spawn: Starts a background task.
+            on_crash: Called with an endpoint that has crashed, and the identities of the requests
+                that were in progress there, each with the seconds for which it had been; called
+                again for requests that turn out later to belong to the crash.
         """
         self._pool = pool
         self._metrics = metrics
         self._spawn = spawn
         self._on_crash = on_crash
-        self._broken: dict[str, dict[bytes, float]] = {}
-        self._looks: dict[str, trio.Event] = {}
-        self._crashed: dict[str, float] = {}
+        self._broken_requests: dict[str, dict[bytes, float]] = {}
+        self._check_finished: dict[str, trio.Event] = {}
+        self._crashed_at: dict[str, float] = {}
 
-    def note_broken(self, endpoint: RoutedEndpoint, identity: bytes, seconds: float) -> None:
-        """Note that an endpoint broke off a request that was in progress there.
+    def note_broken(self, endpoint: RoutedEndpoint, identity: bytes, in_progress_s: float) -> None:
+        """Report that an endpoint broke off a request that was in progress there.
 
         Args:
             endpoint: The endpoint.
             identity: The request's identity.
-            seconds: For how long it had been in progress there.
+            in_progress_s: How long the request had been in progress there.
         """
-        waiting = self._broken.get(endpoint.name)
-        if waiting is not None:
-            waiting[identity] = min(seconds, waiting.get(identity, seconds))
+        batch = self._broken_requests.get(endpoint.name)
+        if batch is not None:
+            batch[identity] = min(in_progress_s, batch.get(identity, in_progress_s))
             return
-        self._broken[endpoint.name] = {identity: seconds}
-        self._looks[endpoint.name] = trio.Event()
-        self._spawn(self._look, endpoint)
+        self._broken_requests[endpoint.name] = {identity: in_progress_s}
+        self._check_finished[endpoint.name] = trio.Event()
+        self._spawn(self._check, endpoint)
 
     async def wait(self, endpoint: RoutedEndpoint) -> None:
-        """Wait until it is known whether an endpoint crashed, but not for one that is silent."""
-        look = self._looks.get(endpoint.name)
-        if look is not None:
-            with trio.move_on_after(_KNOWN_S):
-                await look.wait()
+        """Wait a limited time for the result of a running crash check.
 
-    async def _look(self, endpoint: RoutedEndpoint) -> None:
+        The check of an endpoint that does not respond takes longer than this wait.
+        """
+        checked = self._check_finished.get(endpoint.name)
+        if checked is not None:
+            with trio.move_on_after(_MAX_CALLER_WAIT_S):
+                await checked.wait()
+
+    async def _check(self, endpoint: RoutedEndpoint) -> None:
         try:
-            await trio.sleep(_GATHER_S)
+            await trio.sleep(_BATCH_DELAY_S)
             if await self._has_crashed(endpoint):
-                self._note_crash(endpoint, self._broken[endpoint.name])
+                self._report_crash(endpoint, self._broken_requests[endpoint.name])
         finally:
-            del self._broken[endpoint.name]
-            self._looks.pop(endpoint.name).set()
+            del self._broken_requests[endpoint.name]
+            self._check_finished.pop(endpoint.name).set()
 
-    def _note_crash(self, endpoint: RoutedEndpoint, broken: Mapping[bytes, float]) -> None:
+    def _report_crash(self, endpoint: RoutedEndpoint, requests: Mapping[bytes, float]) -> None:
         now = trio.current_time()
-        is_new = now - self._crashed.get(endpoint.name, -_SAME_CRASH_S) >= _SAME_CRASH_S
-        self._crashed = {name: at for name, at in self._crashed.items() if now - at < _SAME_CRASH_S}
+        is_new = (
+            now - self._crashed_at.get(endpoint.name, -_SAME_CRASH_WINDOW_S) >= _SAME_CRASH_WINDOW_S
+        )
+        self._crashed_at = {
+            name: at for name, at in self._crashed_at.items() if now - at < _SAME_CRASH_WINDOW_S
+        }
         if is_new:
-            self._crashed[endpoint.name] = now
+            self._crashed_at[endpoint.name] = now
             self._metrics.count_crash(endpoint.service)
         eliot.log_message(
             message_type="endpoint: has crashed with requests in progress",
             endpoint=endpoint.name,
             address=endpoint.address,
-            asks=sorted(identity.hex() for identity in broken),
+            asks=sorted(identity.hex() for identity in requests),
             first=is_new,
         )
-        self._on_crash(endpoint, broken)
+        self._on_crash(endpoint, requests)
 
     async def _has_crashed(self, endpoint: RoutedEndpoint) -> bool:
-        """Tell whether an endpoint takes no connection that stays; one that is silent may live.
+        """Check whether an endpoint refuses or closes all connections.
 
-        One that has as many connections as it takes closes new ones, too, but keeps the others.
+        An endpoint that does not respond at all may still be running. An endpoint at its connection
+        limit also closes new connections, but keeps the others open.
         """
         closed = 0
-        for _ in range(_MOST_ASKS):
+        for _ in range(_MAX_PROBES):
             try:
-                connection = await self._pool.open(endpoint, _ASK_S, _ASK_S)
+                connection = await self._pool.open(endpoint, _PROBE_TIMEOUT_S, _PROBE_TIMEOUT_S)
             except EndpointUnreachableError as error:
                 if isinstance(error.__cause__, ConnectionRefusedError):
                     return True
-                await trio.sleep(_ASK_PAUSE_S)
+                await trio.sleep(_PROBE_PAUSE_S)
             else:
                 if await _stays_open(connection):
                     self._pool.keep(endpoint, connection)
                     return False
                 connection.close()
                 closed += 1
-                if self._pool.has_open(endpoint.name):
+                if self._pool.has_open_connection(endpoint.name):
                     return False
-                if closed == _MOST_CLOSED:
+                if closed == _CLOSED_CONNECTIONS_FOR_CRASH:
                     return True
-                await trio.sleep(_CLOSED_PAUSE_S)
+                await trio.sleep(_CLOSED_RETRY_PAUSE_S)
         return False
 
 
 async def _stays_open(connection: EndpointConnection) -> bool:
-    """Tell whether a new connection is still there a moment later."""
+    """Check whether a new connection stays open for a short time."""
     try:
-        with trio.move_on_after(_CLOSED_S):
+        with trio.move_on_after(_CLOSE_DETECTION_S):
             await connection.wait_readable()
     except BaseException:
         connection.close()
--- a/cleatlink/relay/endpoints/crash_watch_test.py
+++ b/cleatlink/relay/endpoints/crash_watch_test.py
@@ -1,4 +1,4 @@
-"""An endpoint that crashed is told apart from one that spoiled an answer."""
+"""Tests that a crash of an endpoint is distinguished from a single bad response."""
 
 from collections.abc import Mapping
 
@@ -19,53 +19,57 @@
 Crash = tuple[str, Mapping[bytes, float]]
 
 
-def watch(fleet: Fleet, monkeypatch: pytest.MonkeyPatch) -> list[Crash]:
-    """Note what the first instance finds out."""
-    found: list[Crash] = []
+def record_crashes(fleet: Fleet, monkeypatch: pytest.MonkeyPatch) -> list[Crash]:
+    """Record the crashes that the first instance reports."""
+    reported: list[Crash] = []
     crash_watch = fleet.instances[0]._crash_watch
     monkeypatch.setattr(
-        crash_watch, "_on_crash", lambda endpoint, asks: found.append((endpoint.name, asks))
+        crash_watch,
+        "_on_crash",
+        lambda endpoint, requests: reported.append((endpoint.name, requests)),
     )
-    return found
+    return reported
 
 
-async def test_crash_is_found_with_all_that_was_in_progress(
+async def test_crash_is_reported_with_all_requests_in_progress(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async with open_fleet() as fleet:
         worker = Worker("plain")
         worker.crashes_on, worker.work_s = b"crash", 0.5
         await start(fleet, worker)
-        found = watch(fleet, monkeypatch)
-        beside, guilty = fleet.caller(), fleet.caller()
-        await beside.send("/unsafe/x", "POST", body=b"beside")
+        reported = record_crashes(fleet, monkeypatch)
+        bystander, crashing = fleet.caller(), fleet.caller()
+        await bystander.send("/unsafe/x", "POST", body=b"beside")
         await fleet.until(lambda: worker.runs)
-        await guilty.send("/unsafe/x", "POST", body=b"crash")
-        assert (await beside.receive()).status == (await guilty.receive()).status == 502
-        await fleet.until(lambda: found)
-        assert [(name, len(asks)) for name, asks in found] == [(worker.name, 2)]
+        await crashing.send("/unsafe/x", "POST", body=b"crash")
+        assert (await bystander.receive()).status == (await crashing.receive()).status == 502
+        await fleet.until(lambda: reported)
+        assert [(name, len(requests)) for name, requests in reported] == [(worker.name, 2)]
 
 
 @pytest.mark.parametrize("fault", [Fault.CUT, Fault.RESET_AFTER, Fault.GARBAGE, Fault.FOREIGN])
-async def test_spoiled_answer_is_no_crash(fault: Fault, monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_single_bad_response_is_not_a_crash(
+    fault: Fault, monkeypatch: pytest.MonkeyPatch
+) -> None:
     async with open_fleet() as fleet:
         worker = Worker("plain")
         await start(fleet, worker)
-        found = watch(fleet, monkeypatch)
+        reported = record_crashes(fleet, monkeypatch)
         worker.faults = [fault]
         assert (await fleet.caller().ask("/unsafe/x", "POST", body=b"x")).status == 502
         await trio.sleep(0.3)
-        assert found == []
+        assert reported == []
 
 
-async def test_endpoint_that_closes_new_connections_and_keeps_others_lives(
+async def test_endpoint_at_its_connection_limit_is_not_a_crash(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It has as many connections as it takes, and spoils one answer: that is no crash."""
+    """An endpoint at its connection limit closes new connections, and sends one bad response."""
     async with open_fleet() as fleet:
         worker = Worker("plain")
         await start(fleet, worker)
-        found = watch(fleet, monkeypatch)
+        reported = record_crashes(fleet, monkeypatch)
         worker.work_s = 0.2
         callers = [fleet.caller(), fleet.caller()]
         for caller in callers:
@@ -79,42 +83,42 @@
         await callers[1].send("/unsafe/x", "POST", body=b"x")
         assert (await callers[1].receive()).status == 502
         assert (await callers[0].receive()).status == 200
-        assert found == []
+        assert reported == []
 
 
-async def test_address_that_closes_connections_is_a_crash(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_proxy_that_closes_connections_is_a_crash(monkeypatch: pytest.MonkeyPatch) -> None:
     async with open_fleet() as fleet:
         worker = Worker("plain")
         worker.crashes_on, worker.is_behind_proxy = b"crash", True
         fleet.keep_restarting(worker, 0.3)
         await start(fleet, worker)
-        found = watch(fleet, monkeypatch)
+        reported = record_crashes(fleet, monkeypatch)
         assert (await fleet.caller().ask("/unsafe/x", "POST", body=b"crash")).status == 502
-        await fleet.until(lambda: found, 0.2)
-        assert [name for name, _ in found] == [worker.name]
+        await fleet.until(lambda: reported, 0.2)
+        assert [name for name, _ in reported] == [worker.name]
 
 
-async def test_silent_address_is_no_crash(nursery: trio.Nursery) -> None:
-    found: list[Crash] = []
+async def test_silent_address_is_not_a_crash(nursery: trio.Nursery) -> None:
+    reported: list[Crash] = []
     crash_watch = CrashWatch(
         ConnectionPool(),
         RelayMetrics(),
         spawn=nursery.start_soon,
-        on_crash=lambda endpoint, asks: found.append((endpoint.name, asks)),
+        on_crash=lambda endpoint, requests: reported.append((endpoint.name, requests)),
     )
-    # Full backlogs take no connection and say nothing.
+    # A listener with a full backlog neither accepts nor refuses a connection.
     listener = trio.socket.socket()
     await listener.bind(("127.0.0.1", 0))
     listener.listen(0)
     port = listener.getsockname()[1]
-    filling = [trio.socket.socket() for _ in range(3)]
-    for sock in filling:
+    backlog = [trio.socket.socket() for _ in range(3)]
+    for sock in backlog:
         with trio.move_on_after(0.05):
             await sock.connect(("127.0.0.1", port))
     address = f"127.0.0.1:{port}"
     endpoint = RoutedEndpoint("e", address, "a", "plain", Role.PLAIN, slots=1)
     crash_watch.note_broken(endpoint, b"x", 0.1)
     await trio.sleep(0.9)
-    assert found == []
-    for sock in (*filling, listener):
+    assert reported == []
+    for sock in (*backlog, listener):
         sock.close()
--- a/cleatlink/relay/endpoints/pool.py
+++ b/cleatlink/relay/endpoints/pool.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints, kept for as long as the other side keeps them."""
+"""A pool of connections to endpoints, which are kept open while the endpoint keeps them open."""
 
 from collections import deque
 from collections.abc import Callable
@@ -15,114 +15,121 @@
 
 __all__ = ["FRESH_LIMIT_S", "IDLE_LIMIT_S", "ConnectionPool", "Reply"]
 
-# The kernel gives a connection up whose data is not acknowledged for so long.
-_SILENCE_S = 1.5
-# Several times the way between data centres; a lost first packet costs a second anyway.
-_CONNECT_S = 0.15
-# Endpoints close idle connections after a time; callers' requests must not meet that.
+# The kernel closes a connection whose sent data stays unacknowledged for longer than this.
+_ACK_TIMEOUT_S = 1.5
+# Several times the latency between data centres. After the loss of the first packet a connection
+# takes a second in any case.
+_CONNECT_TIMEOUT_S = 0.15
+# Endpoints close connections that stay idle; a caller's request must not be sent on a connection
+# that the endpoint is closing.
 IDLE_LIMIT_S = 4.0
-# What may not be repeated goes out on a connection that was in use just now, or a new one.
+# A request that must not be repeated is sent only on a new connection or on one that was in use
+# within this time.
 FRESH_LIMIT_S = 1.0
-# Kept at the most to one endpoint: its slots, shared with other instances, need fewer.
-_MOST_IDLE = 16
-# Share of an endpoint's connections that all instances may leave idle.
+# Most idle connections kept to one endpoint: its slots, shared with other instances, need fewer.
+_MAX_IDLE = 16
+# Share of an endpoint's connection limit that all instances together may leave idle.
 _IDLE_SHARE = 0.5
 
 
 class Reply(NamedTuple):
-    """An endpoint's whole answer."""
+    """An endpoint's complete response."""
 
     head: ReplyHead
     body: bytes
 
 
 class ConnectionPool:
-    """Idle connections by endpoint; an address may change hands, a name does not."""
+    """Idle connections by incarnation of an endpoint.
+
+    An address may be reused by another endpoint, but the name of an incarnation is not.
+    """
 
     def __init__(
         self,
-        allowed: Callable[[RoutedEndpoint], float] | None = None,
+        connection_limit: Callable[[RoutedEndpoint], float] | None = None,
         on_head: Callable[[RoutedEndpoint, ReplyHead], None] | None = None,
         is_leaving: Callable[[str], bool] = lambda _: False,
         on_send: Callable[[RoutedEndpoint], None] | None = None,
     ) -> None:
-        """Start without connections.
+        """Create an empty pool.
 
         Args:
-            allowed: Gives this instance's part of the connections that an endpoint
-                takes from all callers together; None for no limit.
-            on_head: Told of the head of each answer of an endpoint.
-            is_leaving: Tells of a life whether it leaves; nothing is kept open to it.
-            on_send: Told of each request that is sent to an endpoint.
+            connection_limit: Returns this instance's share of the connections that an endpoint
+                accepts in total; None for no limit.
+            on_head: Called with the head of each response of an endpoint.
+            is_leaving: Returns whether an incarnation is shutting down; no idle connections are
+                kept to it.
+            on_send: Called for each request that is sent to an endpoint.
         """
         self._on_send = on_send
         self._is_leaving = is_leaving
         self._on_head = on_head
-        self._allowed = allowed
+        self._connection_limit = connection_limit
         self._idle: dict[str, deque[EndpointConnection]] = {}
-        # All connections that somebody still has, by life.
-        self._open: dict[str, WeakSet[EndpointConnection]] = {}
+        # All connections that still exist, idle or in use, by incarnation.
+        self._known_connections: dict[str, WeakSet[EndpointConnection]] = {}
 
     async def take(self, endpoint: RoutedEndpoint, idle_limit_s: float) -> EndpointConnection:
-        """Give an idle connection, or open one.
+        """Return an idle connection, or open one.
 
         Raises:
-            EndpointUnreachableError: None came up.
+            EndpointUnreachableError: No connection could be established.
         """
         idle = self._idle.get(endpoint.name, deque())
         now = trio.current_time()
         while idle:
             connection = idle.pop()
-            if connection.may_be_idle(now, idle_limit_s) and connection.usable:
+            if connection.is_within_idle_limit(now, idle_limit_s) and connection.usable:
                 return connection
             connection.close()
-        return await self.open(endpoint, _SILENCE_S, _CONNECT_S)
+        return await self.open(endpoint, _ACK_TIMEOUT_S, _CONNECT_TIMEOUT_S)
 
     async def open(
-        self, endpoint: RoutedEndpoint, silence_s: float, timeout_s: float
+        self, endpoint: RoutedEndpoint, ack_timeout_s: float, timeout_s: float
     ) -> EndpointConnection:
         """Open a connection to an endpoint.
 
         Raises:
-            EndpointUnreachableError: It did not come up.
+            EndpointUnreachableError: The connection could not be established.
         """
         on_head = None if self._on_head is None else partial(self._on_head, endpoint)
         on_send = None if self._on_send is None else partial(self._on_send, endpoint)
         connection = await EndpointConnection.open(
-            endpoint.address, silence_s, timeout_s, on_head, on_send
+            endpoint.address, ack_timeout_s, timeout_s, on_head, on_send
         )
-        self._open.setdefault(endpoint.name, WeakSet()).add(connection)
+        self._known_connections.setdefault(endpoint.name, WeakSet()).add(connection)
         return connection
 
     async def call(
         self,
         endpoint: RoutedEndpoint,
         idle_limit_s: float,
-        make: Callable[[], OutgoingRequest],
-        most_bytes: int,
+        make_request: Callable[[], OutgoingRequest],
+        max_bytes: int,
         on_bytes: Callable[[], None] | None = None,
         *,
         upload: Upload | None = None,
     ) -> Reply:
-        """Make one whole exchange.
+        """Send one request and read the complete response.
 
         Args:
-            endpoint: Whom to call.
+            endpoint: The endpoint to call.
             idle_limit_s: Longest idle time of a connection that may be used.
-            make: Gives the request once the connection is there.
-            most_bytes: Longest body that is read.
-            on_bytes: Told each time that bytes of the answer came.
-            upload: Told how far a long body has come.
+            make_request: Builds the request once a connection is available.
+            max_bytes: Longest response body that is accepted.
+            on_bytes: Called each time that bytes of the response arrive.
+            upload: Receives the progress of a long body.
 
         Raises:
-            EndpointUnreachableError: No connection came up; nothing left.
-            OutcomeUnknownError: No answer came.
-            StreamBrokenError: The answer broke off.
+            EndpointUnreachableError: No connection could be established; nothing was sent.
+            OutcomeUnknownError: No response arrived.
+            StreamBrokenError: The response ended early.
         """
         connection = await self.take(endpoint, idle_limit_s)
         try:
-            head = await connection.exchange(make(), on_bytes, upload)
-            body = await connection.read_body(most_bytes)
+            head = await connection.exchange(make_request(), on_bytes, upload)
+            body = await connection.read_body(max_bytes)
         except BaseException:
             connection.close()
             raise
@@ -130,59 +137,66 @@
         return Reply(head, body)
 
     def keep(self, endpoint: RoutedEndpoint, connection: EndpointConnection) -> None:
-        """Keep an idle connection that was taken and is not needed."""
+        """Return a connection to the pool that was taken but not used."""
         idle = self._idle.setdefault(endpoint.name, deque())
-        if connection.usable and len(idle) < self._most_idle(endpoint):
+        if connection.usable and len(idle) < self._max_idle(endpoint):
             idle.append(connection)
         else:
             connection.close()
 
     def give_back(self, endpoint: RoutedEndpoint, connection: EndpointConnection) -> None:
-        """Keep a connection whose exchange has ended, if it can be used again."""
+        """Return a connection to the pool after an exchange, if it can be used again."""
         now = trio.current_time()
         idle = self._idle.setdefault(endpoint.name, deque())
-        if connection.finish(now) and len(idle) < self._most_idle(endpoint):
+        if connection.finish(now) and len(idle) < self._max_idle(endpoint):
             idle.append(connection)
         else:
             connection.close()
 
-    def _most_idle(self, endpoint: RoutedEndpoint) -> int:
+    def _max_idle(self, endpoint: RoutedEndpoint) -> int:
         if self._is_leaving(endpoint.name):
             return 0
-        if self._allowed is None:
-            return _MOST_IDLE
-        return int(max(1.0, min(_MOST_IDLE, _IDLE_SHARE * self._allowed(endpoint))))
+        if self._connection_limit is None:
+            return _MAX_IDLE
+        return int(max(1.0, min(_MAX_IDLE, _IDLE_SHARE * self._connection_limit(endpoint))))
 
     def prune(self) -> None:
-        """Close connections that have been idle for too long."""
+        """Close connections whose idle time exceeds ``IDLE_LIMIT_S``."""
         now = trio.current_time()
         for name in list(self._idle):
             idle = self._idle[name]
-            while idle and not idle[0].may_be_idle(now, IDLE_LIMIT_S):
+            while idle and not idle[0].is_within_idle_limit(now, IDLE_LIMIT_S):
                 idle.popleft().close()
             if not idle:
                 del self._idle[name]
-        self._open = {name: kept for name, kept in self._open.items() if kept}
-
-    def has_open(self, name: str) -> bool:
-        """Tell whether somebody still has a connection to a life that is open."""
-        return any(connection.is_quiet for connection in self._open.get(name, ()))
+        self._known_connections = {
+            name: connections
+            for name, connections in self._known_connections.items()
+            if connections
+        }
+
+    def has_open_connection(self, name: str) -> bool:
+        """Check whether any known connection to an incarnation is still open."""
+        return any(
+            connection.is_open_without_input for connection in self._known_connections.get(name, ())
+        )
 
     def break_off(self, name: str) -> None:
-        """Close all connections of a life that is over, also those with calls in progress.
+        """Close all connections to an incarnation that has ended, including those in use.
 
-        Without it a stream that hangs behind a cut goes on until it has been silent for long.
+        Otherwise a stream that is stuck behind a network partition would last until the
+        detection of silence ends it.
         """
-        for connection in self._open.pop(name, ()):
+        for connection in self._known_connections.pop(name, ()):
             connection.close()
         self._idle.pop(name, None)
 
     def forget(self, name: str) -> None:
-        """Close the idle connections of an endpoint that is gone."""
+        """Close the idle connections to an incarnation that no longer exists."""
         for connection in self._idle.pop(name, ()):
             connection.close()
 
     def close(self) -> None:
-        """Close everything."""
+        """Close all idle connections."""
         for name in list(self._idle):
             self.forget(name)
--- a/cleatlink/relay/endpoints/pool_test.py
+++ b/cleatlink/relay/endpoints/pool_test.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints that are kept."""
+"""Tests of the pool of connections to endpoints."""
 
 import pytest
 import trio
@@ -9,19 +9,21 @@
 from standins.relay import Worker
 
 
-@pytest.mark.parametrize(("allowed", "kept"), [(0.5, 1), (6.0, 3), (1000.0, 8)])
-async def test_idle_connections_stay_within_this_instances_part(allowed: float, kept: int) -> None:
+@pytest.mark.parametrize(("connection_limit", "expected"), [(0.5, 1), (6.0, 3), (1000.0, 8)])
+async def test_idle_connections_stay_within_this_instances_share(
+    connection_limit: float, expected: int
+) -> None:
     async with trio.open_nursery() as nursery:
         worker = Worker("plain")
         await worker.start(nursery)
         endpoint = RoutedEndpoint(worker.name, worker.address, "a", "plain", Role.PLAIN, 6)
-        pool = ConnectionPool(lambda _: allowed)
-        taken = [await pool.take(endpoint, FRESH_LIMIT_S) for _ in range(8)]
-        for connection in taken:
+        pool = ConnectionPool(lambda _: connection_limit)
+        acquired = [await pool.take(endpoint, FRESH_LIMIT_S) for _ in range(8)]
+        for connection in acquired:
             pool.keep(endpoint, connection)
-        again = [await pool.take(endpoint, FRESH_LIMIT_S) for _ in range(8)]
-        assert len(set(map(id, taken)) & set(map(id, again))) == kept
-        for connection in again:
+        acquired_again = [await pool.take(endpoint, FRESH_LIMIT_S) for _ in range(8)]
+        assert len(set(map(id, acquired)) & set(map(id, acquired_again))) == expected
+        for connection in acquired_again:
             connection.close()
         worker.close()
         nursery.cancel_scope.cancel()
--- a/cleatlink/relay/endpoints/protocol.py
+++ b/cleatlink/relay/endpoints/protocol.py
@@ -1,7 +1,7 @@
-"""How calls are named on the wire: header names and paths, and what is read from them.
+"""Header names and paths of the endpoint protocol, and the requests and responses that use them.
 
-``HeaderNames`` and ``EndpointPaths`` hold the project's own names by default.
-An adapter for another platform gives its own; nothing else has to change.
+``HeaderNames`` and ``EndpointPaths`` default to the project's own names. An adapter for another
+platform passes different names; nothing else has to change.
 """
 
 import math
@@ -31,7 +31,7 @@
     "ReplyHead",
 ]
 
-# Headers of one connection only, and those that framing rewrites.
+# Hop-by-hop headers, and headers that message framing sets anew on each connection.
 _HOP_HEADERS = frozenset(
     {
         b"connection",
@@ -46,16 +46,16 @@
         b"http2-settings",
     }
 )
-_MS = 1000.0
-# The address has another endpoint than the one that was asked: nothing of its answer is the
-# asked one's word.
+_MS_PER_S = 1000.0
+# "Misdirected Request": another endpoint now answers at the address, so the response says
+# nothing about the endpoint that was called.
 OTHER_ENDPOINT = 421
-# Statuses with which an endpoint turns work away and may say for how long.
+# Statuses with which an endpoint rejects work; the response may say when to retry.
 TURNED_AWAY = frozenset({429, 503})
 
 
 class HeaderNames(NamedTuple):
-    """Names of the headers that carry what the relay has to know; lower case."""
+    """Names of the headers that the relay reads and writes, in lower case."""
 
     request_id: bytes = b"x-request-id"
     deadline_ms: bytes = b"x-deadline-ms"
@@ -75,13 +75,13 @@
     priority: bytes = b"x-priority"
     organisation: bytes = b"x-organisation"
     credentials: bytes = b"authorization"
-    # Headers that callers may not set, and those that always reach the endpoint.
+    # Headers that callers may not set, and headers that are always forwarded to the endpoint.
     reserved: frozenset[bytes] = frozenset()
     kept: frozenset[bytes] = frozenset()
 
     @property
-    def answer_fields(self) -> frozenset[bytes]:
-        """Fields that endpoints' answers carry and that are read."""
+    def response_headers(self) -> frozenset[bytes]:
+        """Names of the response headers that the relay reads."""
         return frozenset(
             {
                 self.request_id,
@@ -96,7 +96,7 @@
 
 
 class OrderFields(NamedTuple):
-    """Names in the body of an order to take another role."""
+    """Field names in the body of a request that changes an endpoint's role."""
 
     kind: str = "kind"
     role_kind: str = "role"
@@ -106,7 +106,7 @@
 
 
 class HoldFields(NamedTuple):
-    """Names in the body of a call that holds room, and in its answer."""
+    """Field names in the body of a reservation request, and in the response to it."""
 
     tokens: str = "tokens"
     lifetime_ms: str = "lifetime_ms"
@@ -114,7 +114,7 @@
 
 
 class EndpointPaths(NamedTuple):
-    """Paths of the calls that the relay makes to engines on its own behalf."""
+    """Paths of the requests that the relay itself makes to endpoints."""
 
     handle: str = "/kv/{}"
     order: str = "/order"
@@ -126,17 +126,17 @@
 
 
 class ReplyHead(NamedTuple):
-    """Status and headers of an endpoint's answer, names in lower case."""
+    """Status and headers of an endpoint's response; header names are in lower case."""
 
     status: int
     headers: Headers
 
     def get(self, name: bytes) -> bytes | None:
-        """Give a header's value."""
+        """Return the first value of a header, or None if it is absent."""
         return next(iter(self.get_all(name)), None)
 
     def get_all(self, name: bytes) -> list[bytes]:
-        """Give the values of all headers of a name."""
+        """Return the values of all headers with this name."""
         return [value.strip() for key, value in self.headers if key.lower() == name]
 
 
@@ -149,28 +149,28 @@
     body: bytes
 
 
-# Endpoints know priorities up to this.
-_LEAST_PRIORITY = 9
+# The largest priority value, for the least urgent requests, that endpoints support.
+_LOWEST_PRIORITY = 9
 
 
 class Protocol:
-    """Reads callers' requests and writes endpoints' ones by a set of names."""
+    """Parses callers' requests and builds requests to endpoints, with a given set of names."""
 
     def __init__(self, names: HeaderNames, paths: EndpointPaths) -> None:
         self.names = names
         self.paths = paths
-        # What this process sets itself is never taken over from a caller.
-        self._own = _HOP_HEADERS | names.reserved
-        self._own |= {names.deadline_ms, names.last_event, names.organisation}
-        self._kept = names.kept | {b"host", names.request_id, names.token_counts}
+        # Headers that this process sets itself are never copied from a caller's request.
+        self._never_forwarded = _HOP_HEADERS | names.reserved
+        self._never_forwarded |= {names.deadline_ms, names.last_event, names.organisation}
+        self._always_forwarded = names.kept | {b"host", names.request_id, names.token_counts}
 
     def read_host(self, headers: Headers) -> str:
-        """Give the host that a caller names, without its port."""
-        found = {name.lower(): value for name, value in headers}
-        return _without_port(found.get(b"host", b"").decode("latin-1"))
+        """Return the value of the Host header without its port."""
+        values = {name.lower(): value for name, value in headers}
+        return _strip_port(values.get(b"host", b"").decode("latin-1"))
 
     def read_credentials(self, headers: Headers) -> list[bytes]:
-        """Give the values of all headers that carry a key."""
+        """Return the values of all headers that carry an API key."""
         return [value for name, value in headers if name.lower() == self.names.credentials]
 
     def read_inbound(
@@ -183,45 +183,46 @@
         *,
         withholds_key: bool = False,
     ) -> Inbound:
-        """Read a caller's request.
+        """Parse a caller's request.
 
         Args:
-            method: As sent.
+            method: Method as sent.
             target: Path and query as sent.
-            headers: As sent.
-            body: The whole body.
-            now: When the request's head was read.
-            withholds_key: Whether the caller's key is this process's to judge, and not passed on.
+            headers: Headers as sent.
+            body: The complete body.
+            now: Time at which the request's head was read.
+            withholds_key: Whether this process checks the caller's API key itself, so that the
+                key is not forwarded to the endpoint.
         """
-        found = {name.lower(): value for name, value in headers}
-        host = found.get(b"host", b"").decode("latin-1")
-        deadline_s = _number(found.get(self.names.deadline_ms), math.inf) / _MS
-        prompt, _, most = found.get(self.names.token_counts, b"").partition(b",")
-        last_event = found.get(self.names.last_event)
+        values = {name.lower(): value for name, value in headers}
+        host = values.get(b"host", b"").decode("latin-1")
+        deadline_s = _parse_number(values.get(self.names.deadline_ms), math.inf) / _MS_PER_S
+        prompt, _, max_output = values.get(self.names.token_counts, b"").partition(b",")
+        last_event = values.get(self.names.last_event)
         return Inbound(
-            request_id=found.get(self.names.request_id, b"").decode("latin-1"),
+            request_id=values.get(self.names.request_id, b"").decode("latin-1"),
             method=method,
             target=target,
-            host=_without_port(host),
-            headers=self._passed_on(headers, withholds_key),
+            host=_strip_port(host),
+            headers=self._filter_request_headers(headers, withholds_key),
             body=body,
             arrived_at=now,
             deadline=now + deadline_s,
-            prompt_tokens=int(_number(prompt, 0)),
-            max_output_tokens=int(_number(most, 0)),
-            output_hint=int(_number(found.get(self.names.output_hint), 0)),
-            last_event=None if last_event is None else int(_number(last_event, 0)),
+            prompt_tokens=int(_parse_number(prompt, 0)),
+            max_output_tokens=int(_parse_number(max_output, 0)),
+            output_hint=int(_parse_number(values.get(self.names.output_hint), 0)),
+            last_event=None if last_event is None else int(_parse_number(last_event, 0)),
         )
 
-    def _passed_on(self, headers: Headers, withholds_key: bool) -> Headers:
-        """Drop hop headers, those the caller's Connection names, and the relay's own."""
-        dropped = set(self._own)
+    def _filter_request_headers(self, headers: Headers, withholds_key: bool) -> Headers:
+        """Drop hop-by-hop headers, those listed in Connection, and those that the relay sets."""
+        dropped = set(self._never_forwarded)
         if withholds_key:
             dropped.add(self.names.credentials)
         for name, value in headers:
             if name.lower() == b"connection":
                 dropped |= {token.strip().lower() for token in value.split(b",")}
-        dropped -= self._kept
+        dropped -= self._always_forwarded
         return tuple((name, value) for name, value in headers if name.lower() not in dropped)
 
     def forward(
@@ -236,18 +237,18 @@
         last_event: int | None = None,
         priority: int | None = None,
     ) -> OutgoingRequest:
-        """Write a caller's request for an endpoint.
+        """Build the request that forwards a caller's request to an endpoint.
 
         Args:
             inbound: The caller's request.
-            endpoint: The endpoint that may run it.
-            left_s: Seconds that the caller still waits.
-            prefill: Whether only the prompt is to be computed.
-            kv_source: Where the prompt's result waits.
-            hold: Name of the room that is held for the request; empty for none.
-            last_event: Last event that has been passed on.
-            priority: From 0, the most urgent, for endpoints that let such requests in first;
-                None tells none.
+            endpoint: The endpoint that the request is sent to.
+            left_s: Seconds until the caller's deadline.
+            prefill: Whether the endpoint computes only the prompt.
+            kv_source: Location of the prompt's key-value cache.
+            hold: Identifier of the reservation for the request; empty for none.
+            last_event: Number of the last event that was forwarded to the caller.
+            priority: Priority for endpoints that admit urgent requests first; 0 is the most
+                urgent, and None sends no priority.
         """
         names = self.names
         headers = list(inbound.headers)
@@ -255,9 +256,9 @@
         if inbound.organisation:
             headers.append((names.organisation, inbound.organisation.encode()))
         if left_s < math.inf:
-            headers.append((names.deadline_ms, b"%d" % max(1, int(left_s * _MS))))
+            headers.append((names.deadline_ms, b"%d" % max(1, int(left_s * _MS_PER_S))))
         if priority is not None:
-            headers.append((names.priority, b"%d" % min(_LEAST_PRIORITY, max(0, priority))))
+            headers.append((names.priority, b"%d" % min(_LOWEST_PRIORITY, max(0, priority))))
         if prefill:
             headers.append((names.stage, b"prefill"))
         if kv_source is not None:
@@ -272,7 +273,7 @@
         return OutgoingRequest(inbound.method, inbound.target, tuple(headers), inbound.body)
 
     def own_call(self, method: bytes, path: str, endpoint: RoutedEndpoint) -> OutgoingRequest:
-        """Write a call of the relay's own without a body."""
+        """Build a request of the relay itself, without a body."""
         headers = (
             (b"Host", endpoint.address.encode()),
             (self.names.expected_endpoint, endpoint.answers_to.encode()),
@@ -282,15 +283,15 @@
     def take_hold(
         self, endpoint: RoutedEndpoint, tokens: int, lifetime_s: float
     ) -> OutgoingRequest:
-        """Write a call that holds a slot and memory at an endpoint."""
+        """Build a request that reserves a slot and memory at an endpoint."""
         fields = self.paths.hold_fields
-        value = {fields.tokens: tokens, fields.lifetime_ms: int(lifetime_s * _MS)}
-        return self._own_post(endpoint, self.paths.take_hold, value)
+        value = {fields.tokens: tokens, fields.lifetime_ms: int(lifetime_s * _MS_PER_S)}
+        return self._make_json_post(endpoint, self.paths.take_hold, value)
 
     def role_order(
         self, endpoint: RoutedEndpoint, role: Role, holder: str, fence: int
     ) -> OutgoingRequest:
-        """Write an order to take another role."""
+        """Build a request that changes an endpoint's role."""
         fields = self.paths.order_fields
         value = {
             fields.kind: fields.role_kind,
@@ -298,12 +299,12 @@
             fields.holder: holder,
             fields.fence: fence,
         }
-        return self._own_post(endpoint, self.paths.order, value)
+        return self._make_json_post(endpoint, self.paths.order, value)
 
-    def _own_post(
+    def _make_json_post(
         self, endpoint: RoutedEndpoint, path: str, value: Mapping[str, str | int]
     ) -> OutgoingRequest:
-        """Write a call of the relay's own with a JSON body."""
+        """Build a request of the relay itself, with a JSON body."""
         body = msgspec.json.encode(value)
         headers = (
             (b"Host", endpoint.address.encode()),
@@ -314,7 +315,7 @@
         return OutgoingRequest(b"POST", path.encode(), headers, body)
 
     def passed_back(self, head: ReplyHead) -> Headers:
-        """Give the headers of an endpoint's answer that a caller gets."""
+        """Return the headers of an endpoint's response that are forwarded to the caller."""
         dropped = set(_HOP_HEADERS)
         connection = head.get(b"connection")
         if connection is not None:
@@ -322,19 +323,19 @@
         return tuple((name, value) for name, value in head.headers if name.lower() not in dropped)
 
     def not_run(self, head: ReplyHead) -> bool:
-        """Tell whether an endpoint says that it did not run the request."""
+        """Check whether a response states that the endpoint did not run the request."""
         return head.status == OTHER_ENDPOINT or head.get(self.names.not_run) is not None
 
     def takes_work(self, head: ReplyHead) -> bool:
-        """Tell whether an answer shows that its endpoint takes work."""
+        """Check whether a response shows that its endpoint accepts work."""
         return head.status not in TURNED_AWAY and head.status != OTHER_ENDPOINT
 
-    def answers_caller(self, head: ReplyHead) -> bool:
-        """Tell whether an answer is one to a caller's request, and not to a call of our own."""
+    def is_response_to_caller(self, head: ReplyHead) -> bool:
+        """Check whether a response is to a caller's request, not to one of the relay itself."""
         return head.get(self.names.request_id) is not None
 
     def read_notice(self, head: ReplyHead) -> EndpointNotice:
-        """Read what an endpoint says of itself; what can't be read says nothing."""
+        """Read an endpoint's notice from a response head; malformed values are ignored."""
         if head.status == OTHER_ENDPOINT:
             return NO_NOTICE
         names = self.names
@@ -346,22 +347,22 @@
         return EndpointNotice(leaving, rest_s, read_rate_per_s(rates), bool(rates))
 
     def belongs(self, head: ReplyHead, inbound: Inbound) -> bool:
-        """Tell whether an answer is the one to this request."""
-        name = head.get(self.names.request_id)
-        return name is not None and name.decode("latin-1") == inbound.request_id
+        """Check whether a response carries the identifier of this request."""
+        response_id = head.get(self.names.request_id)
+        return response_id is not None and response_id.decode("latin-1") == inbound.request_id
 
     def signed(self, head: ReplyHead) -> bool:
-        """Tell whether an answer carries the endpoint's signature."""
+        """Check whether a response carries the endpoint's signature."""
         return head.get(self.names.signature) is not None
 
 
-def _number(value: bytes | None, default: float) -> float:
+def _parse_number(value: bytes | None, default: float) -> float:
     try:
         return max(0.0, float(value)) if value else default
     except ValueError:
         return default
 
 
-def _without_port(host: str) -> str:
+def _strip_port(host: str) -> str:
     name, colon, port = host.rpartition(":")
     return name if colon and port.isdigit() else host
--- a/cleatlink/relay/endpoints/unacknowledged.py
+++ b/cleatlink/relay/endpoints/unacknowledged.py
@@ -1,4 +1,4 @@
-"""Asks the kernel how much of what was sent the other side has not acknowledged."""
+"""Counts the sent bytes of a TCP socket that the other side has not acknowledged."""
 
 import fcntl
 import struct
@@ -11,15 +11,18 @@
 _INT = struct.Struct("i")
 
 
-class _Support:
-    """Whether the platform tells; logged once, since it holds for all connections."""
+class _PlatformSupport:
+    """Whether the platform reports unacknowledged bytes.
+
+    A lack of support is logged once, since it applies to all connections.
+    """
 
     def __init__(self) -> None:
-        self.is_there = True
+        self.is_available = True
 
-    def note_missing(self, error: OSError) -> None:
-        """Note that the platform does not tell."""
-        self.is_there = False
+    def record_unsupported(self, error: OSError) -> None:
+        """Record and log that the platform does not report unacknowledged bytes."""
+        self.is_available = False
         eliot.log_message(
             message_type="endpoint: the platform does not tell what is acknowledged",
             error=repr(error),
@@ -27,23 +30,23 @@
         )
 
 
-_support = _Support()
+_platform_support = _PlatformSupport()
 
 
-def count_unacknowledged(file_number: int) -> int | None:
-    """Give the bytes in a TCP socket's buffer that the other side has not acknowledged.
+def count_unacknowledged(file_descriptor: int) -> int | None:
+    """Return how many bytes in a TCP socket's buffer the other side has not acknowledged.
 
     Args:
-        file_number: Of the socket, which is open.
+        file_descriptor: File descriptor of an open socket.
 
     Returns:
-        The bytes; None where the platform does not tell.
+        The number of bytes; None where the platform does not report it.
     """
-    if not _support.is_there:
+    if not _platform_support.is_available:
         return None
     try:
-        told = fcntl.ioctl(file_number, termios.TIOCOUTQ, bytes(_INT.size))
+        packed = fcntl.ioctl(file_descriptor, termios.TIOCOUTQ, bytes(_INT.size))
     except OSError as error:
-        _support.note_missing(error)
+        _platform_support.record_unsupported(error)
         return None
-    return int(_INT.unpack(told)[0])
+    return int(_INT.unpack(packed)[0])
--- a/cleatlink/relay/endpoints/unacknowledged_test.py
+++ b/cleatlink/relay/endpoints/unacknowledged_test.py
@@ -1,4 +1,4 @@
-"""What the kernel tells of bytes that the other side has not acknowledged."""
+"""Tests of the number of unacknowledged bytes that the kernel reports."""
 
 import fcntl
 import socket
@@ -10,7 +10,7 @@
 from cleatlink.relay.endpoints.unacknowledged import count_unacknowledged
 
 
-def test_bytes_beyond_a_full_buffer_are_not_acknowledged() -> None:
+def test_bytes_that_the_receiver_has_no_buffer_for_stay_unacknowledged() -> None:
     with socket.create_server(("127.0.0.1", 0)) as server:
         sender = socket.create_connection(server.getsockname())
         receiver, _ = server.accept()
@@ -23,19 +23,19 @@
                     accepted += sender.send(bytes(65_536))
                 except BlockingIOError:
                     break
-            waiting = count_unacknowledged(sender.fileno())
-            assert waiting is not None
-            assert 0 < waiting <= accepted
+            remaining = count_unacknowledged(sender.fileno())
+            assert remaining is not None
+            assert 0 < remaining <= accepted
 
 
-def test_platform_that_does_not_tell_is_asked_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    asked = []
+def test_unsupported_platform_is_queried_once(monkeypatch: pytest.MonkeyPatch) -> None:
+    queries = []
 
-    def refuse(*_: Any) -> bytes:
-        asked.append(1)
+    def fail(*_: Any) -> bytes:
+        queries.append(1)
         raise OSError("not served")
 
-    monkeypatch.setattr(unacknowledged, "_support", unacknowledged._Support())
-    monkeypatch.setattr(fcntl, "ioctl", refuse)
+    monkeypatch.setattr(unacknowledged, "_platform_support", unacknowledged._PlatformSupport())
+    monkeypatch.setattr(fcntl, "ioctl", fail)
     assert [count_unacknowledged(0), count_unacknowledged(0)] == [None, None]
-    assert len(asked) == 1
+    assert len(queries) == 1
