--- a/cleatlink/relay/callers/older_limits_test.py
+++ b/cleatlink/relay/callers/older_limits_test.py
@@ -24,7 +24,7 @@
         return self.current_limits
 
     @property
-    def closing(self) -> bool:
+    def asks_to_close(self) -> bool:
         return False
 
     async def handle(self, exchange: Exchange) -> None:
--- a/cleatlink/relay/callers/server.py
+++ b/cleatlink/relay/callers/server.py
@@ -61,7 +61,7 @@
 
     @property
     @abstractmethod
-    def closing(self) -> bool:
+    def asks_to_close(self) -> bool:
         """Whether answers ask callers to close their connection."""
 
     def should_store_body(self, target: bytes, headers: Headers) -> bool:
@@ -291,7 +291,7 @@
     async def send_head(self, status: int, headers: Headers) -> None:
         """Send the head of an answer."""
         all_headers = list(headers)
-        if self._handler.closing or self._must_close:
+        if self._handler.asks_to_close or self._must_close:
             all_headers.append((b"Connection", b"close"))
         await self.send_event(h11.Response(status_code=status, headers=all_headers))
 
--- a/cleatlink/relay/callers/server_test.py
+++ b/cleatlink/relay/callers/server_test.py
@@ -23,7 +23,7 @@
         return CallerLimits()
 
     @property
-    def closing(self) -> bool:
+    def asks_to_close(self) -> bool:
         return False
 
     async def handle(self, exchange: Exchange) -> None:
--- a/cleatlink/relay/callers/service.py
+++ b/cleatlink/relay/callers/service.py
@@ -64,7 +64,7 @@
         self._stream_admission = DecodeRoom(parts)
         self._plain_gate = PlainGate(parts)
         self._in_flight = 0
-        self._call_scopes: set[trio.CancelScope] = set()
+        self._scopes: set[trio.CancelScope] = set()
 
     @property
     def limits(self) -> CallerLimits:
@@ -72,7 +72,7 @@
         return self._index.table.limits if self._index is not None else _DEFAULT_LIMITS
 
     @property
-    def closing(self) -> bool:
+    def asks_to_close(self) -> bool:
         """Whether answers ask callers to close their connection."""
         return self._parts.stop.has_begun
 
@@ -109,7 +109,7 @@
         started, would get no answer because the process exits first.
         """
         self._newer_table_wait.recheck_requests()
-        for scope in self._call_scopes:
+        for scope in self._scopes:
             scope.deadline = min(scope.deadline, self._parts.stop.answers_by)
 
     async def handle(self, exchange: Exchange) -> None:
@@ -262,7 +262,7 @@
         """Run a call until it is answered, its deadline passes or the planned stop ends."""
         finished = False
         scope = trio.CancelScope(deadline=min(call.deadline, self._parts.stop.answers_by))
-        self._call_scopes.add(scope)
+        self._scopes.add(scope)
         try:
             with scope:
                 await self._dispatch(call, exchange)
@@ -272,7 +272,7 @@
             raise
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             # The caller's connection broke during a write.
-            self._parts.metrics.count_gone(call.route.kind.value)
+            self._parts.metrics.count_disconnected_caller(call.route.kind.value)
             raise
         except Exception as error:
             # A bug in this program ends only this request, not the others in progress.
@@ -283,7 +283,7 @@
             await self._refuse_call(call, exchange, refusal)
             return
         finally:
-            self._call_scopes.discard(scope)
+            self._scopes.discard(scope)
         if finished or not scope.cancelled_caught:
             return
         if call.left_s > 0:
@@ -296,7 +296,7 @@
         if exchange.ended:
             return
         if not self._parts.stop.is_over:
-            self._parts.metrics.count_gone(call.route.kind.value)
+            self._parts.metrics.count_disconnected_caller(call.route.kind.value)
             call.log_outcome("lost its caller", sends=call.sends)
             return
         await self._finish_at_stop_end(call, exchange)
@@ -304,7 +304,7 @@
     async def _finish_at_stop_end(self, call: Call, exchange: Exchange) -> None:
         """Refuse a call that a planned stop ends; an answer that has started is cut off."""
         if exchange.started:
-            self._parts.metrics.count_cut_by_stop(call.route.kind.value)
+            self._parts.metrics.count_request_cut_by_stop(call.route.kind.value)
             call.log_end_by_stop()
             return
         refusal = Refusal(ErrorKind.ENDPOINT_FAILED, "this instance stopped before an answer came")
@@ -324,7 +324,7 @@
         if outcome.refusal is not None:
             await self._refuse_call(call, exchange, outcome.refusal)
         elif not outcome.whole:
-            self._parts.metrics.count_broken(call.route.kind.value)
+            self._parts.metrics.count_broken_answer(call.route.kind.value)
             call.log_outcome("breaks its answer off", sends=call.sends)
         else:
             call.log_outcome("is answered", sends=call.sends)
@@ -333,7 +333,7 @@
         """Refuse a call whose deadline has passed; an answer that has started is cut off."""
         call.log_outcome("ran out of time", sends=call.sends, ran=call.ran.value)
         if exchange.started:
-            self._parts.metrics.count_broken(call.route.kind.value)
+            self._parts.metrics.count_broken_answer(call.route.kind.value)
             return
         if call.ran is Ran.NO:
             refusal = Refusal(ErrorKind.NO_ROOM, "no endpoint took the call in time")
--- a/cleatlink/relay/callers/side.py
+++ b/cleatlink/relay/callers/side.py
@@ -30,7 +30,7 @@
         return CallerLimits()
 
     @property
-    def closing(self) -> bool:
+    def asks_to_close(self) -> bool:
         """Never asks to close a connection."""
         return False
 
--- a/cleatlink/relay/instance.py
+++ b/cleatlink/relay/instance.py
@@ -1,4 +1,4 @@
-"""One relay instance, put together: sources, peers, callers' side and planned stop."""
+"""One relay instance: creates, connects, runs and stops its components."""
 
 import math
 import random
@@ -25,7 +25,7 @@
 from cleatlink.relay.following.source import ConfigurationSource
 from cleatlink.relay.logs import LineWriter
 from cleatlink.relay.metrics import RelayMetrics
-from cleatlink.relay.orders import RoleKeeper
+from cleatlink.relay.orders import RoleController
 from cleatlink.relay.peers.encoded_parts import EncodedParts
 from cleatlink.relay.peers.group import PeerGroup
 from cleatlink.relay.peers.hooks import PeerHooks
@@ -48,26 +48,26 @@
 __all__ = ["RelayInstance"]
 
 
-# Idle connections and overdue work are looked at so often, and calls that wait try again:
-# the room that they need may open with time alone.
+# Mean interval between checks of idle connections and overdue work. Waiting calls are retried, too:
+# the capacity that they need can become free without an event.
 _HOUSEKEEPING_S = 0.25
-# The platform asks for readiness each second and takes out who fails twice.
+# The platform checks readiness every second and removes an instance after two failed checks.
 _MIN_STOP_S = 2.2
-# How soon the end of the last request is noticed.
+# Interval between checks for the end of the last request.
 _STOP_POLL_S = 0.05
-# An exit in time of its own: the platform kills what is left at the end of the grace.
-_EXIT_S = 0.5
-# Registrations that can't be used, and words of endpoints, are told up to so many of each: anybody
-# may have written them.
-_MOST_TOLD = 100
-# An instance itself takes up to half of the smallest machine; a part of the rest is left for what
-# the kernel holds.
-_HELD_SHARE = 0.25
-# Where the machine's memory is not known, that of a small one.
-_SMALL_MEMORY_MB = 128.0
-_BYTES_A_MB = 1_000_000
-# Instances that may exist before any were heard.
-_FIRST_MEMBERS = 12
+# Margin to exit before the platform kills the process at the end of the grace period.
+_EXIT_MARGIN_S = 0.5
+# Largest number of unusable registrations, and of notices of endpoints, in a status. They come from
+# outside, so their number has no other limit.
+_MAX_REPORTED_ITEMS = 100
+# Share of the machine's memory for data of callers. The instance itself uses up to half of the
+# smallest machine; a part of the rest is left for the kernel.
+_CALLER_MEMORY_SHARE = 0.25
+# Memory of a small machine, assumed if the machine's memory is not known.
+_DEFAULT_MEMORY_MB = 128.0
+_BYTES_PER_MB = 1_000_000
+# Number of instances assumed before any peer is heard from.
+_ASSUMED_INITIAL_MEMBERS = 12
 
 
 class RelayInstance:
@@ -94,18 +94,18 @@
             notices,
             self._capacity.limits,
             metrics=self._metrics,
-            on_leaving=self._note_leaving,
-            on_rest=self._note_rest,
-            on_limit=self._note_limit,
+            on_leaving=self._handle_leaving,
+            on_rest=self._announce_back_off,
+            on_limit=self._announce_limit,
         )
         self._pool = ConnectionPool(
-            self._allowed_connections,
+            self._connection_limit,
             self._answer_notices.note_head,
             notices.is_leaving,
-            self._note_sent,
+            self._record_sent,
         )
         self._budgets = ServiceBudgets(settings)
-        self._held = HeldBytes(_held_limit_bytes(settings.memory_mb))
+        self._held = HeldBytes(_caller_memory_limit_bytes(settings.memory_mb))
         self._planned_stop = PlannedStop()
         limits = OrganisationLimits(settings.limit_tolerance, trio.current_time())
         self._gate = OrganisationGate(limits)
@@ -127,11 +127,11 @@
             self._metrics,
             rng,
             self._budgets.of,
-            self._members,
-            self._note_work,
-            self._note_spending,
-            self._tell_hint,
-            self._tell_shed,
+            self._estimate_members,
+            self._announce_work,
+            self._announce_spending,
+            self._send_hint,
+            self._announce_rejected_tokens,
             self._crash_watch,
             self._quarantine,
             self._spawn,
@@ -139,12 +139,12 @@
         self._service = RelayService(self._parts)
         follower_hooks = FollowerHooks(
             self._service.use_table,
-            self._tell_news,
-            self._offer_room,
+            self._announce_new_table,
+            self._offer_capacity,
             self._spawn,
             lambda: self._peers.alive,
             lambda: self._peers.must_watch(),  # noqa: PLW0108
-            lambda *told: self._peers.tell_source(*told),  # noqa: PLW0108
+            lambda *change: self._peers.tell_source(*change),  # noqa: PLW0108
         )
         self._follower = Follower(
             source,
@@ -158,11 +158,11 @@
         )
         self._encoded_parts = EncodedParts(self._follower.records)
         hooks = PeerHooks(
-            self._state,
+            self._known_state,
             self._follower.look_again,
             self._follower.take_snapshot,
-            self._offer_room,
-            self._note_peer_demand,
+            self._offer_capacity,
+            self._record_peer_demand,
             self._close_connections,
             self._follower.take_news,
             self._follower.note_table,
@@ -178,7 +178,7 @@
             metrics=self._metrics,
             hooks=hooks,
         )
-        self._roles = RoleKeeper(
+        self._role_controller = RoleController(
             settings,
             protocol,
             pool=self._pool,
@@ -197,29 +197,29 @@
 
     @property
     def leads(self) -> bool:
-        """Whether this instance gives orders."""
-        return self._roles.leads
+        """Whether this instance is the leader, which sends role orders."""
+        return self._role_controller.leads
 
     @property
     def service(self) -> RelayService:
-        """The callers' side."""
+        """The service that handles callers' requests."""
         return self._service
 
     @property
     def records(self) -> FleetRecords:
-        """What is known of routes and endpoints."""
+        """Known routes and endpoints."""
         return self._follower.records
 
     @property
     def capacity(self) -> Capacity:
-        """What is believed of endpoints' capacity."""
+        """Estimated capacity of the endpoints."""
         return self._capacity
 
     async def run(self, stop: trio.Event) -> None:
-        """Serve until ``stop`` is set, then finish what is in progress.
+        """Serve until ``stop`` is set, then finish the requests in progress.
 
         Raises:
-            ListenError: An address of the settings can't be listened on.
+            ListenError: An address of the settings can't be bound.
         """
         try:
             listeners = self._listen()
@@ -232,13 +232,13 @@
                 self._writer.flush()
 
     def _listen(self) -> list[tuple[trio.SocketListener, Handler]]:
-        """Listen on all addresses.
+        """Listen on all addresses of the settings.
 
         Raises:
-            ListenError: One can't be had; none is kept then.
+            ListenError: An address can't be bound. The listeners opened so far are closed.
         """
         settings = self._settings
-        wanted: list[tuple[Address | None, Handler]] = [
+        addresses: list[tuple[Address | None, Handler]] = [
             (settings.ready_listen, ReadyHandler(self)),
             (settings.peer_listen, PeerHandler(self)),
             (settings.listen, self._service),
@@ -246,7 +246,7 @@
         ]
         listeners: list[tuple[trio.SocketListener, Handler]] = []
         try:
-            for address, handler in wanted:
+            for address, handler in addresses:
                 if address is not None:
                     listeners.append((listen(address.host, address.port), handler))
         except ListenError:
@@ -263,9 +263,9 @@
             for listener, handler in listeners:
                 held = self._held if handler is self._service else None
                 nursery.start_soon(serve_connections, listener, handler, held)
-            self._peers.start(self._keep, self._spawn)
-            for task in (self._follower.run, self._keep_house, self._roles.run):
-                self._keep(task)
+            self._peers.start(self._start_supervised, self._spawn)
+            for task in (self._follower.run, self._run_housekeeping, self._role_controller.run):
+                self._start_supervised(task)
             eliot.log_message(
                 message_type="instance: starts",
                 name=self._settings.name,
@@ -279,7 +279,7 @@
             nursery.cancel_scope.cancel()
 
     def reload(self, settings: RelaySettings) -> None:
-        """Use settings that may change while running."""
+        """Apply the settings that may change at run time."""
         self._settings = settings
         self._budgets.change(settings)
         self._capacity.spill_over.crossing_share = settings.crossing_share
@@ -287,9 +287,9 @@
         eliot.log_message(message_type="instance: reloads its settings", name=settings.name)
 
     async def _stop(self) -> None:
-        """Stop as planned: no longer ready, then finish everything that was taken."""
+        """Stop as planned: report not ready, then finish all accepted requests."""
         stop = self._planned_stop
-        stop.begin(trio.current_time(), self._settings.drain_s - _EXIT_S)
+        stop.begin(trio.current_time(), self._settings.drain_s - _EXIT_MARGIN_S)
         eliot.log_message(
             message_type="instance: stops",
             in_flight=self._service.in_flight,
@@ -310,57 +310,57 @@
         )
 
     def take_table(self, table: RouteTable, source: str) -> None:
-        """Put a table in force if it is newer, wherever it came from."""
+        """Put a route table in force if it is newer than the current one, whatever its source."""
         self._follower.take_table(table, source)
 
-    def _tell_news(self) -> None:
+    def _announce_new_table(self) -> None:
         self._peers.send_beat()
-        self._offer_room()
+        self._offer_capacity()
 
-    def _allowed_connections(self, endpoint: RoutedEndpoint) -> float:
-        """Give this instance's part of the connections that an endpoint takes."""
+    def _connection_limit(self, endpoint: RoutedEndpoint) -> float:
+        """Return this instance's share of an endpoint's connection limit."""
         table = self._follower.records.table
         service = table.services.get(endpoint.service) if table is not None else None
         if service is None or not service.connection_limit:
             return math.inf
-        return service.connection_limit / self._members()
+        return service.connection_limit / self._estimate_members()
 
-    def _close_connections(self, life: str) -> None:
-        self._pool.forget(life)
+    def _close_connections(self, incarnation: str) -> None:
+        self._pool.forget(incarnation)
 
-    def _note_leaving(self, life: str) -> None:
-        self._close_connections(life)
-        self._shared_notices.tell_leaving(life)
+    def _handle_leaving(self, incarnation: str) -> None:
+        self._close_connections(incarnation)
+        self._shared_notices.tell_leaving(incarnation)
 
-    def _note_rest(self, life: str) -> None:
-        self._shared_notices.tell_rest(life)
+    def _announce_back_off(self, incarnation: str) -> None:
+        self._shared_notices.tell_rest(incarnation)
 
-    def _note_limit(self, life: str) -> None:
-        self._peers.tell_limit(life)
+    def _announce_limit(self, incarnation: str) -> None:
+        self._peers.tell_limit(incarnation)
 
-    def _note_sent(self, endpoint: RoutedEndpoint) -> None:
+    def _record_sent(self, endpoint: RoutedEndpoint) -> None:
         self._capacity.limits.note_sent(endpoint.name, trio.current_time())
 
-    def _members(self) -> int:
-        most = self._peers.most_members
-        return max(most + 1, _FIRST_MEMBERS if most == 1 else 0)
+    def _estimate_members(self) -> int:
+        known = self._peers.most_members
+        return max(known + 1, _ASSUMED_INITIAL_MEMBERS if known == 1 else 0)
 
-    def _note_work(self, *keys: str) -> None:
+    def _announce_work(self, *keys: str) -> None:
         self._peers.note_work(*keys)
 
-    def _note_spending(self) -> None:
+    def _announce_spending(self) -> None:
         self._peers.note_spending()
 
-    def _tell_shed(self, endpoint: str, tokens: int) -> None:
+    def _announce_rejected_tokens(self, endpoint: str, tokens: int) -> None:
         self._peers.tell_shed(endpoint, tokens)
 
-    def _tell_hint(self, endpoint: str, kind: HintKind) -> None:
+    def _send_hint(self, endpoint: str, kind: HintKind) -> None:
         self._peers.tell_hint(endpoint, kind)
 
-    def _offer_room(self) -> None:
+    def _offer_capacity(self) -> None:
         self._service.room.offer()
 
-    def _keep(self, task: Task) -> None:
+    def _start_supervised(self, task: Task) -> None:
         if self._nursery is not None:
             self._nursery.start_soon(supervise, task)
 
@@ -368,7 +368,7 @@
         if self._nursery is not None:
             self._nursery.start_soon(run_once, task, *args)
 
-    def _state(self) -> KnownState:
+    def _known_state(self) -> KnownState:
         records = self._follower.records
         return KnownState(
             self._planned_stop.has_begun,
@@ -377,16 +377,16 @@
             self._follower.connected,
         )
 
-    def _note_peer_demand(self, work: Reservation) -> None:
-        """Count work that a peer placed as demand."""
+    def _record_peer_demand(self, work: Reservation) -> None:
+        """Count work that a peer assigned to an endpoint as demand."""
         self._capacity.note_demand(work, trio.current_time())
 
     def snapshot(self, part: Part, *, is_compressed: bool) -> bytes:
-        """Give a part of what this instance knows, encoded for a peer."""
+        """Return a part of this instance's state, encoded for a peer."""
         return self._encoded_parts.get(part, is_compressed=is_compressed)
 
     def status(self) -> InstanceStatus:
-        """Give what is known just now, for an operator."""
+        """Return the current status, for an operator."""
         unusable = {
             record.label: record.fault.detail
             for record in self.records.records
@@ -398,23 +398,23 @@
             table_revision=self.records.table_revision,
             store_era=self.records.revision.era,
             endpoints=len(self._capacity.endpoints),
-            unusable=dict(sorted(unusable.items())[:_MOST_TOLD]),
+            unusable=dict(sorted(unusable.items())[:_MAX_REPORTED_ITEMS]),
             instances=self._peers.alive,
             leads=self.leads,
             quarantine=self._quarantine.held_requests(),
-            leaving=self._capacity.notices.leaving_sources(_MOST_TOLD),
-            limits=self._capacity.limits.rates_per_s(_MOST_TOLD),
+            leaving=self._capacity.notices.leaving_sources(_MAX_REPORTED_ITEMS),
+            limits=self._capacity.limits.rates_per_s(_MAX_REPORTED_ITEMS),
         )
 
     def render_metrics(self) -> bytes:
-        """Give the metrics as text."""
+        """Return the metrics as text."""
         if self._writer is not None:
-            self._metrics.set_dropped(self._writer.dropped)
-        self._metrics.set_held(self._held)
+            self._metrics.set_dropped_log_lines(self._writer.dropped)
+        self._metrics.set_held_bytes(self._held)
         return self._metrics.render()
 
-    async def _sleep_watching(self, seconds: float) -> None:
-        """Sleep, and note if this instance did not run as it should have woken."""
+    async def _sleep_and_detect_pause(self, seconds: float) -> None:
+        """Sleep, and log a pause if the process was not running when it should have woken."""
         pauses = self._capacity.own_pauses
         pauses.expect_look(trio.current_time() + seconds)
         await trio.sleep(seconds)
@@ -422,11 +422,11 @@
         if paused_s:
             eliot.log_message(message_type="instance: did not run", paused_ms=int(1000 * paused_s))
 
-    async def _keep_house(self) -> None:
+    async def _run_housekeeping(self) -> None:
         rng = random.Random(self._incarnation)
         while True:
-            # Instances that start together do not look at the same moments.
-            await self._sleep_watching(_HOUSEKEEPING_S * (0.5 + rng.random()))
+            # Random intervals, so that instances that start together do not check at the same time.
+            await self._sleep_and_detect_pause(_HOUSEKEEPING_S * (0.5 + rng.random()))
             self._pool.prune()
             self._service.room.keep_house()
             self._quarantine.keep_house()
@@ -438,6 +438,6 @@
                 self._writer.flush()
 
 
-def _held_limit_bytes(memory_mb: float) -> int:
-    """Give what may be held for callers on a machine."""
-    return int(_HELD_SHARE * (memory_mb or _SMALL_MEMORY_MB) * _BYTES_A_MB)
+def _caller_memory_limit_bytes(memory_mb: float) -> int:
+    """Return the memory limit in bytes for data of callers."""
+    return int(_CALLER_MEMORY_SHARE * (memory_mb or _DEFAULT_MEMORY_MB) * _BYTES_PER_MB)
--- a/cleatlink/relay/orders.py
+++ b/cleatlink/relay/orders.py
@@ -1,4 +1,8 @@
-"""Gives endpoints their roles: one instance at a time, by fenced orders, drained first."""
+"""Changes the roles of endpoints.
+
+Only the leader, one instance at a time, sends role orders. They carry fencing tokens, and an
+endpoint finishes its work before it changes its role.
+"""
 
 from collections.abc import Callable
 
@@ -25,27 +29,28 @@
     plan_shifts,
 )
 
-__all__ = ["RoleKeeper"]
-
-# Four times within the shortest silence that counts.
-_JUDGE_S = 0.25
-# Engines answer orders at once; one that is silent for so long may have taken it.
-_ORDER_S = 1.0
-# Far above the few bytes of an answer.
-_MOST_REPLY_BYTES = 65_536
-# An endpoint that does not show its new role by then has not taken the order.
-_SWITCH_SLACK_S = 2.0
-# A plan rests on seconds of arrivals: more often it would be the same.
-_PLAN_S = 1.0
-# Seconds between two shifts of a service that has few engines, and of one that has many.
-_PAUSE_S = 3.0
-_SHORT_PAUSE_S = 0.5
-# Status of an order that was taken and is not done yet.
-_UNDER_WAY = 202
-
-
-class RoleKeeper:
-    """Judges who leads; on the leader, plans shifts and gives orders."""
+__all__ = ["RoleController"]
+
+# Interval between elections: four within the shortest silence after which a peer counts as failed.
+_ELECTION_INTERVAL_S = 0.25
+# Timeout of an order. Engines answer at once; after a timeout the order may have been accepted.
+_ORDER_TIMEOUT_S = 1.0
+# Far above the size of an answer, which is a few bytes.
+_MAX_REPLY_BYTES = 65_536
+# Allowance beyond the time of a role change. An endpoint that does not report its new role by then
+# has not accepted the order.
+_ROLE_CHANGE_MARGIN_S = 2.0
+# Interval between plans. A plan uses seconds of arrivals, so more frequent plans would not differ.
+_PLAN_INTERVAL_S = 1.0
+# Seconds between two role changes of a service with few engines, and of one with many.
+_FEW_ENGINES_PAUSE_S = 3.0
+_MANY_ENGINES_PAUSE_S = 0.5
+# Status of an order that was accepted and is not completed yet.
+_STATUS_ACCEPTED = 202
+
+
+class RoleController:
+    """Elects the leader; on the leader, plans role changes and sends role orders."""
 
     def __init__(
         self,
@@ -68,42 +73,42 @@
         self._table = table
         self._stopping = stopping
         self._leads = False
-        self._not_before: dict[str, float] = {}
-        self._targets: dict[str, Role] = {}
-        self._watches: dict[str, PresenceWatch] = {}
+        self._next_plan_at: dict[str, float] = {}
+        self._target_roles: dict[str, Role] = {}
+        self._presence_watches: dict[str, PresenceWatch] = {}
 
     @property
     def leads(self) -> bool:
-        """Whether this instance gives orders now."""
+        """Whether this instance is the leader now, which sends role orders."""
         return self._leads
 
     async def run(self) -> None:
-        """Judge and order for ever."""
+        """Elect the leader, and plan and order role changes, until cancelled."""
         now = trio.current_time()
         settings = self._settings
         alone = all(peer == settings.peer_listen for peer in settings.peers)
         leadership = Leadership(settings.name, settings.lease_s, SILENCE_S, now, alone=alone)
         while True:
-            await trio.sleep(_JUDGE_S)
-            hearing = self._peers.hearing()
-            leads = leadership.judge(hearing, trio.current_time()) and not self._stopping()
+            await trio.sleep(_ELECTION_INTERVAL_S)
+            heard_state = self._peers.hearing()
+            leads = leadership.judge(heard_state, trio.current_time()) and not self._stopping()
             self._peers.members, self._peers.vote = leadership.known, leadership.vote
             if leads is not self._leads:
                 self._leads = leads
                 eliot.log_message(
                     message_type="orders: leads" if leads else "orders: leads no more",
-                    heard=len(hearing.votes),
+                    heard=len(heard_state.votes),
                     members=len(leadership.known),
                     vote=leadership.vote,
                 )
                 if leads:
-                    self._take_fence()
-                    self._targets.clear()
+                    self._renew_fencing_token()
+                    self._target_roles.clear()
             if leads and self._capacity.switches.uses(Mechanism.ROLE_SHIFTS):
                 await self._plan_all()
 
-    def _take_fence(self) -> None:
-        """Take a fence above every one that is known, also after all were restarted."""
+    def _renew_fencing_token(self) -> None:
+        """Choose a fencing token above all known ones, also after a restart of all instances."""
         self._peers.fence = max(self._peers.fence + 1, unix_ms())
 
     async def _plan_all(self) -> None:
@@ -113,45 +118,47 @@
         for service in table.services.values():
             if service.engine is None:
                 continue
-            shifts = self._plan(service.name, service.engine, table)
+            shifts = self._plan_service(service.name, service.engine, table)
             async with trio.open_nursery() as nursery:
                 for shift in shifts:
-                    nursery.start_soon(self._order, service.name, shift, service.engine)
+                    nursery.start_soon(self._send_order, service.name, shift, service.engine)
 
-    def _plan(self, service: str, traits: EngineTraits, table: RouteTable) -> list[RoleShift]:
+    def _plan_service(
+        self, service: str, traits: EngineTraits, table: RouteTable
+    ) -> list[RoleShift]:
         capacity, now = self._capacity, trio.current_time()
         prefills = capacity.reached(service, Role.PREFILL, now)
         decodes = capacity.reached(service, Role.DECODE, now)
         endpoints = [*prefills, *decodes]
-        watch = self._watches.setdefault(service, PresenceWatch())
+        watch = self._presence_watches.setdefault(service, PresenceWatch())
         watch.note({item.name for item in endpoints}, capacity.leaving(service), now)
-        if now < self._not_before.get(service, 0.0):
+        if now < self._next_plan_at.get(service, 0.0):
             return []
-        self._not_before[service] = now + _PLAN_S
+        self._next_plan_at[service] = now + _PLAN_INTERVAL_S
         changing = capacity.switching(now).keys() & {item.name for item in endpoints}
-        # Where an engine goes that an earlier leader ordered to change is not known here.
-        unknown = changing - self._targets.keys()
-        most = most_changing(len(endpoints)) - len(changing)
-        if unknown or most <= 0:
+        # The target role of an engine that an earlier leader ordered to change is not known here.
+        unknown = changing - self._target_roles.keys()
+        max_changes = most_changing(len(endpoints)) - len(changing)
+        if unknown or max_changes <= 0:
             return []
-        targets = {name: self._targets[name] for name in changing}
+        target_roles = {name: self._target_roles[name] for name in changing}
         work = {endpoint.name: self._work_left_s(endpoint, now) for endpoint in endpoints}
-        demand = capacity.demand(service, traits, _promise(service, table), now)
-        waits = capacity.switches.uses(Mechanism.SHIFT_PATIENCE)
-        settled = not waits or watch.settled(traits.role_switch_s, now)
+        demand = capacity.demand(service, traits, _latency_targets(service, table), now)
+        requires_stability = capacity.switches.uses(Mechanism.SHIFT_PATIENCE)
+        settled = not requires_stability or watch.settled(traits.role_switch_s, now)
         change_s = traits.role_switch_s
         planned = plan_shifts(
             prefills,
             decodes,
             demand,
             work,
-            targets,
-            most=most,
+            target_roles,
+            most=max_changes,
             change_s=change_s,
             settled=settled,
             speeds={endpoint.name: capacity.speed(endpoint.name, now) for endpoint in endpoints},
         )
-        # An order is a call like any other: at an endpoint that rests it can wait.
+        # Orders obey back-off as all calls do: no order is sent to an endpoint in back-off.
         shifts = [item for item in planned if capacity.opens_at(item.endpoint.name, now) <= now]
         for shift in shifts:
             self._log_plan(shift, len(prefills), len(decodes), demand)
@@ -160,10 +167,10 @@
     def _log_plan(
         self, shift: RoleShift, prefills: int, decodes: int, demand: RoleDemand | None
     ) -> None:
-        """Log a shift with what it rests on."""
-        seen: dict[str, float] = {}
+        """Log a planned role change with the figures it is based on."""
+        demand_fields: dict[str, float] = {}
         if demand is not None:
-            seen = {
+            demand_fields = {
                 "rate": round(demand.rate, 2),
                 "most_rate": round(max(demand.rates, default=0.0), 2),
                 "prompt_s": round(demand.prompt_s, 4),
@@ -179,15 +186,15 @@
             speed=round(self._capacity.speed(shift.endpoint.name, trio.current_time()), 2),
             prefills=prefills,
             decodes=decodes,
-            **seen,
+            **demand_fields,
         )
 
     def _work_left_s(self, endpoint: RoutedEndpoint, now: float) -> float:
-        """Give how long an endpoint still works on what it has; it changes after that."""
+        """Return the seconds until an endpoint has finished its work; it changes its role then."""
         return max(0.0, self._capacity.free_at(endpoint.name, endpoint.role, now) - now)
 
-    async def _order(self, service: str, shift: RoleShift, traits: EngineTraits) -> None:
-        """Order a shift; an order without an answer may have been taken."""
+    async def _send_order(self, service: str, shift: RoleShift, traits: EngineTraits) -> None:
+        """Order a role change; an order without an answer may have been accepted."""
         fence = self._peers.fence
         endpoint = shift.endpoint
         request = self._protocol.role_order(endpoint, shift.role, self._settings.name, fence)
@@ -195,11 +202,13 @@
         now = trio.current_time()
         count = len(self._capacity.in_role(service, Role.PREFILL))
         count += len(self._capacity.in_role(service, Role.DECODE))
-        self._not_before[service] = now + (_SHORT_PAUSE_S if most_changing(count) > 1 else _PAUSE_S)
+        self._next_plan_at[service] = now + (
+            _MANY_ENGINES_PAUSE_S if most_changing(count) > 1 else _FEW_ENGINES_PAUSE_S
+        )
         try:
-            with trio.fail_after(_ORDER_S):
+            with trio.fail_after(_ORDER_TIMEOUT_S):
                 reply = await self._pool.call(
-                    endpoint, FRESH_LIMIT_S, lambda: request, _MOST_REPLY_BYTES
+                    endpoint, FRESH_LIMIT_S, lambda: request, _MAX_REPLY_BYTES
                 )
             status = reply.head.status
         except (EndpointError, trio.TooSlowError) as error:
@@ -207,12 +216,12 @@
         if status == 412:
             self._peers.fence = max(fence + 1, unix_ms())
         if status in (0, 200, 202):
-            left_s = self._work_left_s(endpoint, now) if status == _UNDER_WAY else 0.0
-            until = now + left_s + traits.role_switch_s + _SWITCH_SLACK_S
-            self._targets[endpoint.name] = shift.role
+            left_s = self._work_left_s(endpoint, now) if status == _STATUS_ACCEPTED else 0.0
+            until = now + left_s + traits.role_switch_s + _ROLE_CHANGE_MARGIN_S
+            self._target_roles[endpoint.name] = shift.role
             self._capacity.note_switching(endpoint.name, until)
             self._peers.send_beat()
-        self._metrics.count_order(str(status))
+        self._metrics.count_role_order(str(status))
         eliot.log_message(
             message_type="orders: gave an order",
             endpoint=endpoint.name,
@@ -222,8 +231,8 @@
         )
 
 
-def _promise(service: str, table: RouteTable) -> StreamPromise:
-    """Give what the routes of a service promise."""
+def _latency_targets(service: str, table: RouteTable) -> StreamPromise:
+    """Return the latency targets of the routes of a service."""
     return StreamPromise.of(
         route for route in table.routes if any(share.service == service for share in route.shares)
     )
