--- a/cleatlink/relay/callers/unusual_requests_test.py
+++ b/cleatlink/relay/callers/unusual_requests_test.py
@@ -41,7 +41,7 @@
 
 
 def largest_head() -> bytes:
-    """Return a head whose fields and target have the largest_head size allowed."""
+    """Return a head whose fields and target have the largest size allowed."""
     fields = [item.split(b": ") for item in _HEADERS.split(b"\r\n") if item]
     size = sum(len(name) + len(value) + 4 for name, value in fields)
     pad = CallerLimits().header_bytes - size - len(b"/safe/x") - len(b"X-Pad") - 4
--- a/cleatlink/relay/instance.py
+++ b/cleatlink/relay/instance.py
@@ -192,7 +192,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether this instance takes new connections."""
+        """Whether this instance accepts new connections."""
         return self._follower.complete and not self._planned_stop.has_begun
 
     @property
--- a/cleatlink/relay/metrics.py
+++ b/cleatlink/relay/metrics.py
@@ -64,7 +64,7 @@
             "cleatlink_relay_endpoint_notices_total",
             "Answers in which endpoints said something of themselves, by kind.",
         )
-        self._capacity_left = self._counter(
+        self._yielded_capacity = self._counter(
             "cleatlink_relay_room_left_total",
             "Streams that left room to others that wait at other instances.",
         )
@@ -183,8 +183,8 @@
         self._unusable_entries.inc({"reason": reason})
 
     def count_room_left(self) -> None:
-        """Count a stream that left capacity to streams waiting at other instances."""
-        self._capacity_left.inc({})
+        """Count a stream that yielded capacity to streams waiting at other instances."""
+        self._yielded_capacity.inc({})
 
     def count_place(self, *, is_far: bool) -> None:
         """Count a stream that was assigned to an endpoint, by whether it is in this data centre."""
