--- a/cleatlink/core/__init__.py
+++ b/cleatlink/core/__init__.py
@@ -1,4 +1,4 @@
-"""The pure core: vocabulary, labels and errors, without I/O, clock or chance."""
+"""Shared data types, labels and errors, without I/O, clocks or random numbers."""
 
 from cleatlink.core import data, errors, labels
 
--- a/cleatlink/core/address.py
+++ b/cleatlink/core/address.py
@@ -1,4 +1,4 @@
-"""An address: an IP number and a port."""
+"""IP address and port pairs."""
 
 import ipaddress
 from typing import NamedTuple
@@ -11,7 +11,7 @@
 
 
 class Address(NamedTuple):
-    """An IP number and a port; port 0 lets the system pick one."""
+    """An IP address and a port; port 0 lets the operating system choose a free port."""
 
     host: str
     port: int
@@ -24,7 +24,7 @@
     """Parse ``IP:port``.
 
     Raises:
-        ConfigurationError: It is no IP number with a port.
+        ConfigurationError: The text is not an IP address followed by a valid port.
     """
     host, _, port = text.rpartition(":")
     try:
@@ -33,5 +33,5 @@
     except ValueError:
         raise ConfigurationError(f"{text!r} is not an IP number and a port") from None
     if not 0 <= number <= _MAX_PORT:
-        raise ConfigurationError(f"{text!r} has a port above {_MAX_PORT}")
+        raise ConfigurationError(f"{text!r} has a port outside the range 0 to {_MAX_PORT}")
     return Address(host, number)
--- a/cleatlink/core/data.py
+++ b/cleatlink/core/data.py
@@ -1,8 +1,8 @@
-"""The vocabulary: immutable named tuples which every other module speaks.
+"""Immutable data types that are shared by the other packages.
 
-Times are seconds. A field that ends in ``_s`` is a duration, ``deadline`` and
+Times are in seconds. A field that ends in ``_s`` is a duration; ``deadline`` and
 ``at`` are readings of the caller's monotonic clock. Sizes that end in
-``_tokens`` are counted in tokens of the model that is asked.
+``_tokens`` are counted in tokens of the requested model.
 """
 
 import math
@@ -39,7 +39,7 @@
 
 
 class Role(StrEnum):
-    """What an endpoint does in a request."""
+    """Part of a request that an endpoint performs."""
 
     PREFILL = "prefill"
     DECODE = "decode"
@@ -48,14 +48,14 @@
 
 
 class ServiceKind(StrEnum):
-    """How a service is spoken to."""
+    """Protocol of a service: a model API or plain HTTP calls."""
 
     MODEL = "model"
     PLAIN = "plain"
 
 
 class Ran(StrEnum):
-    """What is known about whether a request ran at an endpoint."""
+    """Whether a request ran at an endpoint, as far as is known."""
 
     NO = "no"
     YES = "yes"
@@ -63,7 +63,7 @@
 
 
 class DataCentre(NamedTuple):
-    """A data centre (zone) with the labels that operators gave it."""
+    """A data centre (zone) with the labels that operators assigned to it."""
 
     name: str
     region: str
@@ -71,7 +71,7 @@
 
 
 class Pool(NamedTuple):
-    """A set of endpoints of one service with one starting role."""
+    """A set of endpoints of one service with the same initial role."""
 
     name: str
     service: str
@@ -81,10 +81,10 @@
 
 
 class CallRule(NamedTuple):
-    """Calls of a plain service which may not be repeated.
+    """Pattern for calls of a plain service that must not be repeated.
 
-    ``method`` is a method name or ``*``; ``path`` is a glob over the path
-    below the service's name.
+    ``method`` is an HTTP method or ``*``; ``path`` is a glob pattern for the part of
+    the path after the service's name.
     """
 
     method: str
@@ -92,7 +92,7 @@
 
 
 class Service(NamedTuple):
-    """Something that callers ask by name: models or a plain service."""
+    """A model service or a plain service that callers address by name."""
 
     name: str
     kind: ServiceKind
@@ -101,20 +101,21 @@
 
 
 class RequestClass(NamedTuple):
-    """A class of requests: where it may run, how urgent it is, its targets.
+    """A class of requests: its allowed endpoints, priority and latency targets.
 
     Attributes:
-        name: Its name.
-        service: Service that it asks.
-        priority: From 0; more is more urgent.
-        ttft_target_s: Seconds to the first token.
-        token_target_s: Seconds between tokens.
-        deadline_s: Longest life of a request.
-        max_wait_s: Longest wait for room.
-        selector: Endpoints that it may use.
-        runs_late: Whether a request runs although it must miss its target.
-        queue_limit_s: Longest prefill queue behind which it is put; a class with
-            more urgent ones beside it waits here instead of in front of them.
+        name: Name of the class.
+        service: Service that requests of the class are sent to.
+        priority: Priority from 0; a higher value is more urgent.
+        ttft_target_s: Target for the time to the first token, in seconds.
+        token_target_s: Target for the time between tokens, in seconds.
+        deadline_s: Maximum total duration of a request, in seconds.
+        max_wait_s: Maximum wait for free endpoint capacity, in seconds.
+        selector: Selects the endpoints that the class may use.
+        runs_late: Whether a request runs even if it can no longer meet its target.
+        queue_limit_s: Longest prefill queue, in seconds of work, that a request may join.
+            If its service also has a more urgent class, the request waits in the router
+            instead, so that it doesn't delay requests of that class in the engine's queue.
     """
 
     name: str
@@ -130,15 +131,15 @@
 
 
 class Limits(NamedTuple):
-    """Bounds that every entry instance enforces.
+    """Limits that each entry instance enforces.
 
     Attributes:
-        body_bytes: Size of a request's body.
-        prompt_tokens: Tokens of a prompt.
-        output_tokens: Tokens of an answer.
-        requests_in_flight: Requests in progress on one instance.
-        max_attempts: Attempts of one request.
-        retry_share: Retries as a share of requests.
+        body_bytes: Maximum size of a request body.
+        prompt_tokens: Maximum number of tokens in a prompt.
+        output_tokens: Maximum number of tokens in an answer.
+        requests_in_flight: Maximum number of requests in progress on one instance.
+        max_attempts: Maximum number of attempts per request.
+        retry_share: Maximum number of retries as a fraction of all requests.
     """
 
     body_bytes: int
@@ -150,14 +151,14 @@
 
 
 class Objective(NamedTuple):
-    """The weight of goodput against wasted prefill; the two add up to one."""
+    """Relative weights of goodput and wasted prefill; their sum is one."""
 
     goodput: float
     wasted_prefill: float
 
 
 class Configuration(NamedTuple):
-    """One accepted configuration; ``revision`` orders configurations."""
+    """A valid configuration; a higher ``revision`` is newer."""
 
     revision: int
     digest: str
@@ -171,7 +172,7 @@
 
 
 class Endpoint(NamedTuple):
-    """An endpoint (back end) from the instance list."""
+    """An endpoint (back end) as given in the instance list."""
 
     name: str
     address: str
@@ -181,7 +182,7 @@
 
 
 class Instance(NamedTuple):
-    """An entry instance (machine) of the system from the instance list."""
+    """An entry instance (machine) as given in the instance list."""
 
     name: str
     peer_address: str
@@ -190,7 +191,7 @@
 
 
 class Fleet(NamedTuple):
-    """The instance list as last read; ``revision`` orders the lists."""
+    """The instance list as last read; a higher ``revision`` is newer."""
 
     revision: int
     endpoints: tuple[Endpoint, ...]
@@ -198,7 +199,7 @@
 
 
 class LoadReport(NamedTuple):
-    """What an endpoint says of itself, some time ago."""
+    """State of an endpoint as the endpoint last reported it; may be out of date."""
 
     endpoint: str
     incarnation: str
@@ -214,13 +215,13 @@
 
 
 class CacheNews(NamedTuple):
-    """What an endpoint's prefix cache took in and threw out lately.
+    """Recent insertions into and evictions from an endpoint's prefix cache.
 
     Attributes:
-        added: Hashes of prefixes now cached.
-        removed: Hashes of prefixes no longer cached.
-        last: Number of the last event told; ask for what comes after it.
-        gap: Whether events between the last call and this one are lost.
+        added: Hashes of prefixes that were added to the cache.
+        removed: Hashes of prefixes that were evicted.
+        last: Number of the last event in this update; the next poll asks for later events.
+        gap: Whether events between the previous poll and this one were lost.
     """
 
     added: tuple[int, ...]
@@ -230,13 +231,13 @@
 
 
 class FencedOrder(NamedTuple):
-    """A desired state of an endpoint, told with a number that only grows.
+    """A command to change the state of an endpoint, with an increasing fencing token.
 
     Attributes:
-        kind: What is ordered: ``role``, ``model``, ``adapter`` or ``version``.
+        kind: What to change: ``role``, ``model``, ``adapter`` or ``version``.
         value: The desired state.
-        revision: Configuration revision that the order follows.
-        fence: Above every fence that the endpoint has accepted before.
+        revision: Configuration revision that the command is based on.
+        fence: Fencing token; higher than all tokens that the endpoint accepted before.
     """
 
     kind: str
@@ -246,7 +247,7 @@
 
 
 class Request(NamedTuple):
-    """A classified request, before it is placed."""
+    """A classified request that is not yet assigned to endpoints."""
 
     name: str
     organisation: str
@@ -261,7 +262,7 @@
 
 
 class KvHandle(NamedTuple):
-    """Where a prefill's result waits for the decode that imports it."""
+    """Location of the KV cache that a prefill produced, from which the decode imports it."""
 
     engine: str
     host: str
@@ -270,7 +271,10 @@
 
 
 class Placement(NamedTuple):
-    """Where a request goes, and why; ``prefill`` is ``decode`` if one serves."""
+    """Endpoints assigned to a request, and the reason for the choice.
+
+    ``prefill`` and ``decode`` are the same endpoint if it does both.
+    """
 
     prefill: Endpoint
     decode: Endpoint
@@ -278,7 +282,7 @@
 
 
 class Refusal(NamedTuple):
-    """Why a request gets no answer; the kind's table row gives the rest."""
+    """Reason why a request is refused; ``errors.ANSWERS`` maps its kind to a response."""
 
     kind: ErrorKind
     detail: str
--- a/cleatlink/core/decoding.py
+++ b/cleatlink/core/decoding.py
@@ -1,4 +1,4 @@
-"""Decodes what others wrote: it is read as typed values, or refused with a reason."""
+"""Decodes external data into typed values; reports why data is unusable."""
 
 import base64
 import binascii
@@ -12,12 +12,12 @@
 __all__ = ["FaultKind", "ReadFault", "UnreadableError", "decode_base64", "decode_json"]
 
 _Value = TypeVar("_Value")
-# Enough to tell what is wrong; anybody may have written what is read.
-_MOST_DETAIL = 160
+# Error detail may quote input from an untrusted source; this limits its length, in characters.
+_MAX_DETAIL_LENGTH = 160
 
 
 class FaultKind(StrEnum):
-    """In what something that was written can be unusable."""
+    """Reasons why external data can be unusable."""
 
     KEY = "key"
     SIZE = "size"
@@ -27,25 +27,25 @@
 
 
 class ReadFault(NamedTuple):
-    """Why something that was written can't be used."""
+    """Reason why external data is unusable, with details."""
 
     kind: FaultKind
     detail: str
 
 
 class UnreadableError(PlatformError):
-    """Something that was written can't be used; ``fault`` says why."""
+    """External data is unusable; ``fault`` holds the reason."""
 
     def __init__(self, kind: FaultKind, detail: str) -> None:
         super().__init__(detail)
-        self.fault = ReadFault(kind, detail[:_MOST_DETAIL])
+        self.fault = ReadFault(kind, detail[:_MAX_DETAIL_LENGTH])
 
 
 def decode_json(data: bytes, kind: type[_Value]) -> _Value:
     """Decode JSON into a typed value.
 
     Raises:
-        UnreadableError: It is no JSON, or has other fields.
+        UnreadableError: The data is not valid JSON, or its fields don't match the type.
     """
     try:
         return msgspec.json.decode(data, type=kind)
@@ -55,14 +55,14 @@
         raise UnreadableError(FaultKind.JSON, str(error)) from error
 
 
-def decode_base64(text: str, most_bytes: int) -> bytes:
+def decode_base64(text: str, max_bytes: int) -> bytes:
     """Decode standard base64 with padding.
 
     Raises:
-        UnreadableError: It is none, or longer than that.
+        UnreadableError: The text is not valid base64, or too long for ``max_bytes``.
     """
-    if 3 * len(text) > 4 * (most_bytes + 2):
-        raise UnreadableError(FaultKind.SIZE, f"longer than {most_bytes} bytes")
+    if 3 * len(text) > 4 * (max_bytes + 2):
+        raise UnreadableError(FaultKind.SIZE, f"longer than {max_bytes} bytes")
     try:
         return base64.b64decode(text, validate=True)
     except (ValueError, binascii.Error) as error:
--- a/cleatlink/core/errors.py
+++ b/cleatlink/core/errors.py
@@ -1,9 +1,9 @@
-"""The closed list of error kinds, and the table from kind to answer.
+"""All error kinds, the response to the caller for each kind, and the exception classes.
 
-A caller must learn three things from a refusal: what happened, whether the
-request ran, and whether and when to try again. The table is the only place
-that says so; a kind with ``ran`` of ``no`` may be used only where no byte of
-the request can have left for an endpoint, or where the endpoint refused it.
+An error response must state three things: what happened, whether the request ran, and
+whether and when to retry. ``ANSWERS`` is the only place that defines them. A kind whose
+``ran`` is ``no`` may be used only if no byte of the request can have been sent to an
+endpoint, or if the endpoint refused the request.
 """
 
 from enum import StrEnum
@@ -31,7 +31,7 @@
 
 
 class ErrorKind(StrEnum):
-    """Every way in which a caller can be refused."""
+    """All errors that a caller can receive."""
 
     BAD_REQUEST = "bad_request"
     TOO_LARGE = "too_large"
@@ -61,12 +61,12 @@
 
 
 class Answer(NamedTuple):
-    """What a caller is told for one kind of error.
+    """Response to the caller for one kind of error.
 
     Attributes:
         status: HTTP status code.
-        ran: ``no``, ``yes`` or ``unknown``: whether the request ran.
-        retry_after_s: Seconds after which to try again; None says don't.
+        ran: Whether the request ran: ``no``, ``yes`` or ``unknown``.
+        retry_after_s: Seconds after which the caller may retry; None if it must not retry.
     """
 
     status: int
@@ -95,10 +95,10 @@
     ErrorKind.ENDPOINT_REFUSED: Answer(503, "no", 1.0),
     ErrorKind.ENDPOINT_FAILED: Answer(502, "unknown", 1.0),
     ErrorKind.STREAM_BROKEN: Answer(502, "yes", 1.0),
-    # Nothing is wrong with the request that its caller could see, and it may be tried again.
+    # The caller can't see any error in its request, and it may retry the request.
     ErrorKind.QUARANTINED: Answer(503, "no", 300.0),
     ErrorKind.KEY_MISMATCH: Answer(422, "no", None),
-    # This copy did not run, but another copy under the same key may have.
+    # This request did not run, but another one with the same idempotency key may have run.
     ErrorKind.KEY_UNAVAILABLE: Answer(503, "unknown", 1.0),
     ErrorKind.KEY_OUTCOME_UNKNOWN: Answer(409, "unknown", None),
     ErrorKind.INTERNAL: Answer(500, "unknown", None),
@@ -106,31 +106,31 @@
 
 
 class CleatlinkError(Exception):
-    """Root of the exception tree."""
+    """Base class of all exceptions of this project."""
 
 
 class ConfigurationError(CleatlinkError):
-    """Settings or a configuration can't be used."""
+    """Settings or a configuration are invalid."""
 
 
 class ListenError(ConfigurationError):
-    """An address of the settings can't be listened on."""
+    """The server can't listen on an address from the settings."""
 
 
 class PlatformError(CleatlinkError):
-    """The platform's service did not answer, or not as documented."""
+    """The platform's service did not respond, or its response violates its documented API."""
 
 
 class PeerError(CleatlinkError):
-    """A peer did not answer, or not as expected; it may have acted."""
+    """A peer did not respond, or responded unexpectedly; it may have processed the message."""
 
 
 class PeerUnreachableError(PeerError):
-    """No byte left for the peer: the connection was never made."""
+    """The connection to the peer failed, so no byte was sent to it."""
 
 
 class RequestError(CleatlinkError):
-    """A caller's request is refused before it is placed."""
+    """A caller's request is refused before endpoints are assigned to it."""
 
     def __init__(self, kind: ErrorKind, detail: str) -> None:
         super().__init__(detail)
@@ -139,23 +139,23 @@
 
 
 class EndpointError(CleatlinkError):
-    """An endpoint did not do what it was asked."""
+    """A call to an endpoint failed."""
 
 
 class EndpointUnreachableError(EndpointError):
-    """No byte of the order left: the connection was never made."""
+    """The connection to the endpoint failed, so no byte of the call was sent."""
 
 
 class EndpointRefusedError(EndpointError):
-    """The endpoint refused the order, which therefore did not run."""
+    """The endpoint refused the call, so the call did not run."""
 
     def __init__(self, detail: str, leaving: bool = False, rest_s: float = 0.0) -> None:
-        """Say why.
+        """Record the reason for the refusal.
 
         Args:
-            detail: What the endpoint said.
-            leaving: Whether it takes no new work at all.
-            rest_s: Seconds for which it wants nothing more; 0 if it names no time.
+            detail: Reason that the endpoint reported.
+            leaving: Whether the endpoint is shutting down and accepts no new work.
+            rest_s: Back-off that the endpoint requested, in seconds; 0 if it requested none.
         """
         super().__init__(detail)
         self.leaving = leaving
@@ -163,15 +163,15 @@
 
 
 class FenceError(EndpointRefusedError):
-    """The endpoint has accepted an order with a higher fence before."""
+    """The endpoint already accepted a command with a higher fencing token."""
 
 
 class OutcomeUnknownError(EndpointError):
-    """The order may have left, and no answer says whether it ran."""
+    """The call may have been sent, and no response shows whether it ran."""
 
 
 class EndpointSilentError(EndpointError):
-    """The endpoint said nothing for too long, and is not waited for any longer."""
+    """The endpoint sent nothing within the timeout."""
 
 
 class StreamBrokenError(EndpointError):
--- a/cleatlink/core/labels.py
+++ b/cleatlink/core/labels.py
@@ -1,6 +1,6 @@
-"""Labels and selectors in the equality and set syntax that operators know.
+"""Label selectors in the equality-based and set-based syntax of Kubernetes.
 
-A selector is a list of requirements joined by commas, all of which must hold::
+A selector is a comma-separated list of requirements, all of which must be met::
 
     tier=fast, dc!=kladno, work in (translate, tag), gpu, !spot
 """
@@ -24,7 +24,7 @@
 
 
 class Operator(StrEnum):
-    """How a requirement compares a label."""
+    """Comparison that a requirement applies to a label."""
 
     IN = "in"
     NOT_IN = "notin"
@@ -41,7 +41,7 @@
 
 
 class Selector(NamedTuple):
-    """Requirements which must all hold; none at all selects everything."""
+    """Requirements that must all be met; an empty selector matches everything."""
 
     requirements: tuple[Requirement, ...]
 
@@ -50,46 +50,46 @@
     """Parse a selector.
 
     Args:
-        text: The selector as an operator wrote it.
+        text: The selector, as written in the configuration.
 
     Returns:
-        The selector and no error, or no selector and what is wrong.
+        The selector and None, or None and an error message.
     """
     requirements = []
     position = 0
     while position < len(text.rstrip()):
-        found = _REQUIREMENT.match(text, position)
-        if found is None:
-            return None, f"selector is not understood at {text[position:].strip()!r}"
-        requirements.append(_requirement(found))
-        position = found.end()
+        matched = _REQUIREMENT.match(text, position)
+        if matched is None:
+            return None, f"selector has a syntax error at {text[position:].strip()!r}"
+        requirements.append(_build_requirement(matched))
+        position = matched.end()
     if text.rstrip().endswith(","):
         return None, "selector ends in a comma"
     return Selector(tuple(requirements)), None
 
 
 def match(selector: Selector, labels: Mapping[str, str]) -> bool:
-    """Tell whether labels satisfy every requirement of a selector.
+    """Check whether labels meet all requirements of a selector.
 
-    As operators know it, ``!=`` and ``notin`` also hold where the key is absent.
+    As in Kubernetes, ``!=`` and ``notin`` also match if the key is absent.
     """
-    return all(_holds(requirement, labels) for requirement in selector.requirements)
+    return all(_is_met(requirement, labels) for requirement in selector.requirements)
 
 
-def _requirement(found: re.Match[str]) -> Requirement:
-    """Turn one match of the requirement pattern into data."""
-    if found["set_key"]:
-        values = frozenset(re.findall(_NAME, found["values"]))
-        return Requirement(found["set_key"], Operator(found["set_op"]), values)
-    if found["key"]:
-        operator = Operator.NOT_IN if found["op"] == "!=" else Operator.IN
-        return Requirement(found["key"], operator, frozenset([found["value"]]))
-    operator = Operator.ABSENT if found["absent"] else Operator.EXISTS
-    return Requirement(found["exists"], operator, frozenset())
+def _build_requirement(matched: re.Match[str]) -> Requirement:
+    """Build a requirement from a match of the requirement pattern."""
+    if matched["set_key"]:
+        values = frozenset(re.findall(_NAME, matched["values"]))
+        return Requirement(matched["set_key"], Operator(matched["set_op"]), values)
+    if matched["key"]:
+        operator = Operator.NOT_IN if matched["op"] == "!=" else Operator.IN
+        return Requirement(matched["key"], operator, frozenset([matched["value"]]))
+    operator = Operator.ABSENT if matched["absent"] else Operator.EXISTS
+    return Requirement(matched["exists"], operator, frozenset())
 
 
-def _holds(requirement: Requirement, labels: Mapping[str, str]) -> bool:
-    """Tell whether one requirement holds."""
+def _is_met(requirement: Requirement, labels: Mapping[str, str]) -> bool:
+    """Check whether labels meet one requirement."""
     value = labels.get(requirement.key)
     if requirement.operator is Operator.IN:
         return value in requirement.values
--- a/cleatlink/core/labels_test.py
+++ b/cleatlink/core/labels_test.py
@@ -1,4 +1,4 @@
-"""Selectors against a naive reading of the same requirements."""
+"""Selectors agree with a simple reference implementation."""
 
 import pytest
 from hypothesis import given
@@ -9,7 +9,7 @@
 KEYS = st.sampled_from(["a", "b", "dc", "work.tier"])
 VALUES = st.sampled_from(["x", "y", "fast", "2"])
 LABELS = st.dictionaries(KEYS, VALUES)
-PART = st.one_of(
+REQUIREMENT = st.one_of(
     st.tuples(st.just("="), KEYS, st.lists(VALUES, min_size=1, max_size=1)),
     st.tuples(st.just("!="), KEYS, st.lists(VALUES, min_size=1, max_size=1)),
     st.tuples(st.just("in"), KEYS, st.lists(VALUES, min_size=1, max_size=3)),
@@ -18,8 +18,8 @@
 )
 
 
-def write(part: tuple[str, str, list[str]]) -> str:
-    operator, key, values = part
+def format_requirement(requirement: tuple[str, str, list[str]]) -> str:
+    operator, key, values = requirement
     if operator in ("in", "notin"):
         return f"{key} {operator} ({', '.join(values)})"
     if operator in ("=", "!="):
@@ -27,8 +27,8 @@
     return f"!{key}" if operator == "!" else key
 
 
-def holds_naively(part: tuple[str, str, list[str]], labels: dict[str, str]) -> bool:
-    operator, key, values = part
+def is_met_by_reference(requirement: tuple[str, str, list[str]], labels: dict[str, str]) -> bool:
+    operator, key, values = requirement
     if operator in ("=", "in"):
         return key in labels and labels[key] in values
     if operator in ("!=", "notin"):
@@ -36,18 +36,22 @@
     return (key in labels) is (operator == "exists")
 
 
-@given(st.lists(PART, max_size=4), LABELS)
-def test_selector_agrees_with_naive_reading(
-    parts: list[tuple[str, str, list[str]]], labels: dict[str, str]
+@given(st.lists(REQUIREMENT, max_size=4), LABELS)
+def test_selector_agrees_with_reference_implementation(
+    requirements: list[tuple[str, str, list[str]]], labels: dict[str, str]
 ) -> None:
-    selector, error = parse_selector(", ".join(write(part) for part in parts))
+    selector, error = parse_selector(
+        ", ".join(format_requirement(requirement) for requirement in requirements)
+    )
     assert error is None
     assert selector is not None
-    assert match(selector, labels) == all(holds_naively(part, labels) for part in parts)
+    assert match(selector, labels) == all(
+        is_met_by_reference(requirement, labels) for requirement in requirements
+    )
 
 
 @given(st.text(max_size=30))
-def test_any_text_gives_a_selector_or_an_error(text: str) -> None:
+def test_any_text_yields_either_a_selector_or_an_error(text: str) -> None:
     selector, error = parse_selector(text)
     assert (selector is None) != (error is None)
 
@@ -55,11 +59,11 @@
 @pytest.mark.parametrize(
     "text", ["a in ()", "a in (x", "=x", "a=", "a=x,,b", "a=x,", "a b", "a in x", "-a", "a=x y"]
 )
-def test_broken_selectors_are_refused(text: str) -> None:
+def test_selectors_with_syntax_errors_are_rejected(text: str) -> None:
     assert parse_selector(text)[0] is None
 
 
-def test_operators_are_told_apart() -> None:
+def test_each_operator_is_recognised() -> None:
     selector, _ = parse_selector("a=x, b notin (y), c, !d")
     assert selector is not None
     operators = [requirement.operator for requirement in selector.requirements]
--- a/cleatlink/core/notices.py
+++ b/cleatlink/core/notices.py
@@ -1,4 +1,4 @@
-"""What an endpoint says of itself in the head of an answer, whatever the answer is to."""
+"""Load and shutdown notices that endpoints send in response headers, with any response."""
 
 import re
 from collections.abc import Iterable
@@ -8,24 +8,25 @@
 
 _SECONDS = re.compile(rb"[0-9]{1,18}(\.[0-9]{1,18})?")
 _RATE = re.compile(rb"[0-9]{1,18}(\.[0-9]{0,18})?|\.[0-9]{1,18}")
-# A field that is nonsense takes an endpoint away for no longer than this.
-_MOST_REST_S = 300.0
-# Calls a second: an endpoint that takes none at all is asked so rarely whether that still holds.
-_LEAST_RATE_PER_S = 0.1
-# Calls a second, above what any endpoint takes.
-_MOST_RATE_PER_S = 1e6
+# Limits how long an absurdly large header value can exclude an endpoint.
+_MAX_BACK_OFF_S = 300.0
+# In calls per second. An endpoint that announces a limit of 0 still gets a call at this rate, to
+# learn whether the limit has changed.
+_MIN_RATE_PER_S = 0.1
+# In calls per second; higher than the rate that any endpoint can serve.
+_MAX_RATE_PER_S = 1e6
 
 
 class EndpointNotice(NamedTuple):
-    """What the head of one answer says of its endpoint.
+    """Notices about an endpoint in the headers of one of its responses.
 
     Attributes:
-        leaving: Whether it takes no new work and ends soon.
-        rest_s: Seconds for which it wants nothing more from the instance that it answered;
-            0 where it asks for none.
-        rate_per_s: Calls a second that it takes from all instances together; None where it
-            names no such limit that can be read.
-        names_rate: Whether it names such a limit, readable or not.
+        leaving: Whether the endpoint accepts no new work and shuts down soon.
+        rest_s: Back-off that the endpoint requests from the instance that it responds to,
+            in seconds; 0 if it requests none.
+        rate_per_s: Limit on calls per second from all instances together; None if the
+            endpoint announces no limit, or one that can't be parsed.
+        names_rate: Whether the endpoint announces such a limit, valid or not.
     """
 
     leaving: bool = False
@@ -38,29 +39,29 @@
 
 
 def read_rest_s(values: Iterable[bytes]) -> float:
-    """Read the seconds for which an endpoint wants nothing.
+    """Parse the back-off that an endpoint requests, in seconds.
 
     Args:
-        values: Values of all fields that name a time.
+        values: Values of all header fields that contain a back-off.
 
     Returns:
-        The longest of them, within a bound; 0 where none is a number of seconds, such as a date
-        or a negative number.
+        The longest back-off, limited to a maximum. Values that are not a number of seconds,
+        such as a date or a negative number, are ignored; 0 if no value is left.
     """
     times = (float(value) for value in values if _SECONDS.fullmatch(value.strip()))
-    return min(_MOST_REST_S, max(times, default=0.0))
+    return min(_MAX_BACK_OFF_S, max(times, default=0.0))
 
 
 def read_rate_per_s(values: Iterable[bytes]) -> float | None:
-    """Read the calls a second that an endpoint takes from all instances together.
+    """Parse the limit on calls per second that an endpoint accepts from all instances together.
 
     Args:
-        values: Values of all fields that name a rate.
+        values: Values of all header fields that contain a rate limit.
 
     Returns:
-        The lowest of them, within bounds; None where none is a number that is not negative.
+        The lowest limit, clamped to a range; None if no value is a non-negative number.
     """
     rates = [float(value) for value in values if _RATE.fullmatch(value.strip())]
     if not rates:
         return None
-    return min(_MOST_RATE_PER_S, max(_LEAST_RATE_PER_S, min(rates)))
+    return min(_MAX_RATE_PER_S, max(_MIN_RATE_PER_S, min(rates)))
--- a/cleatlink/core/organisations.py
+++ b/cleatlink/core/organisations.py
@@ -1,31 +1,31 @@
-"""Organisations: who may call, how much, and how urgent their calls are."""
+"""Organisations (tenants): their keys, limits and priorities."""
 
 import hashlib
 from typing import NamedTuple
 
 __all__ = ["Organisation", "TokenLimit", "digest_key"]
 
-# 128 bits: two keys with one digest are not to be found.
+# With 128 bits, finding two keys with the same digest is not feasible.
 _DIGEST_BYTES = 16
 
 
 def digest_key(key: bytes) -> bytes:
-    """Give what stands for a key wherever it is kept or told.
+    """Return the digest that represents a key in memory and in messages.
 
-    A key is only ever compared by its digest, so that the time of a comparison says nothing
-    of the key, and no table, message or dump of an instance holds one in the clear.
+    Keys are compared only by digest, so that the duration of a comparison reveals nothing
+    about the key, and no table, message or memory dump of an instance contains a plain key.
     """
     return hashlib.blake2b(key, digest_size=_DIGEST_BYTES).digest()
 
 
 class TokenLimit(NamedTuple):
-    """How much an organisation may ask for, over all instances together.
+    """Rate limit of an organisation, over all instances together.
 
     Attributes:
-        rate: Units a second.
-        burst: Units on top of that.
+        rate: Units per second.
+        burst: Units that may be used at once beyond the rate.
         counts_tokens: Whether a unit is a token; otherwise it is a request.
-        default_tokens: Tokens of a request that tells none.
+        default_tokens: Assumed number of tokens for a request that states none.
     """
 
     rate: float
@@ -34,10 +34,11 @@
     default_tokens: int = 1
 
     def cost(self, tokens: int) -> int:
-        """Give the units of a request.
+        """Return the number of units that a request uses.
 
         Args:
-            tokens: Tokens of its prompt and the most of its answer; 0 if it tells none.
+            tokens: Tokens of the prompt plus the maximum tokens of the answer; 0 if the
+                request states none.
         """
         if not self.counts_tokens:
             return 1
@@ -45,13 +46,14 @@
 
 
 class Organisation(NamedTuple):
-    """One organisation of a route table.
+    """An organisation in a route table.
 
     Attributes:
-        name: Its name, as endpoints are told it.
-        key_digests: Digests of its keys.
-        priority: From 0, the most urgent; it goes before that of routes. None for none.
-        limit: What it may ask for; None for no limit.
+        name: Name of the organisation, as sent to endpoints.
+        key_digests: Digests of its API keys.
+        priority: Priority from 0, the most urgent; overrides the priority of the route.
+            None if the organisation has no priority of its own.
+        limit: Rate limit; None for no limit.
     """
 
     name: str
--- a/cleatlink/core/purity_test.py
+++ b/cleatlink/core/purity_test.py
@@ -1,12 +1,12 @@
-"""The pure parts import nothing that does I/O, keeps time or draws at random."""
+"""Pure packages import no modules for I/O or clocks, and use no global random generator."""
 
 import ast
 from pathlib import Path
 
 import cleatlink
 
-PURE = ("core", "config", "routing", "request", "members", "organisations", "quarantine")
-FORBIDDEN = {
+PURE_PACKAGES = ("core", "config", "routing", "request", "members", "organisations", "quarantine")
+FORBIDDEN_MODULES = {
     "aioprometheus",
     "asyncio",
     "eliot",
@@ -21,11 +21,11 @@
     "time",
     "trio",
 }
-# Named as a type; every generator is passed in.
-ONLY_AS_TYPE = {"random"}
+# Used only in type annotations; random generators are passed in as arguments.
+TYPE_ONLY_MODULES = {"random"}
 
 
-def imported(path: Path) -> set[str]:
+def imported_modules(path: Path) -> set[str]:
     names = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
@@ -37,25 +37,25 @@
     return names
 
 
-def calls_random(path: Path) -> bool:
+def calls_type_only_module(path: Path) -> bool:
     return any(
         isinstance(node, ast.Call)
         and isinstance(node.func, ast.Attribute)
         and isinstance(node.func.value, ast.Name)
-        and node.func.value.id in ONLY_AS_TYPE
+        and node.func.value.id in TYPE_ONLY_MODULES
         for node in ast.walk(ast.parse(path.read_text()))
     )
 
 
-def test_pure_packages_stay_pure() -> None:
+def test_pure_packages_import_no_io_clock_or_global_random() -> None:
     root = Path(cleatlink.__file__).parent
     files = [
         path
-        for package in PURE
+        for package in PURE_PACKAGES
         for path in sorted((root / package).glob("*.py"))
         if not path.name.endswith("_test.py")
     ]
     assert len(files) > 15
-    faults = {path.name: imported(path) & FORBIDDEN for path in files}
-    assert {name: names for name, names in faults.items() if names} == {}
-    assert [path.name for path in files if calls_random(path)] == []
+    forbidden_imports = {path.name: imported_modules(path) & FORBIDDEN_MODULES for path in files}
+    assert {name: names for name, names in forbidden_imports.items() if names} == {}
+    assert [path.name for path in files if calls_type_only_module(path)] == []
--- a/cleatlink/core/revisions.py
+++ b/cleatlink/core/revisions.py
@@ -1,4 +1,4 @@
-"""What orders the writes of a store that may come back from an older copy of itself."""
+"""Order of writes to a store that may be restored from an older backup."""
 
 from typing import NamedTuple
 
@@ -6,14 +6,14 @@
 
 
 class StoreRevision(NamedTuple):
-    """A revision of a store in one of its eras.
+    """A revision of a store within one epoch (era) of the store.
 
-    A store that comes back from a copy gives revisions out again, and tells so by an era that
-    is higher by one. Of two revisions the one of the later era is later, whatever the numbers.
+    A store that is restored from a backup issues the same revision numbers again; each
+    restore increments the era by one. A revision of a later era is newer, whatever the numbers.
 
     Attributes:
-        era: How often the store came back from a copy; 0 where it does not tell.
-        number: Its revision within the era.
+        era: Number of restores so far; 0 if the store does not report it.
+        number: Revision number within the era.
     """
 
     era: int
--- a/cleatlink/core/routes.py
+++ b/cleatlink/core/routes.py
@@ -1,8 +1,8 @@
-"""Vocabulary of the relay: route tables, routed endpoints and calls on their way.
+"""Data types of the relay: route tables, routed endpoints and received requests.
 
-A route table says which service serves a host and path, how often a call may
-be sent and how long it may take. Like the rest of the vocabulary these are
-immutable; durations end in ``_s`` and are seconds, sizes in tokens or bytes.
+A route table defines which service serves a host and path, how often a call may be sent
+and how long it may take. The types are immutable. Names of durations end in ``_s``, for
+seconds; sizes are in tokens or bytes.
 """
 
 import hashlib
@@ -30,12 +30,12 @@
 
 Headers = tuple[tuple[bytes, bytes], ...]
 
-# A request that is made to match a given one takes 2 ** 63 tries in the mean.
+# Finding another request with the same identity takes 2 ** 63 attempts on average.
 _IDENTITY_BYTES = 8
 
 
 class RouteKind(StrEnum):
-    """How often a call of a route may run, and how it is answered."""
+    """Whether a call of a route may run more than once, and whether its answer is a stream."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -43,7 +43,7 @@
 
 
 class ServiceShare(NamedTuple):
-    """The share of a route's calls that a service gets."""
+    """Weight of a service in the distribution of a route's calls."""
 
     service: str
     weight: int
@@ -53,21 +53,22 @@
     """One route of a table.
 
     Attributes:
-        name: Its name.
-        host: Host that callers name.
-        path_prefix: Beginning of the paths it serves; begins and ends with ``/``.
-        kind: How often a call may run.
-        timeout_s: Longest time from arrival to the end of the answer.
-        target_s: Time within which an answer (a stream's first event) is in time.
-        priority: From 0, the most urgent.
-        shares: Services that serve it, with their weights.
-        max_attempts: Most endpoints that one call may be sent to.
+        name: Name of the route.
+        host: Host in the request that the route matches.
+        path_prefix: Prefix of the paths that the route matches; starts and ends with ``/``.
+        kind: Whether a call may run more than once, and whether it is a stream.
+        timeout_s: Maximum time from arrival to the end of the answer.
+        target_s: Latency target for the answer, or for the first event of a stream.
+        priority: Priority from 0, the most urgent.
+        shares: Services of the route, with their weights.
+        max_attempts: Maximum number of endpoints that one call may be sent to.
         resumable: Whether a stream may be continued at another endpoint.
-        event_gap_s: Longest pause between events that is in time.
-        patience_s: Silence after which callers leave a stream, also before its first event.
-        heeded_share: Share of the time that is left to a caller up to which it heeds a
-            time to come back.
-        public: Whether callers need no key, also where there are organisations.
+        event_gap_s: Latency target for the time between two events.
+        patience_s: Time without an event after which callers abandon a stream, also before
+            its first event.
+        heeded_share: Fraction of a caller's remaining time; the caller honours a retry time
+            (``Retry-After``) only up to this limit.
+        public: Whether callers need no key, even if the table has organisations.
     """
 
     name: str
@@ -87,15 +88,16 @@
 
 
 class EngineTraits(NamedTuple):
-    """What the model engines of a service have in common.
+    """Properties that all model engines of a service share.
 
     Attributes:
-        slots: Requests that run at once.
-        memory_tokens: Tokens of KV cache.
-        handle_lifetime_s: Seconds for which a prefill's result is kept.
-        role_switch_s: Seconds that a change of role takes.
-        hold_s: Longest time for which room can be held for a stream; 0 if it can't.
-        event_tokens: Tokens of the answer that one event of a stream carries.
+        slots: Maximum number of concurrent requests.
+        memory_tokens: Size of the KV cache, in tokens.
+        handle_lifetime_s: Time for which the result of a prefill is kept.
+        role_switch_s: Duration of a role change.
+        hold_s: Maximum duration of a capacity reservation for a stream; 0 if the engines
+            don't support reservations.
+        event_tokens: Number of output tokens per stream event.
     """
 
     slots: int
@@ -107,7 +109,7 @@
 
 
 class RoutedService(NamedTuple):
-    """A service that routes name; ``engine`` is None for a plain one."""
+    """A service that routes refer to; ``engine`` is None for a plain service."""
 
     name: str
     connection_limit: int
@@ -115,7 +117,7 @@
 
 
 class CallerLimits(NamedTuple):
-    """Bounds on what a caller may send and how long it may take."""
+    """Limits on the size of a caller's request and on the time to send it."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -124,14 +126,14 @@
 
 
 class RouteTable(NamedTuple):
-    """One revision of all routes.
+    """All routes at one revision.
 
     Attributes:
-        revision: Orders tables; may have gaps.
-        routes: The routes.
+        revision: Revision of the table; a higher one is newer, and numbers may be skipped.
+        routes: All routes of the table.
         services: Services by name.
-        limits: Bounds on what callers may send.
-        organisations: Whose calls are served; None where everybody's are.
+        limits: Limits on requests of callers.
+        organisations: Organisations whose calls are served; None if all calls are served.
     """
 
     revision: int
@@ -145,18 +147,18 @@
     """An endpoint as its registration describes it.
 
     Attributes:
-        name: Name of this life; used nowhere else, so that nothing known of one life is taken
-            for another one's.
-        address: IP number and port.
-        data_centre: Where it runs.
-        service: Service that it serves.
+        name: Name of this incarnation of the endpoint. It is never reused, so that the recorded
+            state of one incarnation isn't applied to another.
+        address: IP address and port.
+        data_centre: Data centre in which the endpoint runs.
+        service: Service that the endpoint serves.
         role: Prefill or decode for engines, plain otherwise.
-        slots: Requests it works on at once.
-        leaving: Whether it takes no new work.
-        registration: Name that it registers under and answers to, in all its lives; empty where
-            it is the name of this life.
-        born: When this life began, in milliseconds of the endpoint's own clock; 0 if it does
-            not say.
+        slots: Maximum number of concurrent requests.
+        leaving: Whether the endpoint accepts no new work.
+        registration: Name under which the endpoint registers and receives requests, the
+            same for all incarnations; empty if it equals ``name``.
+        born: Start of this incarnation, in milliseconds of the endpoint's own clock; 0 if
+            the endpoint does not report it.
     """
 
     name: str
@@ -171,34 +173,34 @@
 
     @property
     def answers_to(self) -> str:
-        """The name that requests to it carry."""
+        """Name of the endpoint in requests to it, the same for all its incarnations."""
         return self.registration or self.name
 
 
 class KvSource(NamedTuple):
-    """Where a prefill's result waits: the engine's address and its handle."""
+    """Location of the result of a prefill: the address of the engine and the KV handle."""
 
     address: str
     handle: str
 
 
 class Inbound(NamedTuple):
-    """A caller's request as received.
+    """A request as received from a caller.
 
     Attributes:
-        request_id: The caller's name for this attempt.
-        method: As sent.
-        target: Path and query as sent.
-        host: Host named by the caller, without its port.
-        headers: Headers to pass on, as sent.
-        body: The whole body.
-        arrived_at: When its head was read.
-        deadline: When the caller stops waiting.
+        request_id: Identifier that the caller chose for this attempt.
+        method: HTTP method as received.
+        target: Path and query as received.
+        host: Host from the request, without the port.
+        headers: Headers to forward, as received.
+        body: The complete body.
+        arrived_at: Time at which the request head was read.
+        deadline: Time at which the caller stops waiting.
         prompt_tokens: Tokens of the prompt; 0 for plain calls.
-        max_output_tokens: Most tokens of the answer.
-        output_hint: The caller's estimate of the answer's tokens; 0 for none.
-        last_event: Last event that the caller has of a stream; None for none.
-        organisation: Name of the organisation that asks; empty for none.
+        max_output_tokens: Maximum number of tokens of the answer.
+        output_hint: The caller's estimate of the number of output tokens; 0 for none.
+        last_event: Number of the last stream event that the caller received; None for none.
+        organisation: Name of the calling organisation; empty for none.
     """
 
     request_id: str
@@ -222,10 +224,10 @@
 
     @property
     def identity(self) -> bytes:
-        """Who asks for what, as a digest: each try of one request has the same one.
+        """Digest of the caller's organisation and the request, equal for all attempts.
 
-        Headers are left out, since they change from try to try. The hash is a cryptographic one:
-        nobody can make a request that is taken for another one.
+        Headers are excluded because they differ between attempts. The hash is cryptographic,
+        so that a caller can't construct a request with the identity of another one.
         """
         parts = (self.organisation.encode(), self.host.encode(), self.method, self.target)
         digest = hashlib.blake2b(digest_size=_IDENTITY_BYTES)
--- a/cleatlink/core/tables.py
+++ b/cleatlink/core/tables.py
@@ -1,4 +1,4 @@
-"""Takes settings out of nested tables, with all that is wrong with them at once."""
+"""Reads settings from nested tables and collects all errors in them."""
 
 from typing import Any
 
@@ -9,53 +9,53 @@
 
 
 class TableReader:
-    """Takes values out of nested tables and notes each one that is missing or wrong."""
+    """Reads values from nested tables and records an error for each missing or invalid value."""
 
     def __init__(self, tables: dict[str, Any]) -> None:
-        """Start without faults.
+        """Create a reader with an empty list of errors.
 
         Args:
-            tables: Tables within tables; paths name a value by its keys with dots between.
+            tables: Nested tables; a path is the keys of a value, joined by dots.
         """
         self._tables = tables
         self.faults: list[str] = []
 
     def value(self, path: str, kind: type | tuple[type, ...]) -> Any:
-        """Give a value, or None with a fault noted."""
-        found: Any = self._tables
+        """Return a value, or record an error and return None if it is missing or invalid."""
+        setting: Any = self._tables
         for key in path.split("."):
-            found = found.get(key) if isinstance(found, dict) else None
-        if found is None:
+            setting = setting.get(key) if isinstance(setting, dict) else None
+        if setting is None:
             self.faults.append(f"{path} is missing")
-        elif isinstance(found, bool) or not isinstance(found, kind):
-            self.faults.append(f"{path} has the wrong type, {type(found).__name__}")
-            found = None
-        return found
+        elif isinstance(setting, bool) or not isinstance(setting, kind):
+            self.faults.append(f"{path} has the wrong type, {type(setting).__name__}")
+            setting = None
+        return setting
 
     def text(self, path: str) -> str:
-        """Give a text that is not empty."""
-        found = self.value(path, str)
-        if found == "":
+        """Return a string; record an error if it is empty."""
+        setting = self.value(path, str)
+        if setting == "":
             self.faults.append(f"{path} is empty")
-        return found or ""
+        return setting or ""
 
     def number(self, path: str) -> float:
-        """Give a number that is not negative."""
-        found = self.value(path, (int, float))
-        if found is not None and found < 0:
+        """Return a number; record an error if it is negative."""
+        setting = self.value(path, (int, float))
+        if setting is not None and setting < 0:
             self.faults.append(f"{path} is negative")
-        return float(found or 0)
+        return float(setting or 0)
 
     def optional_number(self, path: str, default: float) -> float:
-        """Give a number that is not negative, or the default where there is none."""
+        """Return a non-negative number, or the default if the value is absent."""
         table, _, key = path.rpartition(".")
-        found = self._tables.get(table)
-        if not isinstance(found, dict) or found.get(key) is None:
+        setting = self._tables.get(table)
+        if not isinstance(setting, dict) or setting.get(key) is None:
             return default
         return self.number(path)
 
     def address(self, path: str) -> Address:
-        """Give an IP number and a port."""
+        """Return an IP address with a port."""
         text = self.text(path)
         try:
             return parse_address(text) if text else Address("", 0)
@@ -64,6 +64,6 @@
             return Address("", 0)
 
     def list(self, path: str) -> list[Any]:
-        """Give a list."""
-        found = self.value(path, list)
-        return found or []
+        """Return a list; record an error and return an empty one if it is missing or invalid."""
+        setting = self.value(path, list)
+        return setting or []
