--- a/cleatlink/config/__init__.py
+++ b/cleatlink/config/__init__.py
@@ -1,4 +1,4 @@
-"""Configuration: reading, checking and adopting it, without I/O."""
+"""Reads and validates configurations and keeps the active one, without I/O."""
 
 from cleatlink.config.document import Fault
 from cleatlink.config.loader import DOCUMENT_BYTES, load_configuration
--- a/cleatlink/config/loader.py
+++ b/cleatlink/config/loader.py
@@ -1,7 +1,7 @@
-"""Turns a configuration document into a checked ``Configuration``.
+"""Loads and validates a configuration document.
 
-Whether a document is accepted is a pure function of its text, so that every
-instance judges alike: two instances never differ on what is in force.
+Whether a document is valid depends only on its text, so that all instances accept the same
+configurations and none of them activates one that another rejects.
 """
 
 from enum import StrEnum
@@ -26,14 +26,15 @@
 
 __all__ = ["DOCUMENT_BYTES", "load_configuration"]
 
-# The platform's service holds values up to a megabyte.
+# In bytes; the platform's service stores values of up to 1 MB.
 DOCUMENT_BYTES = 1_000_000
 
 _METHODS = ("*", "GET", "HEAD", "POST", "PUT", "PATCH", "DELETE")
-_FORMAT = 1
-_QUEUE_LIMIT_S = 0.05
+_FORMAT_VERSION = 1
+# Longest prefill queue, in seconds of work, for classes that are not the most urgent ones.
+_LESS_URGENT_QUEUE_LIMIT_S = 0.05
 
-_Member = TypeVar("_Member", bound=StrEnum)
+_EnumMember = TypeVar("_EnumMember", bound=StrEnum)
 
 
 def load_configuration(text: str, revision: int = 0) -> tuple[Configuration | None, list[Fault]]:
@@ -41,10 +42,10 @@
 
     Args:
         text: The YAML document.
-        revision: The revision under which it was published.
+        revision: Revision under which the document was published.
 
     Returns:
-        The configuration and no faults, or None and every fault there is.
+        The configuration and an empty list, or None and all errors in the document.
     """
     if len(text.encode()) > DOCUMENT_BYTES:
         return None, [Fault(0, "", f"document is larger than {DOCUMENT_BYTES} bytes")]
@@ -57,8 +58,8 @@
 
 
 def _read_configuration(top: Section, text: str, revision: int) -> Configuration:
-    """Read every section; faults gather in the sections' list."""
-    top.integer("version", None, _FORMAT, _FORMAT)
+    """Read all sections; they add errors to the list of errors that they share."""
+    top.integer("version", None, _FORMAT_VERSION, _FORMAT_VERSION)
     configuration = Configuration(
         revision=revision,
         digest=xxhash.xxh3_128_hexdigest(text.encode()),
@@ -73,42 +74,42 @@
         pools={
             name: _read_pool(name, section) for name, section in top.named_sections("pools").items()
         },
-        classes=_limit_queues(
+        classes=_limit_prefill_queues(
             [_read_class(name, section) for name, section in top.named_sections("classes").items()]
         ),
         endpoint_labels=_read_endpoint_labels(top.section("endpoint_labels")),
         limits=_read_limits(top.section("limits")),
         objective=_read_objective(top.section("objective")),
     )
-    top.finish()
+    top.report_unknown_keys()
     return configuration
 
 
 def _read_data_centre(name: str, section: Section) -> DataCentre:
     data_centre = DataCentre(name, section.text("region"), section.labels("labels"))
-    section.finish()
+    section.report_unknown_keys()
     return data_centre
 
 
 def _read_service(name: str, section: Section) -> Service:
     kind = section.text("kind", choices=tuple(ServiceKind))
     rules = tuple(_read_rule(rule) for rule in section.listed_sections("unrepeatable"))
-    models = section.texts("models")
+    models = section.strings("models")
     if kind == ServiceKind.MODEL and not models:
-        section.fault("a model service needs at least one model")
+        section.add_fault("a model service needs at least one model")
     if kind == ServiceKind.MODEL and rules:
-        section.fault("only a plain service has unrepeatable calls", "unrepeatable")
+        section.add_fault("only a plain service has unrepeatable calls", "unrepeatable")
     if kind == ServiceKind.PLAIN and models:
-        section.fault("a plain service has no models", "models")
-    section.finish()
-    return Service(name, _member(ServiceKind, kind, ServiceKind.MODEL), models, rules)
+        section.add_fault("a plain service has no models", "models")
+    section.report_unknown_keys()
+    return Service(name, _parse_member(ServiceKind, kind, ServiceKind.MODEL), models, rules)
 
 
 def _read_rule(section: Section) -> CallRule:
     rule = CallRule(section.text("method", "*", _METHODS), section.text("path"))
     if rule.path and not rule.path.startswith("/"):
-        section.fault("must start with '/'", "path")
-    section.finish()
+        section.add_fault("must start with '/'", "path")
+    section.report_unknown_keys()
     return rule
 
 
@@ -117,11 +118,11 @@
     pool = Pool(
         name,
         section.text("service"),
-        _member(Role, role, Role.BOTH),
+        _parse_member(Role, role, Role.BOTH),
         section.labels("labels"),
         section.boolean("checks_fences", False),
     )
-    section.finish()
+    section.report_unknown_keys()
     return pool
 
 
@@ -138,35 +139,35 @@
         section.text("late", "refuse", ("refuse", "run")) == "run",
     )
     if request_class.max_wait_s > request_class.deadline_s:
-        section.fault("must not be longer than deadline_s", "max_wait_s")
-    section.finish()
+        section.add_fault("must not be longer than deadline_s", "max_wait_s")
+    section.report_unknown_keys()
     return request_class
 
 
-def _limit_queues(classes: list[RequestClass]) -> dict[str, RequestClass]:
-    """Keep classes from queueing in front of more urgent ones of their service.
+def _limit_prefill_queues(classes: list[RequestClass]) -> dict[str, RequestClass]:
+    """Limit the prefill queue for each class that is not the most urgent one of its service.
 
-    An engine works its prefills off in the order in which they come. What waits
-    there can't be overtaken, what waits here can.
+    An engine runs prefills in order of arrival. A more urgent request can't overtake requests
+    in the engine's queue, but it can overtake requests that wait in the router.
     """
-    urgent: dict[str, int] = {}
+    highest_priority: dict[str, int] = {}
     for item in classes:
-        urgent[item.service] = max(item.priority, urgent.get(item.service, 0))
+        highest_priority[item.service] = max(item.priority, highest_priority.get(item.service, 0))
     return {
         item.name: item
-        if item.priority == urgent[item.service]
-        else item._replace(queue_limit_s=_QUEUE_LIMIT_S)
+        if item.priority == highest_priority[item.service]
+        else item._replace(queue_limit_s=_LESS_URGENT_QUEUE_LIMIT_S)
         for item in classes
     }
 
 
 def _read_selector(section: Section) -> Selector:
-    """Read a selector; an absent one selects everything."""
+    """Read a selector; return one that matches everything if the key is absent."""
     if "selector" not in section.keys:
         return Selector(())
     selector, error = parse_selector(section.text("selector"))
     if error is not None:
-        section.fault(error, "selector")
+        section.add_fault(error, "selector")
     return selector or Selector(())
 
 
@@ -183,7 +184,7 @@
         max_attempts=section.integer("max_attempts", 4, 1, 20),
         retry_share=section.number("retry_share", 0.1, 0, 1),
     )
-    section.finish()
+    section.report_unknown_keys()
     return limits
 
 
@@ -191,42 +192,44 @@
     goodput = section.number("goodput", 0.5, 0, 1)
     wasted_prefill = section.number("wasted_prefill", 0.5, 0, 1)
     if abs(goodput + wasted_prefill - 1) > 1e-9:
-        section.fault("goodput and wasted_prefill must add up to 1")
-    section.finish()
+        section.add_fault("goodput and wasted_prefill must add up to 1")
+    section.report_unknown_keys()
     return Objective(goodput, wasted_prefill)
 
 
 def _check_references(top: Section, configuration: Configuration) -> None:
-    """Check names that point from one section to another."""
+    """Check references between sections: each name must be defined and of a matching kind."""
     for name, section in top.named_sections("pools").items():
         pool = configuration.pools[name]
         service = configuration.services.get(pool.service)
         if service is None:
-            section.fault(f"service {pool.service!r} is not defined", "service")
+            section.add_fault(f"service {pool.service!r} is not defined", "service")
         elif (service.kind is ServiceKind.PLAIN) != (pool.role is Role.PLAIN):
-            section.fault(f"role {pool.role.value} does not fit a {service.kind} service", "role")
+            section.add_fault(
+                f"role {pool.role.value} does not fit a {service.kind} service", "role"
+            )
     for name, section in top.named_sections("classes").items():
         service_name = configuration.classes[name].service
         if service_name not in configuration.services:
-            section.fault(f"service {service_name!r} is not defined", "service")
+            section.add_fault(f"service {service_name!r} is not defined", "service")
     _check_models(top, configuration)
     for service_name in configuration.services:
         if not any(item.service == service_name for item in configuration.classes.values()):
-            top.section("services").fault("no class asks for this service", service_name)
+            top.section("services").add_fault("no class uses this service", service_name)
 
 
 def _check_models(top: Section, configuration: Configuration) -> None:
-    """Check that each model belongs to one service, or a request could go to either."""
+    """Check that each model belongs to only one service, so that requests have one destination."""
     owners: dict[str, str] = {}
     for name, section in top.named_sections("services").items():
         for model in configuration.services[name].models:
             owner = owners.setdefault(model, name)
             if owner != name:
-                section.fault(f"model {model!r} already belongs to {owner}", "models")
+                section.add_fault(f"model {model!r} already belongs to {owner}", "models")
 
 
-def _member(kind: type[_Member], value: str, fallback: _Member) -> _Member:
-    """Give the enumeration's member, or a fallback where a fault is noted already."""
+def _parse_member(kind: type[_EnumMember], value: str, fallback: _EnumMember) -> _EnumMember:
+    """Return the enum member; the fallback is for values with an error already recorded."""
     try:
         return kind(value)
     except ValueError:
--- a/cleatlink/config/revision.py
+++ b/cleatlink/config/revision.py
@@ -1,8 +1,8 @@
-"""Adopts configurations upwards only, whatever order or source they come in.
+"""Activates configurations only in increasing order of revision.
 
-Stale platform replicas, peers that lag and restarts all offer old revisions;
-the rule that only a higher revision replaces the one in force is the whole
-defence, and is therefore kept in one place.
+Stale platform replicas, peers that lag behind and restarts can all supply old revisions.
+The only protection is the rule that a configuration is replaced only by one with a higher
+revision, so this module is the only place that implements it.
 """
 
 from enum import StrEnum
@@ -16,14 +16,14 @@
 
 
 class Published(NamedTuple):
-    """A configuration as published: its revision and its text."""
+    """A published configuration: its revision and its text."""
 
     revision: int
     text: str
 
 
 class Adoption(StrEnum):
-    """What became of an offered configuration."""
+    """Result of offering a configuration."""
 
     ADOPTED = "adopted"
     KNOWN = "known"
@@ -33,48 +33,48 @@
 
 
 class Adopter:
-    """Holds the configuration in force and judges what is offered."""
+    """Holds the active configuration and replaces it with newer valid ones."""
 
     def __init__(self) -> None:
         self._configuration: Configuration | None = None
         self._published: Published | None = None
         self._faults: list[Fault] = []
-        self._highest_seen = 0
+        self._highest_validated_revision = 0
 
     @property
     def configuration(self) -> Configuration | None:
-        """The configuration in force; None before the first."""
+        """The active configuration; None before the first one."""
         return self._configuration
 
     @property
     def published(self) -> Published | None:
-        """The configuration in force as published, to pass on to peers."""
+        """The active configuration as published, to forward to peers."""
         return self._published
 
     @property
     def revision(self) -> int:
-        """The revision in force; 0 before the first."""
+        """The active revision; 0 before the first one."""
         return self._published.revision if self._published else 0
 
     @property
     def highest_seen(self) -> int:
-        """The highest revision judged so far, valid or not."""
-        return self._highest_seen
+        """The highest revision validated so far, whether valid or not."""
+        return self._highest_validated_revision
 
     @property
     def faults(self) -> list[Fault]:
-        """The faults of the last invalid configuration above the one in force."""
+        """Errors in the last invalid configuration that is newer than the active one."""
         return self._faults
 
     def offer(self, published: Published) -> Adoption:
-        """Judge an offered configuration and adopt it if it is newer and valid."""
+        """Validate a configuration and activate it if it is newer than the active one and valid."""
         if published.revision < self.revision:
             return Adoption.OLDER
         if published.revision == self.revision:
-            same = self._published is not None and published.text == self._published.text
-            return Adoption.KNOWN if same else Adoption.CONFLICT
+            is_same_text = self._published is not None and published.text == self._published.text
+            return Adoption.KNOWN if is_same_text else Adoption.CONFLICT
         configuration, faults = load_configuration(published.text, published.revision)
-        self._highest_seen = max(self._highest_seen, published.revision)
+        self._highest_validated_revision = max(self._highest_validated_revision, published.revision)
         if configuration is None:
             self._faults = faults
             return Adoption.INVALID
--- a/cleatlink/config/revision_test.py
+++ b/cleatlink/config/revision_test.py
@@ -1,4 +1,4 @@
-"""Adoption goes upwards only, against a naive rule that sees everything at once."""
+"""The active revision never decreases, and is the highest valid one among those offered."""
 
 from pathlib import Path
 
@@ -7,25 +7,27 @@
 
 from cleatlink.config import Adopter, Adoption, Published, load_configuration
 
-GOOD = (Path(__file__).parents[2] / "examples/regie.yaml").read_text()
-TEXTS = {revision: GOOD + f"# {revision}\n" for revision in range(1, 8)} | {3: "nonsense: 1\n"}
-VALID = {revision for revision, text in TEXTS.items() if not load_configuration(text)[1]}
+VALID_TEXT = (Path(__file__).parents[2] / "examples/regie.yaml").read_text()
+TEXTS = {revision: VALID_TEXT + f"# {revision}\n" for revision in range(1, 8)} | {
+    3: "nonsense: 1\n"
+}
+VALID_REVISIONS = {revision for revision, text in TEXTS.items() if not load_configuration(text)[1]}
 
 
 @given(st.lists(st.sampled_from(sorted(TEXTS)), max_size=30))
-def test_agrees_with_the_highest_valid_revision_seen(offers: list[int]) -> None:
-    adopter, seen = Adopter(), []
-    for revision in offers:
-        before = adopter.revision
+def test_active_revision_is_the_highest_valid_one_offered(revisions: list[int]) -> None:
+    adopter, offered = Adopter(), []
+    for revision in revisions:
+        previous_revision = adopter.revision
         adopter.offer(Published(revision, TEXTS[revision]))
-        assert adopter.revision >= before
-        seen.append(revision)
-    assert adopter.revision == max([0, *(VALID & set(seen))])
+        assert adopter.revision >= previous_revision
+        offered.append(revision)
+    assert adopter.revision == max([0, *(VALID_REVISIONS & set(offered))])
     if adopter.configuration is not None:
         assert adopter.configuration.revision == adopter.revision
 
 
-def test_each_outcome_is_told() -> None:
+def test_each_result_of_an_offer_is_returned() -> None:
     adopter = Adopter()
     assert adopter.offer(Published(2, TEXTS[2])) is Adoption.ADOPTED
     assert adopter.offer(Published(2, TEXTS[2])) is Adoption.KNOWN
