--- a/cleatlink/core/routes.py
+++ b/cleatlink/core/routes.py
@@ -66,8 +66,8 @@
         event_gap_s: Latency target for the time between two events.
         patience_s: Time without an event after which callers abandon a stream, also before
             its first event.
-        heeded_share: Fraction of a caller's remaining time; the caller honours a retry time
-            (``Retry-After``) only up to this limit.
+        heeded_share: Largest retry time (``Retry-After``) that a caller follows, as a fraction of
+            its remaining time.
         public: Whether callers need no key, even if the table has organisations.
     """
 
