--- a/cleatlink/core/labels.py
+++ b/cleatlink/core/labels.py
@@ -1,4 +1,4 @@
-"""Label selectors in the equality-based and set-based syntax of Kubernetes.
+"""Label selectors in the usual equality-based and set-based syntax.
 
 A selector is a comma-separated list of requirements, all of which must be met::
 
@@ -71,7 +71,7 @@
 def match(selector: Selector, labels: Mapping[str, str]) -> bool:
     """Check whether labels meet all requirements of a selector.
 
-    As in Kubernetes, ``!=`` and ``notin`` also match if the key is absent.
+    Both ``!=`` and ``notin`` also match if the key is absent.
     """
     return all(_is_met(requirement, labels) for requirement in selector.requirements)
 
