--- a/cleatlink/organisations/__init__.py
+++ b/cleatlink/organisations/__init__.py
@@ -1,4 +1,4 @@
-"""Organisations: their keys and their limits over all instances; no I/O, no clock."""
+"""API keys and rate limits of organisations, shared by all instances; no I/O, no clock."""
 
 from cleatlink.organisations.gate import NOBODY, Holder, OrganisationGate
 from cleatlink.organisations.keys import KeyTable, read_key
--- a/cleatlink/organisations/early_levels_test.py
+++ b/cleatlink/organisations/early_levels_test.py
@@ -1,4 +1,4 @@
-"""What an instance that starts hears of limits before it has its first route table."""
+"""Limit levels and totals that a starting instance receives before its first route table."""
 
 import pytest
 
@@ -11,33 +11,33 @@
 ORGANISATION = Organisation("a", (), None, TokenLimit(RATE, BURST, counts_tokens=True))
 
 
-def start() -> OrganisationLimits:
-    """Start an instance without a table."""
+def limits_without_table() -> OrganisationLimits:
+    """Return the limits of an instance that has no route table yet."""
     return OrganisationLimits(EXACT, 0.0)
 
 
 def level(limits: OrganisationLimits, now: float) -> float:
-    """Give what is left of the organisation's limit."""
+    """Return the units left in the organisation's bucket."""
     return limits.ask(ORGANISATION, 1, now).level
 
 
-def test_level_told_before_the_table_is_kept() -> None:
-    """What peers told to who starts was lost if its table came later: half a burst passed anew."""
-    limits = start()
+def test_level_received_before_the_table_is_kept() -> None:
+    """Guards against dropping levels that arrive first: half a burst would be admitted again."""
+    limits = limits_without_table()
     limits.adopt({"a": -30.0}, 500.0, 1.0)
     limits.use_table([ORGANISATION])
     assert level(limits, 1.5) == pytest.approx(-30.0 + 0.5 * RATE)
 
 
-def test_level_told_before_the_table_is_no_more_than_the_burst() -> None:
-    limits = start()
+def test_level_received_before_the_table_is_capped_at_the_burst() -> None:
+    limits = limits_without_table()
     limits.adopt({"a": 1_000.0}, 500.0, 1.0)
     limits.use_table([ORGANISATION])
     assert level(limits, 1.5) == BURST
 
 
-def test_what_peers_take_before_the_table_is_taken_out() -> None:
-    limits = start()
+def test_units_spent_by_peers_before_the_table_are_deducted() -> None:
+    limits = limits_without_table()
     limits.take_totals(PeerTotals("n1", 1, {"a": 400}, 1, 500.0), 1.0)
     limits.adopt({"a": 60.0}, 500.0, 1.0)
     limits.take_totals(PeerTotals("n1", 1, {"a": 450}, 1, 500.5), 1.5)
@@ -45,9 +45,9 @@
     assert level(limits, 2.0) == pytest.approx(60.0 - 50.0 + RATE)
 
 
-def test_level_of_a_name_without_a_limit_is_of_no_use() -> None:
-    limits = start()
+def test_received_level_is_ignored_for_an_organisation_without_a_limit() -> None:
+    limits = limits_without_table()
     limits.adopt({"a": -30.0}, 500.0, 1.0)
-    free = ORGANISATION._replace(limit=None)
-    limits.use_table([free])
-    assert limits.ask(free, 10**9, 1.0).granted
+    unlimited = ORGANISATION._replace(limit=None)
+    limits.use_table([unlimited])
+    assert limits.ask(unlimited, 10**9, 1.0).granted
--- a/cleatlink/organisations/gate.py
+++ b/cleatlink/organisations/gate.py
@@ -1,4 +1,4 @@
-"""Decides whose request it is, and whether it may pass: keys, then limits."""
+"""Identifies the organisation behind a request by its API key, and holds the rate limits."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -12,11 +12,11 @@
 
 
 class Holder(NamedTuple):
-    """Who sent a request.
+    """The identity of a request's caller.
 
     Attributes:
-        organisation: The organisation that holds its key; None on a public route.
-        digest: Digest of the key that it came with.
+        organisation: Organisation that owns the request's key; None for an anonymous request.
+        digest: Digest of the request's key.
     """
 
     organisation: Organisation | None
@@ -24,7 +24,7 @@
 
     @property
     def name(self) -> str:
-        """Name of the organisation; empty for none."""
+        """Name of the organisation; empty if there is none."""
         return self.organisation.name if self.organisation is not None else ""
 
 
@@ -32,7 +32,7 @@
 
 
 class OrganisationGate:
-    """The organisations of the route table in force; without any, everybody passes."""
+    """Checks keys against the active route table; accepts all requests if keys are not used."""
 
     def __init__(self, limits: OrganisationLimits) -> None:
         self._keys: KeyTable | None = None
@@ -40,20 +40,20 @@
 
     @property
     def judges_keys(self) -> bool:
-        """Whether requests carry keys that are this fleet's to judge."""
+        """Whether the active route table lists organisations, so that keys are checked."""
         return self._keys is not None
 
     def use_table(self, organisations: Iterable[Organisation] | None) -> None:
-        """Use the organisations of a table."""
-        found = tuple(organisations or ())
-        self._keys = None if organisations is None else KeyTable(found)
-        self.limits.use_table(found)
+        """Replace the keys and limits by those of a route table; None turns key checks off."""
+        listed = tuple(organisations or ())
+        self._keys = None if organisations is None else KeyTable(listed)
+        self.limits.use_table(listed)
 
     def identify(self, credentials: Iterable[bytes], route: Route) -> Holder | None:
-        """Give who sent a request; None if nobody who may call this route.
+        """Return the caller's identity; None if the caller may not use this route.
 
         Args:
-            credentials: Values of the headers that carry a key.
+            credentials: Values of the request's Authorization headers.
             route: The request's route.
         """
         if self._keys is None:
@@ -66,8 +66,8 @@
         return Holder(organisation, digest)
 
     def still_holds(self, holder: Holder) -> bool:
-        """Tell whether a key that a request came with has not been taken away since."""
+        """Check whether the request's key still belongs to the same organisation."""
         if self._keys is None or holder.organisation is None:
             return True
-        found = self._keys.find(holder.digest)
-        return found is not None and found.name == holder.name
+        owner = self._keys.find(holder.digest)
+        return owner is not None and owner.name == holder.name
--- a/cleatlink/organisations/keys.py
+++ b/cleatlink/organisations/keys.py
@@ -1,4 +1,4 @@
-"""Leads from a caller's key to its organisation."""
+"""Parses callers' API keys and looks up the organisations that own them."""
 
 from collections.abc import Iterable
 
@@ -7,33 +7,33 @@
 __all__ = ["KeyTable", "read_key"]
 
 _SCHEME = b"bearer"
-# Far above any key; a longer one is refused before it is hashed.
-_MOST_KEY_BYTES = 512
+# Well above the length of any key; a longer value is rejected before it is hashed.
+_MAX_KEY_BYTES = 512
 
 
 def read_key(credentials: Iterable[bytes]) -> bytes | None:
-    """Read the key out of a request's credentials.
+    """Parse the API key from a request's credentials.
 
     Args:
-        credentials: Values of all its headers of that name.
+        credentials: Values of all Authorization headers of the request.
 
     Returns:
-        The key; None if there is no key, more than one header, another scheme or no
-        well-formed value: nobody can tell whose such a request is.
+        The key; None if there is no header or more than one, if the scheme is not Bearer, or
+        if the value is malformed: such a request can't be attributed to an organisation.
     """
     values = list(credentials)
     if len(values) != 1:
         return None
     scheme, _, key = values[0].strip().partition(b" ")
     key = key.strip(b" ")
-    is_one_word = bool(key) and not any(mark in key for mark in (b" ", b"\t", b","))
-    if scheme.lower() != _SCHEME or not is_one_word or len(key) > _MOST_KEY_BYTES:
+    is_single_token = bool(key) and not any(separator in key for separator in (b" ", b"\t", b","))
+    if scheme.lower() != _SCHEME or not is_single_token or len(key) > _MAX_KEY_BYTES:
         return None
     return key
 
 
 class KeyTable:
-    """The keys of one route table."""
+    """Maps the key digests of one route table to their organisations."""
 
     def __init__(self, organisations: Iterable[Organisation]) -> None:
         self._by_digest = {
@@ -46,5 +46,5 @@
         return len(self._by_digest)
 
     def find(self, digest: bytes) -> Organisation | None:
-        """Give the organisation that holds a key, by the key's digest."""
+        """Return the organisation that owns the key with this digest; None if there is none."""
         return self._by_digest.get(digest)
--- a/cleatlink/organisations/keys_test.py
+++ b/cleatlink/organisations/keys_test.py
@@ -1,4 +1,4 @@
-"""Keys: how they are read, and whose they are."""
+"""Parsing of API keys, and lookup of the organisations that own them."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 @pytest.mark.parametrize(
     "value", [b"Bearer k1", b"bearer k1", b"BEARER k1", b"  Bearer  k1 ", b"Bearer k1\t"]
 )
-def test_key_is_read(value: bytes) -> None:
+def test_bearer_key_is_parsed(value: bytes) -> None:
     assert read_key([value]) == b"k1"
 
 
@@ -32,11 +32,11 @@
         [b"Bearer k1", b"Basic x"],
     ],
 )
-def test_what_is_no_single_key_is_none(values: list[bytes]) -> None:
+def test_credentials_without_exactly_one_bearer_key_are_rejected(values: list[bytes]) -> None:
     assert read_key(values) is None
 
 
-def test_key_leads_to_its_organisation() -> None:
+def test_key_digest_finds_its_organisation() -> None:
     first = Organisation("first", (digest_key(b"k1"), digest_key(b"k2")))
     second = Organisation("second", (digest_key(b"\xff\x00"),))
     table = KeyTable([first, second])
@@ -48,7 +48,7 @@
     assert table.find(digest_key(b"")) is None
 
 
-def test_no_key_is_kept_in_the_clear() -> None:
+def test_keys_are_not_kept_in_plain_text() -> None:
     organisation = Organisation("first", (digest_key(b"secret-key"),))
     assert "secret" not in repr(organisation)
     assert "secret" not in repr(vars(KeyTable([organisation])))
--- a/cleatlink/organisations/limits.py
+++ b/cleatlink/organisations/limits.py
@@ -1,4 +1,4 @@
-"""Keeps each organisation within its limit, over all instances together."""
+"""Enforces each organisation's rate limit across all instances."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -8,26 +8,26 @@
 
 __all__ = ["Admission", "LimitTolerance", "OrganisationLimits"]
 
-# Part of a burst that an instance begins with. Nobody may remember what was spent before; with
-# half of a burst, all instances that start at once let pass no more than the tolerance of a
-# usual limit, and a fleet that starts calm refuses nobody.
-_START_SHARE = 0.5
-# Part of the tolerance that is left for what is on its way between instances; the model's
-# fullest windows need no more.
-_NEWS_SHARE = 0.1
-# A bucket that is emptier than this part of its burst is told of at once.
-_SHORT_SHARE = 0.5
-# The shortest time to come back, in seconds: sooner, nothing has changed.
-_MIN_RETRY_S = 0.1
+# Share of the burst in each bucket when an instance starts. No peer may know what was spent
+# before. With half of a burst, instances that all start at once exceed a typical limit by no more
+# than its tolerance, and a fleet that starts under light load rejects no requests.
+_INITIAL_LEVEL_SHARE = 0.5
+# Share of the tolerance reserved for totals in transit between instances; the windows with the
+# most admitted units in the model need no more.
+_IN_TRANSIT_SHARE = 0.1
+# A bucket below this share of its burst is reported to the peers immediately.
+_LOW_LEVEL_SHARE = 0.5
+# Shortest retry time sent to a caller: an earlier retry would find the bucket unchanged.
+_MIN_RETRY_AFTER_S = 0.1
 
 
 class LimitTolerance(NamedTuple):
-    """By how much all instances together may pass a limit while they can't hear each other.
+    """How far all instances together may exceed a limit while they can't reach each other.
 
     Attributes:
-        overshoot: Part of the limit.
-        slack: Units beyond that within a window.
-        window_s: The window, in seconds.
+        overshoot: Allowed excess, as a share of the limit.
+        slack: Units allowed in addition within a window.
+        window_s: Length of the window, in seconds.
     """
 
     overshoot: float = 0.25
@@ -35,28 +35,28 @@
     window_s: float = 8.0
 
     def lenient(self, limit: TokenLimit) -> RateLimit:
-        """Give a limit with what of the tolerance organisations can be given.
+        """Return the limit raised by the part of the tolerance that organisations may use.
 
-        What is counted a little late or never runs must refuse nothing below a limit. The rest
-        of the tolerance is for the two sides of a cut, which both let pass the whole limit until
-        they notice.
+        Requests that are counted late, or counted but never run, must not cause rejections below
+        the limit. The rest of the tolerance covers network partitions: each side admits the whole
+        limit until it detects the partition.
         """
         window_s = self.window_s
         tolerance = self.overshoot * (limit.rate * window_s + limit.burst) + self.slack
-        unnoticed = HEARD_S * limit.rate
-        given = ((1 - _NEWS_SHARE) * tolerance - unnoticed) / (1 + HEARD_S / window_s)
-        return RateLimit(limit.rate + max(0.0, given) / window_s, limit.burst)
+        undetected = HEARD_S * limit.rate
+        usable = ((1 - _IN_TRANSIT_SHARE) * tolerance - undetected) / (1 + HEARD_S / window_s)
+        return RateLimit(limit.rate + max(0.0, usable) / window_s, limit.burst)
 
 
 class Admission(NamedTuple):
-    """Whether a request is within its organisation's limit, and what that was decided on.
+    """Whether a request is within its organisation's limit, with the figures behind the decision.
 
     Attributes:
-        granted: Whether it is.
-        cost: Units of the request.
-        level: Units that were left in the bucket before it.
-        share: Part of the limit that was in force here.
-        retry_after_s: Seconds until the bucket has what the request needs; 0 if granted.
+        granted: Whether the request is within the limit.
+        cost: Units that the request costs.
+        level: Units in the bucket before the request.
+        share: Share of the limit that this instance enforced.
+        retry_after_s: Seconds until the bucket holds the units that are needed; 0 if granted.
     """
 
     granted: bool
@@ -70,22 +70,22 @@
     """The limits of all organisations, as seen by one instance."""
 
     def __init__(self, tolerance: LimitTolerance, now: float) -> None:
-        """Begin without anything heard.
+        """Start without any totals or levels from peers.
 
         Args:
-            tolerance: What may be let pass beyond the limits in a cut.
-            now: The time.
+            tolerance: How far the limits may be exceeded during a network partition.
+            now: The current time.
         """
         super().__init__(now)
         self._tolerance = tolerance
         self._limits: dict[str, TokenLimit] = {}
 
     def change_tolerance(self, tolerance: LimitTolerance) -> None:
-        """Use another tolerance."""
+        """Replace the tolerance."""
         self._tolerance = tolerance
 
     def use_table(self, organisations: Iterable[Organisation]) -> None:
-        """Use the limits of a table; what was spent stays spent, and totals never fall."""
+        """Apply the limits of a route table; spent units stay counted, and totals never fall."""
         self._limits = {item.name: item.limit for item in organisations if item.limit is not None}
 
     def _find_limit(self, name: str) -> RateLimit | None:
@@ -93,20 +93,20 @@
         return None if limit is None else self._tolerance.lenient(limit)
 
     def _first_bucket(self, limit: RateLimit, now: float) -> Bucket:
-        """Give a bucket that has filled since the start: nobody asked before."""
-        return Bucket(limit, _START_SHARE * limit.burst, self._age_from)
+        """Return a bucket that has been filling since the start: it has had no request yet."""
+        return Bucket(limit, _INITIAL_LEVEL_SHARE * limit.burst, self._age_from)
 
     def ask(self, organisation: Organisation, tokens: int, now: float) -> Admission:
-        """Let a request pass if its organisation's bucket has what it needs.
+        """Admit a request if its organisation's bucket holds the units that it needs.
 
-        One that is larger than the burst passes when the bucket is full, and what is asked for
-        next waits for longer. Small requests pass while a large one has to wait: if it could
-        overdraw the bucket, all of them would be refused until it is made up for.
+        A request larger than the burst is admitted when the bucket is full; it overdraws the
+        bucket, and later requests wait longer. Otherwise a large request can't overdraw it, since
+        all small requests would then be rejected until the bucket has refilled.
 
         Args:
-            organisation: Whose request it is.
-            tokens: Tokens of its prompt and the most of its answer; 0 if it tells none.
-            now: The time.
+            organisation: Organisation that sent the request.
+            tokens: Prompt tokens plus the maximum of output tokens; 0 if the request states none.
+            now: The current time.
         """
         limit = self._limits.get(organisation.name)
         bucket = self._bucket(organisation.name, now)
@@ -118,21 +118,21 @@
         if level >= needed:
             bucket.take(cost, now)
             return Admission(True, cost, level, self._share)
-        retry_after_s = max(_MIN_RETRY_S, self._fills_in_s(bucket, needed))
+        retry_after_s = max(_MIN_RETRY_AFTER_S, self._fills_in_s(bucket, needed))
         return Admission(False, cost, level, self._share, retry_after_s)
 
     def give_back(self, organisation: Organisation, cost: int) -> None:
-        """Give back what was granted to a request that did not run."""
+        """Refund the units of an admitted request that did not run."""
         bucket = self._buckets.get(organisation.name)
         if bucket is not None:
             bucket.give_back(cost)
 
     def spent(self, organisation: Organisation) -> int:
-        """Give the units that this instance let pass since its start."""
+        """Return the units that this instance has admitted since its start."""
         bucket = self._buckets.get(organisation.name)
         return bucket.total if bucket is not None else 0
 
     def is_short(self, organisation: Organisation) -> bool:
-        """Tell whether little is left of a limit, so that peers should hear of it at once."""
+        """Check whether the bucket is low enough to be reported to peers immediately."""
         bucket = self._buckets.get(organisation.name)
-        return bucket is not None and bucket.level < _SHORT_SHARE * bucket.limit.burst
+        return bucket is not None and bucket.level < _LOW_LEVEL_SHARE * bucket.limit.burst
--- a/cleatlink/organisations/limits_test.py
+++ b/cleatlink/organisations/limits_test.py
@@ -1,4 +1,4 @@
-"""Limits over several instances: what passes, what is refused, and what peers account for."""
+"""Limits shared by several instances: admissions, rejections and the accounting of peers."""
 
 import math
 from typing import Any
@@ -12,7 +12,7 @@
 from cleatlink.organisations import LimitTolerance, OrganisationLimits
 
 EXACT = LimitTolerance(0.0, 0.0, 8.0)
-USUAL = LimitTolerance(0.25, 10_000.0, 8.0)
+TYPICAL = LimitTolerance(0.25, 10_000.0, 8.0)
 RATE, BURST = 1000.0, 2000.0
 
 
@@ -23,7 +23,7 @@
 
 
 class Instance:
-    """One instance, with the incarnation that its start gives it."""
+    """One instance, with an incarnation number derived from its start time."""
 
     def __init__(self, name: str, now: float, tolerance: LimitTolerance = EXACT) -> None:
         self.name = name
@@ -34,7 +34,7 @@
     def ask(self, tokens: int, now: float) -> bool:
         return self.limits.ask(organisation(), tokens, now).granted
 
-    def told(self, now: float, *, whole: bool = False) -> PeerTotals:
+    def totals_message(self, now: float, *, whole: bool = False) -> PeerTotals:
         limits = self.limits
         totals, age_s = limits.totals(now, whole=whole), limits.age_s(now)
         return PeerTotals(self.name, self.incarnation, totals, limits.spenders, age_s)
@@ -43,21 +43,21 @@
         return self.limits.levels(now).get("a", BURST)
 
 
-def test_request_that_tells_no_tokens_counts_as_set() -> None:
+def test_request_without_a_token_count_costs_the_default() -> None:
     limit = TokenLimit(1, 1, counts_tokens=True, default_tokens=200)
     assert (limit.cost(0), limit.cost(7)) == (200, 7)
     assert limit._replace(counts_tokens=False).cost(7000) == 1
 
 
-def test_without_a_limit_everything_passes() -> None:
+def test_organisation_without_a_limit_is_always_admitted() -> None:
     limits = OrganisationLimits(EXACT, 0.0)
-    free = Organisation("free", ())
-    limits.use_table([free])
-    assert all(limits.ask(free, 10**9, 0.0).granted for _ in range(100))
+    unlimited = Organisation("free", ())
+    limits.use_table([unlimited])
+    assert all(limits.ask(unlimited, 10**9, 0.0).granted for _ in range(100))
     assert limits.totals(0.0) == {}
 
 
-def test_time_to_come_back_is_when_the_bucket_has_what_is_needed() -> None:
+def test_retry_after_is_when_the_bucket_holds_the_needed_units() -> None:
     one = Instance("1", 0.0)
     assert one.ask(1900, 10.0)
     refused = one.limits.ask(organisation(), 1500, 10.0)
@@ -67,14 +67,14 @@
     assert one.ask(1500, 10.0 + refused.retry_after_s)
 
 
-def test_small_requests_pass_while_a_large_one_has_to_wait() -> None:
+def test_small_requests_are_admitted_while_a_large_one_is_rejected() -> None:
     one = Instance("1", 0.0)
     assert one.ask(1500, 10.0)
     assert not one.ask(1500, 10.0)
     assert all(one.ask(20, 10.0 + 0.01 * step) for step in range(10))
 
 
-def test_request_larger_than_the_burst_passes_when_the_bucket_is_full() -> None:
+def test_request_larger_than_the_burst_is_admitted_when_the_bucket_is_full() -> None:
     one = Instance("1", 0.0)
     assert one.ask(5000, 10.0)
     assert not one.ask(20, 10.0)
@@ -82,44 +82,44 @@
     assert one.ask(20, 13.1)
 
 
-def test_what_did_not_run_is_given_back_here_and_is_not_told_twice() -> None:
+def test_refunded_units_are_not_reported_to_peers_twice() -> None:
     one, two = Instance("1", 0.0), Instance("2", 0.0)
     assert one.ask(1900, 10.0)
     one.limits.give_back(organisation(), 1900)
     assert one.ask(1900, 10.0)
-    two.limits.take_totals(one.told(10.0), 10.0)
-    assert one.told(10.0).totals == {"a": 1900}
+    two.limits.take_totals(one.totals_message(10.0), 10.0)
+    assert one.totals_message(10.0).totals == {"a": 1900}
 
 
-def test_totals_that_are_doubled_late_or_lost_change_nothing_for_good() -> None:
+def test_duplicated_late_or_lost_totals_do_not_corrupt_the_level() -> None:
     one, two = Instance("1", 0.0), Instance("2", 0.0)
     for step in range(4):
-        two.limits.take_totals(one.told(0.5 * step), 0.5 * step)
-    told = []
+        two.limits.take_totals(one.totals_message(0.5 * step), 0.5 * step)
+    messages = []
     for step in range(5):
         assert one.ask(100, 2.0 + 0.1 * step)
-        told.append(one.told(2.0 + 0.1 * step))
-    for message in (told[4], told[1], told[4], told[0]):
+        messages.append(one.totals_message(2.0 + 0.1 * step))
+    for message in (messages[4], messages[1], messages[4], messages[0]):
         two.limits.take_totals(message, 2.5)
     assert two.level(2.5) == pytest.approx(BURST - 500)
 
 
-def test_peer_that_starts_anew_is_accounted_for_from_its_start() -> None:
+def test_restarted_peer_is_accounted_for_from_its_start() -> None:
     one, two = Instance("1", 0.0), Instance("2", 0.0)
     for step in range(8):
-        two.limits.take_totals(one.told(step), step)
+        two.limits.take_totals(one.totals_message(step), step)
     assert one.ask(1500, 7.5)
-    two.limits.take_totals(one.told(7.5), 7.5)
-    again = Instance("1", 8.0)
-    assert again.ask(400, 8.0)
-    two.limits.take_totals(again.told(8.0), 8.0)
+    two.limits.take_totals(one.totals_message(7.5), 7.5)
+    restarted = Instance("1", 8.0)
+    assert restarted.ask(400, 8.0)
+    two.limits.take_totals(restarted.totals_message(8.0), 8.0)
     assert two.level(8.0) == pytest.approx(min(BURST, BURST - 1500 + 500) - 400)
-    # What the earlier life told and comes late is not taken for the new one's.
-    two.limits.take_totals(one.told(7.5), 8.0)
+    # A delayed message of the earlier incarnation is not attributed to the new one.
+    two.limits.take_totals(one.totals_message(7.5), 8.0)
     assert two.level(8.0) == pytest.approx(BURST - 1400)
 
 
-def test_instance_that_starts_takes_over_what_is_left_from_the_oldest_peer() -> None:
+def test_starting_instance_adopts_levels_of_the_oldest_peer() -> None:
     old, new = Instance("old", 0.0), Instance("new", 10.0)
     assert old.ask(1900, 10.0)
     new.limits.adopt(old.limits.levels(10.0), old.limits.age_s(10.0), 10.0)
@@ -130,29 +130,29 @@
     assert new.level(10.0) == pytest.approx(100)
 
 
-def test_instance_that_hears_a_part_has_that_part_of_the_limit() -> None:
+def test_instance_that_reaches_part_of_the_fleet_enforces_that_share_of_the_limit() -> None:
     one = Instance("1", 0.0)
     one.limits.note_heard(0.5, 0.0)
     assert one.ask(2000, 4.0)
     assert one.level(5.0) == pytest.approx(0.5 * RATE)
 
 
-def test_what_was_spent_behind_a_cut_is_not_charged_when_it_heals() -> None:
+def test_units_spent_across_a_partition_are_not_charged_when_it_heals() -> None:
     one, two = Instance("1", 0.0), Instance("2", 0.0)
-    two.limits.take_totals(one.told(0.0), 0.0)
+    two.limits.take_totals(one.totals_message(0.0), 0.0)
     assert two.ask(20, 0.0)
     two.limits.note_heard(0.5, 2.0)
     assert one.ask(1500, 5.0)
     two.limits.note_heard(1.0, 6.0)
     before = two.level(6.0)
-    two.limits.take_totals(one.told(6.0), 6.0)
+    two.limits.take_totals(one.totals_message(6.0), 6.0)
     assert two.level(6.0) == before
     assert one.ask(100, 6.1)
-    two.limits.take_totals(one.told(6.2), 6.2)
+    two.limits.take_totals(one.totals_message(6.2), 6.2)
     assert two.level(6.2) == pytest.approx(min(BURST, before + 200) - 100)
 
 
-def test_limit_that_is_cut_or_raised_holds_at_once() -> None:
+def test_lowered_or_raised_limit_applies_immediately() -> None:
     one = Instance("1", 0.0)
     assert one.ask(20, 10.0)
     lower, higher = organisation(100, 200), organisation(1000, 2000)
@@ -163,7 +163,7 @@
     assert one.limits.ask(higher, 1800, 10.0).granted
 
 
-def test_a_hot_organisation_takes_nothing_from_another() -> None:
+def test_overloaded_organisation_does_not_affect_another() -> None:
     one = OrganisationLimits(EXACT, 0.0)
     hot, other = organisation(name="hot"), organisation(name="other")
     one.use_table([hot, other])
@@ -186,119 +186,122 @@
 
 @settings(max_examples=120, deadline=None)
 @given(requests, st.randoms(use_true_random=False))
-def test_bound_holds_over_three_instances_whatever_happens(
+def test_three_instances_stay_within_the_bound_under_restarts_and_partitions(
     steps: list[tuple[float, int, int, str]], rng: Any
 ) -> None:
-    """Requests, restarts and cuts in any order; datagrams are lost, late and doubled."""
-    passed = play(steps, rng)
-    allowed = RATE * USUAL.window_s + BURST
-    bound = allowed * (1 + USUAL.overshoot) + USUAL.slack
-    # Each start may let pass a part of a burst, and each cut a whole limit until it is noticed.
+    """Run any mix of requests, restarts and partitions, with lost, late and doubled datagrams."""
+    admitted = run_steps(steps, rng)
+    allowed = RATE * TYPICAL.window_s + BURST
+    bound = allowed * (1 + TYPICAL.overshoot) + TYPICAL.slack
+    # Each start may admit a share of a burst, each partition a whole limit until it is detected.
     restarts = sum(kind == "restart" for _, _, _, kind in steps)
-    cuts = sum(kind == "cut" for _, _, _, kind in steps)
-    lenient = USUAL.lenient(organisation().limit or TokenLimit(0, 0))
-    bound += restarts * lenient.burst + cuts * 2 * HEARD_S * lenient.rate
-    assert fullest_window(passed, USUAL.window_s) <= bound
+    partitions = sum(kind == "cut" for _, _, _, kind in steps)
+    lenient = TYPICAL.lenient(organisation().limit or TokenLimit(0, 0))
+    bound += restarts * lenient.burst + partitions * 2 * HEARD_S * lenient.rate
+    assert max_tokens_in_window(admitted, TYPICAL.window_s) <= bound
 
 
 class Network:
-    """Three instances; instance 2 may be cut off, and every datagram may go wrong."""
+    """Three instances; instance 2 may be partitioned; datagrams may be lost, late or doubled."""
 
     def __init__(self, rng: Any) -> None:
         self.rng = rng
-        self.fleet = [Instance(str(number), 0.0, USUAL) for number in range(3)]
-        self.is_cut = False
-        self.cut_at = math.inf
-        self.late: list[tuple[int, PeerTotals]] = []
+        self.fleet = [Instance(str(number), 0.0, TYPICAL) for number in range(3)]
+        self.is_partitioned = False
+        self.partitioned_at = math.inf
+        self.delayed: list[tuple[int, PeerTotals]] = []
 
-    def tell(self, sender: int, now: float) -> None:
+    def send_totals(self, sender: int, now: float) -> None:
         for receiver in range(3):
-            crosses = 2 in (sender, receiver)
-            if receiver == sender or (self.is_cut and crosses):
+            is_across_partition = 2 in (sender, receiver)
+            if receiver == sender or (self.is_partitioned and is_across_partition):
                 continue
-            message = self.fleet[sender].told(now)
-            fate = self.rng.random()
-            if fate < 0.1:
-                self.late.append((receiver, message))
-            elif fate > 0.15:
-                for _ in range(1 + (fate > 0.9)):
+            message = self.fleet[sender].totals_message(now)
+            draw = self.rng.random()
+            if draw < 0.1:
+                self.delayed.append((receiver, message))
+            elif draw > 0.15:
+                for _ in range(1 + (draw > 0.9)):
                     self.fleet[receiver].limits.take_totals(message, now)
-        while self.late and self.rng.random() < 0.3:
-            receiver, message = self.late.pop()
-            if not (self.is_cut and 2 in (receiver, int(message.name))):
+        while self.delayed and self.rng.random() < 0.3:
+            receiver, message = self.delayed.pop()
+            if not (self.is_partitioned and 2 in (receiver, int(message.name))):
                 self.fleet[receiver].limits.take_totals(message, now)
 
     def note_heard(self, now: float) -> None:
-        noticed = self.is_cut and now - self.cut_at > HEARD_S
+        detected = self.is_partitioned and now - self.partitioned_at > HEARD_S
         for number, instance in enumerate(self.fleet):
-            share = (1 / 3 if number == 2 else 2 / 3) if noticed else 1.0
+            share = (1 / 3 if number == 2 else 2 / 3) if detected else 1.0
             instance.limits.note_heard(share, now)
 
 
-def play(steps: list[tuple[float, int, int, str]], rng: Any) -> list[tuple[float, int]]:
-    """Play steps; gives what passed and when."""
+def run_steps(steps: list[tuple[float, int, int, str]], rng: Any) -> list[tuple[float, int]]:
+    """Run the steps; return the time and the tokens of each admitted request."""
     network = Network(rng)
-    now, beat_at = 0.0, 0.0
-    passed = []
-    for pause_s, number, tokens, kind in steps:
-        now += pause_s
-        while beat_at <= now:
+    now, heartbeat_at = 0.0, 0.0
+    admitted = []
+    for delay_s, number, tokens, kind in steps:
+        now += delay_s
+        while heartbeat_at <= now:
             for sender in range(3):
-                network.tell(sender, beat_at)
-            network.note_heard(beat_at)
-            beat_at += 0.5
+                network.send_totals(sender, heartbeat_at)
+            network.note_heard(heartbeat_at)
+            heartbeat_at += 0.5
         if kind == "restart":
-            network.fleet[number] = Instance(str(number), now, USUAL)
+            network.fleet[number] = Instance(str(number), now, TYPICAL)
         elif kind in ("cut", "heal"):
-            if kind == "cut" and not network.is_cut:
-                network.cut_at = now
-            network.is_cut = kind == "cut"
+            if kind == "cut" and not network.is_partitioned:
+                network.partitioned_at = now
+            network.is_partitioned = kind == "cut"
         elif network.fleet[number].ask(tokens, now):
-            passed.append((now, tokens))
-            network.tell(number, now)
-    return passed
+            admitted.append((now, tokens))
+            network.send_totals(number, now)
+    return admitted
 
 
-def fullest_window(passed: list[tuple[float, int]], window_s: float) -> int:
-    """Give the most that passed within a window."""
+def max_tokens_in_window(admitted: list[tuple[float, int]], window_s: float) -> int:
+    """Return the largest number of tokens admitted within any window."""
     return max(
-        (sum(cost for at, cost in passed if start <= at < start + window_s) for start, _ in passed),
+        (
+            sum(cost for at, cost in admitted if start <= at < start + window_s)
+            for start, _ in admitted
+        ),
         default=0,
     )
 
 
 @settings(max_examples=100, deadline=None)
 @given(st.lists(st.tuples(st.floats(0.0, 1.0), st.integers(1, 3000)), max_size=80))
-def test_one_instance_decides_as_one_bucket_does(steps: list[tuple[float, int]]) -> None:
+def test_single_instance_decides_like_a_single_token_bucket(steps: list[tuple[float, int]]) -> None:
     one = Instance("1", 0.0)
     level, at, now = 0.5 * BURST, 0.0, 0.0
-    for pause_s, cost in steps:
-        now += pause_s
+    for delay_s, cost in steps:
+        now += delay_s
         level, at = min(BURST, level + RATE * (now - at)), now
         granted = level >= min(cost, BURST)
-        told = one.limits.ask(organisation(), cost, now)
+        admission = one.limits.ask(organisation(), cost, now)
         if abs(level - min(cost, BURST)) > 1e-6:
-            assert told.granted == granted
-        if told.granted:
+            assert admission.granted == granted
+        if admission.granted:
             level -= cost
 
 
-@pytest.mark.parametrize("fault", ["counts doubles", "forgets peers", "restarts at full"])
-def test_planted_faults_are_found(fault: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """What the checks above rest on shows when it is taken away."""
-    if fault == "counts doubles":
+@pytest.mark.parametrize("fault", ["counts duplicates", "forgets peers", "restarts at full"])
+def test_disabled_mechanisms_make_tests_fail(fault: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Break one mechanism at a time, and check that a test above fails."""
+    if fault == "counts duplicates":
 
         def grown(self: Any, known: dict[str, int], name: str, figure: int) -> int:
             return figure
 
         monkeypatch.setattr("cleatlink.limits.shared._PeerAccount.grown", grown)
         with pytest.raises(AssertionError):
-            test_totals_that_are_doubled_late_or_lost_change_nothing_for_good()
+            test_duplicated_late_or_lost_totals_do_not_corrupt_the_level()
     elif fault == "forgets peers":
         monkeypatch.setattr(OrganisationLimits, "take_totals", lambda *_: None)
         with pytest.raises(AssertionError):
-            test_totals_that_are_doubled_late_or_lost_change_nothing_for_good()
+            test_duplicated_late_or_lost_totals_do_not_corrupt_the_level()
     else:
-        monkeypatch.setattr("cleatlink.organisations.limits._START_SHARE", 1.0)
+        monkeypatch.setattr("cleatlink.organisations.limits._INITIAL_LEVEL_SHARE", 1.0)
         with pytest.raises(AssertionError):
-            test_one_instance_decides_as_one_bucket_does()
+            test_single_instance_decides_like_a_single_token_bucket()
