--- a/cleatlink/platform/__init__.py
+++ b/cleatlink/platform/__init__.py
@@ -1,4 +1,4 @@
-"""Adapter of one platform: names, formats and calls; it decides nothing."""
+"""Adapter for one platform: header names, data formats and store calls; it contains no policy."""
 
 from cleatlink.platform.names import PROTOCOL
 from cleatlink.platform.settings import SettingsError, load_settings
--- a/cleatlink/platform/boundary_test.py
+++ b/cleatlink/platform/boundary_test.py
@@ -1,4 +1,4 @@
-"""The adapter keeps the platform's names to itself, and decides nothing."""
+"""The platform's wire names appear only in the adapter, and the adapter contains no policy."""
 
 import ast
 import re
@@ -8,9 +8,9 @@
 
 ROOT = Path(cleatlink.__file__).parent
 FOLDER = ROOT / "platform"
-MOST_LINES = 600
-# Names of the wire that no other word of the field covers.
-WIRE = re.compile(
+MAX_LINES = 600
+# Wire names that are not common words, so that any match outside the adapter is a leak.
+WIRE_NAMES = re.compile(
     r"attempt-id|deadline-milliseconds|token-counts|prompt-prefix|length-hint|server-stamp"
     r"|expected-instance|not-executed|cache-source|cache-backup|kv-handle|kv-key|kv-range|kv-watch"
     r"|op/config|servers/|private_key|path_prefix=|target_latency_ms|fencing_token|prefill_handle\b"
@@ -18,32 +18,32 @@
     r"|cleatlink_boot|draining\"",
     re.IGNORECASE,
 )
-# What decides: placement, budgets, drivers. The adapter may import none of it.
+# Modules that make decisions (placement, budgets, drivers); the adapter must not import them.
 DECIDES = ("relay_place", "capacity", "shared_budget", "waiting", "stream", "plain", "service")
 
 
-def sources(folder: Path) -> list[Path]:
+def source_files(folder: Path) -> list[Path]:
     return [path for path in sorted(folder.rglob("*.py")) if not path.name.endswith("_test.py")]
 
 
-def test_names_of_the_wire_stand_only_in_the_folder() -> None:
-    faults = [
-        f"{path.relative_to(ROOT)}: {found.group(0)}"
-        for path in sources(ROOT)
+def test_wire_names_appear_only_in_the_adapter() -> None:
+    leaks = [
+        f"{path.relative_to(ROOT)}: {match.group(0)}"
+        for path in source_files(ROOT)
         if FOLDER not in path.parents
-        for found in WIRE.finditer(path.read_text())
+        for match in WIRE_NAMES.finditer(path.read_text())
     ]
-    assert faults == []
+    assert leaks == []
 
 
-def test_the_test_knows_names_of_the_wire() -> None:
-    text = "".join(path.read_text() for path in sources(FOLDER))
-    assert len({found.group(0).lower() for found in WIRE.finditer(text)}) > 15
+def test_pattern_matches_wire_names_of_the_adapter() -> None:
+    text = "".join(path.read_text() for path in source_files(FOLDER))
+    assert len({match.group(0).lower() for match in WIRE_NAMES.finditer(text)}) > 15
 
 
-def test_folder_is_small_and_imports_nothing_that_decides() -> None:
-    assert sum(len(path.read_text().splitlines()) for path in sources(FOLDER)) < MOST_LINES
-    for path in sources(FOLDER):
+def test_adapter_is_small_and_imports_no_policy_modules() -> None:
+    assert sum(len(path.read_text().splitlines()) for path in source_files(FOLDER)) < MAX_LINES
+    for path in source_files(FOLDER):
         for node in ast.walk(ast.parse(path.read_text())):
             if isinstance(node, ast.ImportFrom) and node.module:
                 assert node.module.rpartition(".")[2] not in DECIDES, path
--- a/cleatlink/platform/entries.py
+++ b/cleatlink/platform/entries.py
@@ -1,7 +1,7 @@
-"""Reads items of the platform's store, and the entries that workers write there of themselves.
+"""Parses items of the platform's store and the entries by which workers register themselves.
 
-Other writers may leave anything under the same keys. What can't be read names no worker, says
-why, and takes nothing from the others.
+Other writers may store arbitrary data under the same keys. An entry that can't be parsed yields a
+record without an endpoint, with the reason, and does not affect other entries.
 """
 
 from typing import Annotated, Any, Literal
@@ -18,7 +18,7 @@
 
 __all__ = [
     "CONFIG_KEY",
-    "WORKERS",
+    "WORKERS_PREFIX",
     "Item",
     "decode_value",
     "read_item",
@@ -26,70 +26,71 @@
 ]
 
 CONFIG_KEY = "op/config"
-WORKERS = "servers/"
-# Far above any entry; the largest configuration that the store takes fits its own bound.
-_MOST_ENTRY_BYTES = 65_536
-# Numbers that a JSON reader with doubles keeps whole.
-_MOST_NUMBER = 2**53
-_Count = Annotated[int, msgspec.Meta(ge=0, le=_MOST_NUMBER)]
-_Text = Annotated[str, msgspec.Meta(min_length=1, max_length=256)]
+WORKERS_PREFIX = "servers/"
+# Well above any entry; the configuration has its own limit, which the store's largest one fits.
+_MAX_ENTRY_BYTES = 65_536
+# Integers up to here are exact in JSON parsers that store numbers as doubles.
+_MAX_EXACT_INTEGER = 2**53
+_NonNegativeInteger = Annotated[int, msgspec.Meta(ge=0, le=_MAX_EXACT_INTEGER)]
+_ShortText = Annotated[str, msgspec.Meta(min_length=1, max_length=256)]
 
 
 class Item(msgspec.Struct):
-    """An item of the store as it was written, or that it is gone."""
+    """An item of the store as it was written; a deleted item has no value."""
 
     private_key: str
     revision: int
     value: msgspec.Raw | msgspec.UnsetType = msgspec.UNSET
 
     @property
-    def is_gone(self) -> bool:
-        """Whether there is no value any more."""
+    def is_deleted(self) -> bool:
+        """Whether the item was deleted."""
         return self.value is msgspec.UNSET
 
 
 class _Entry(msgspec.Struct):
-    """What a worker says of itself; all of it is always there but for the last three.
+    """A worker's own registration; all fields but the last three are required.
 
-    ``stage`` is the role of an engine, and ``born`` the Unix millisecond of this start.
+    ``stage`` is the role of an engine. ``born`` is the start time of the process, in Unix
+    milliseconds.
     """
 
-    service: _Text
-    address: _Text
-    zone: _Text
+    service: _ShortText
+    address: _ShortText
+    zone: _ShortText
     version: str
-    slots: Annotated[int, msgspec.Meta(ge=1, le=_MOST_NUMBER)]
+    slots: Annotated[int, msgspec.Meta(ge=1, le=_MAX_EXACT_INTEGER)]
     state: Literal["ready", "draining"]
     cold_remaining_ms: Annotated[float, msgspec.Meta(ge=0)]
-    sequence: _Count
+    sequence: _NonNegativeInteger
     stage: Literal["prefill", "decode"] | None = None
     models: list[dict[str, Any]] | None = None
-    born: _Count = 0
+    born: _NonNegativeInteger = 0
 
 
 def read_item(raw: msgspec.Raw) -> Item | None:
-    """Read an item; None if not even its key and revision can be read."""
+    """Parse an item; return None if its key or revision can't be parsed."""
     try:
         return decode_json(raw, Item)
     except UnreadableError:
         return None
 
 
-def decode_value(item: Item, most_bytes: int) -> bytes:
-    """Give the bytes of an item's value.
+def decode_value(item: Item, max_bytes: int) -> bytes:
+    """Decode the bytes of an item's value.
 
     Raises:
-        UnreadableError: It is too large, or not written as values are.
+        UnreadableError: The value is too large or is not a base64 string.
     """
-    assert item.value is not msgspec.UNSET, "it is not gone"
-    return decode_base64(decode_json(item.value, str), most_bytes)
+    assert item.value is not msgspec.UNSET, "a deleted item has no value"
+    return decode_base64(decode_json(item.value, str), max_bytes)
 
 
 def read_record(item: Item, era: int) -> EndpointRecord:
-    """Read a worker's entry as of an era; one that can't be used names no endpoint."""
-    name = item.private_key.removeprefix(WORKERS)
+    """Parse a worker's entry; the record of an invalid entry has a fault and no endpoint."""
+    name = item.private_key.removeprefix(WORKERS_PREFIX)
     revision = StoreRevision(era, item.revision)
-    if item.is_gone:
+    if item.is_deleted:
         return EndpointRecord(name, revision, None)
     try:
         return EndpointRecord(name, revision, _read_endpoint(name, item))
@@ -99,8 +100,8 @@
 
 def _read_endpoint(name: str, item: Item) -> RoutedEndpoint:
     if not name or "/" in name:
-        raise UnreadableError(FaultKind.KEY, "the key is no worker's")
-    entry = decode_json(decode_value(item, _MOST_ENTRY_BYTES), _Entry)
+        raise UnreadableError(FaultKind.KEY, "the key does not name a worker")
+    entry = decode_json(decode_value(item, _MAX_ENTRY_BYTES), _Entry)
     try:
         address = parse_address(entry.address)
     except ConfigurationError as error:
--- a/cleatlink/platform/entries_test.py
+++ b/cleatlink/platform/entries_test.py
@@ -1,4 +1,4 @@
-"""Whatever stands in the store, the entries that can be read are used, and the others are not."""
+"""Valid store entries are used and invalid ones are skipped, whatever data the store contains."""
 
 import base64
 import json
@@ -15,7 +15,7 @@
 from cleatlink.platform.tables import read_table
 from cleatlink.routing.fleet_records import EndpointRecord
 
-GOOD: dict[str, Any] = {
+VALID_ENTRY: dict[str, Any] = {
     "service": "s",
     "address": "10.0.0.1:8000",
     "zone": "a",
@@ -32,44 +32,46 @@
 )
 
 
-def item_of(value: bytes | str, key: str = "servers/i-1") -> msgspec.Raw:
-    """Write an item as the store gives it."""
+def encode_item(value: bytes | str, key: str = "servers/i-1") -> msgspec.Raw:
+    """Encode an item the way the store returns it."""
     text = base64.b64encode(value).decode() if isinstance(value, bytes) else value
     return msgspec.Raw(json.dumps({"private_key": key, "value": text, "revision": 7}).encode())
 
 
-def read(raw: msgspec.Raw) -> EndpointRecord:
+def parse_record(raw: msgspec.Raw) -> EndpointRecord:
     item = read_item(raw)
     assert item is not None
     return read_record(item, 0)
 
 
-def entry(**changes: Any) -> bytes:
-    """Write an entry with other fields; None leaves one out."""
-    fields = {**GOOD, **changes}
+def encode_entry(**changes: Any) -> bytes:
+    """Encode an entry with changed fields; None removes a field."""
+    fields = {**VALID_ENTRY, **changes}
     return json.dumps({key: value for key, value in fields.items() if value is not None}).encode()
 
 
-def test_good_entry() -> None:
-    record = read(item_of(entry(stage="decode", models=[{"name": "m"}], other=[1])))
+def test_valid_entry_yields_an_endpoint() -> None:
+    record = parse_record(
+        encode_item(encode_entry(stage="decode", models=[{"name": "m"}], other=[1]))
+    )
     assert record.fault is None
     assert record.endpoint is not None
     assert (record.endpoint.name, record.endpoint.answers_to) == ("i-1", "i-1")
 
 
-def test_lives_have_names_of_their_own_and_answer_to_one() -> None:
+def test_incarnations_have_distinct_names_but_the_same_instance_id() -> None:
     names = set()
     for born in (0, 1700000000000, 1700000000001):
-        endpoint = read(item_of(entry(born=born or None))).endpoint
+        endpoint = parse_record(encode_item(encode_entry(born=born or None))).endpoint
         assert endpoint is not None
         assert (endpoint.born, endpoint.answers_to) == (born, "i-1")
         names.add(endpoint.name)
     assert len(names) == 3
 
 
-@pytest.mark.parametrize("field", list(GOOD))
-def test_entry_without_a_field_names_no_endpoint(field: str) -> None:
-    record = read(item_of(entry(**{field: None})))
+@pytest.mark.parametrize("field", list(VALID_ENTRY))
+def test_entry_without_a_required_field_yields_no_endpoint(field: str) -> None:
+    record = parse_record(encode_item(encode_entry(**{field: None})))
     assert record.endpoint is None
     assert record.fault is not None
     assert record.fault.kind is FaultKind.FIELDS
@@ -104,28 +106,28 @@
     ],
     ids=str,
 )
-def test_field_of_another_type_or_out_of_range(changes: dict[str, Any]) -> None:
-    record = read(item_of(entry(**changes)))
+def test_field_of_the_wrong_type_or_out_of_range_is_rejected(changes: dict[str, Any]) -> None:
+    record = parse_record(encode_item(encode_entry(**changes)))
     assert (record.endpoint, record.fault is None) == (None, False)
 
 
 @pytest.mark.parametrize(
     ("raw", "kind"),
     [
-        (item_of(b"\xff\xfe\x00"), FaultKind.JSON),
-        (item_of(b'{"service":'), FaultKind.JSON),
-        (item_of(b"[]"), FaultKind.FIELDS),
-        (item_of(b"[" * 5000), FaultKind.FIELDS),
-        (item_of("no base64!"), FaultKind.ENCODING),
-        (item_of("AAA"), FaultKind.ENCODING),
-        (item_of(entry(version="v" * 100_000)), FaultKind.SIZE),
-        (item_of(entry(), "servers/"), FaultKind.KEY),
-        (item_of(entry(), "servers/a/b"), FaultKind.KEY),
+        (encode_item(b"\xff\xfe\x00"), FaultKind.JSON),
+        (encode_item(b'{"service":'), FaultKind.JSON),
+        (encode_item(b"[]"), FaultKind.FIELDS),
+        (encode_item(b"[" * 5000), FaultKind.FIELDS),
+        (encode_item("no base64!"), FaultKind.ENCODING),
+        (encode_item("AAA"), FaultKind.ENCODING),
+        (encode_item(encode_entry(version="v" * 100_000)), FaultKind.SIZE),
+        (encode_item(encode_entry(), "servers/"), FaultKind.KEY),
+        (encode_item(encode_entry(), "servers/a/b"), FaultKind.KEY),
         (msgspec.Raw(b'{"private_key":"servers/i-1","revision":1,"value":7}'), FaultKind.FIELDS),
     ],
 )
-def test_reason_is_told(raw: msgspec.Raw, kind: FaultKind) -> None:
-    record = read(raw)
+def test_record_of_an_invalid_entry_has_the_reason(raw: msgspec.Raw, kind: FaultKind) -> None:
+    record = parse_record(raw)
     assert record.endpoint is None
     assert record.fault is not None
     assert record.fault.kind is kind
@@ -133,27 +135,29 @@
 
 
 @given(st.binary(max_size=200))
-def test_any_bytes_raise_nothing(data: bytes) -> None:
+def test_arbitrary_bytes_raise_no_exception(data: bytes) -> None:
     read_item(msgspec.Raw(data))
-    read(item_of(data))
+    parse_record(encode_item(data))
 
 
 @given(JSON)
-def test_any_json_raises_nothing(value: Any) -> None:
+def test_arbitrary_json_raises_no_exception(value: Any) -> None:
     data = json.dumps(value).encode()
     read_item(msgspec.Raw(data))
-    read(item_of(data))
+    parse_record(encode_item(data))
 
 
-@given(st.dictionaries(st.sampled_from([*GOOD, "stage", "born", "models"]), JSON, max_size=4))
-def test_any_values_of_fields_raise_nothing(changes: dict[str, Any]) -> None:
-    record = read(item_of(entry(**changes)))
+@given(
+    st.dictionaries(st.sampled_from([*VALID_ENTRY, "stage", "born", "models"]), JSON, max_size=4)
+)
+def test_arbitrary_field_values_raise_no_exception(changes: dict[str, Any]) -> None:
+    record = parse_record(encode_item(encode_entry(**changes)))
     assert (record.endpoint is None) is (record.fault is not None)
 
 
 @given(JSON)
-def test_any_configuration_is_read_or_refused(value: Any) -> None:
-    item = read_item(item_of(json.dumps(value).encode(), "op/config"))
+def test_arbitrary_json_is_rejected_as_configuration(value: Any) -> None:
+    item = read_item(encode_item(json.dumps(value).encode(), "op/config"))
     assert item is not None
     with pytest.raises(PlatformError):
         read_table(item)
--- a/cleatlink/platform/names.py
+++ b/cleatlink/platform/names.py
@@ -1,4 +1,4 @@
-"""Header names and paths that the platform's callers and workers speak."""
+"""Header names, paths and field names of the platform's HTTP protocol."""
 
 from cleatlink.relay.endpoints.protocol import (
     EndpointPaths,
--- a/cleatlink/platform/settings.py
+++ b/cleatlink/platform/settings.py
@@ -1,4 +1,4 @@
-"""Reads the platform's settings file into the relay's settings."""
+"""Parses the platform's settings file into the relay's settings."""
 
 import tomllib
 from pathlib import Path
@@ -17,7 +17,7 @@
 
 
 class SettingsError(ConfigurationError):
-    """The settings file can't be used; ``faults`` has one sentence for each reason."""
+    """The settings file is invalid; ``faults`` has one sentence for each reason."""
 
     def __init__(self, faults: list[str]) -> None:
         super().__init__("; ".join(faults))
@@ -28,7 +28,7 @@
     """Load a settings file.
 
     Raises:
-        SettingsError: It can't be read, or something in it is missing or wrong.
+        SettingsError: The file can't be read, or a setting is missing or invalid.
     """
     try:
         tables = tomllib.loads(path.read_text("utf-8"))
@@ -38,10 +38,10 @@
 
 
 def read_settings(tables: dict[str, Any], metrics_listen: Address | None = None) -> RelaySettings:
-    """Read settings from tables.
+    """Build the settings from the tables of a parsed settings file.
 
     Raises:
-        SettingsError: Something is missing or wrong.
+        SettingsError: A setting is missing or invalid.
     """
     reader = TableReader(tables)
     ports = reader.list("internal_ports")
@@ -77,16 +77,16 @@
 
 
 def _read_tolerance(reader: TableReader) -> LimitTolerance:
-    """Read by how much organisations may pass their limits; not every platform tells."""
-    usual = LimitTolerance()
+    """Return how far organisations may exceed their limits; the settings are optional."""
+    default = LimitTolerance()
     return LimitTolerance(
-        reader.optional_number("bounds.quota_overshoot", usual.overshoot),
-        reader.optional_number("bounds.quota_slack", usual.slack),
-        reader.optional_number("bounds.quota_window_s", usual.window_s) or usual.window_s,
+        reader.optional_number("bounds.quota_overshoot", default.overshoot),
+        reader.optional_number("bounds.quota_slack", default.slack),
+        reader.optional_number("bounds.quota_window_s", default.window_s) or default.window_s,
     )
 
 
 def _read_size(reader: TableReader) -> float:
-    """Read how much of processors the process gets; not every platform tells."""
+    """Return the number of processor cores for the process; the settings are optional."""
     share = reader.optional_number("limits.cpu_share", 1.0)
     return share * reader.optional_number("limits.cores", 1.0) or 1.0
--- a/cleatlink/platform/settings_test.py
+++ b/cleatlink/platform/settings_test.py
@@ -1,4 +1,4 @@
-"""Settings files: every fault is named, once, and nothing else is asked for."""
+"""Settings files: each fault is reported exactly once, and unknown settings are ignored."""
 
 from pathlib import Path
 
@@ -9,7 +9,7 @@
 from cleatlink.platform import SettingsError, load_settings
 from cleatlink.scripts.commands import main
 
-GOOD = """
+VALID_SETTINGS = """
 node = "front-a-1"
 zone = "a"
 ip = "10.1.0.35"
@@ -32,14 +32,14 @@
 """
 
 
-def write(folder: Path, text: str) -> Path:
+def write_settings(folder: Path, text: str) -> Path:
     file = folder / "local.toml"
     file.write_text(text)
     return file
 
 
-def test_good_file(tmp_path: Path) -> None:
-    settings = load_settings(write(tmp_path, GOOD), Address("10.1.0.35", 9100))
+def test_valid_file_is_loaded(tmp_path: Path) -> None:
+    settings = load_settings(write_settings(tmp_path, VALID_SETTINGS), Address("10.1.0.35", 9100))
     assert settings.name == "front-a-1"
     assert settings.listen == Address("10.1.0.35", 8144)
     assert settings.peer_listen == Address("10.1.0.35", 7660)
@@ -59,23 +59,25 @@
         ("[bounds]", "[bounds", "can't be read"),
     ],
 )
-def test_each_fault_has_one_line(tmp_path: Path, old: str, new: str, fault: str) -> None:
-    file = write(tmp_path, GOOD.replace(old, new))
+def test_each_fault_is_reported_once(tmp_path: Path, old: str, new: str, fault: str) -> None:
+    file = write_settings(tmp_path, VALID_SETTINGS.replace(old, new))
     with pytest.raises(SettingsError) as caught:
         load_settings(file)
     assert len(caught.value.faults) == 1
     assert fault in caught.value.faults[0]
 
 
-def test_commands_know_the_file(tmp_path: Path) -> None:
+def test_commands_report_faults_of_the_settings_file(tmp_path: Path) -> None:
     runner = CliRunner()
-    file = write(tmp_path, GOOD)
+    file = write_settings(tmp_path, VALID_SETTINGS)
     assert runner.invoke(main, ["config", "check", str(file)]).exit_code == 0
-    broken = write(tmp_path, GOOD.replace('zone = "a"', "").replace("grace_s = 8", ""))
-    checked = runner.invoke(main, ["config", "check", str(broken)])
+    invalid = write_settings(
+        tmp_path, VALID_SETTINGS.replace('zone = "a"', "").replace("grace_s = 8", "")
+    )
+    checked = runner.invoke(main, ["config", "check", str(invalid)])
     assert checked.exit_code == 1
     assert checked.output.count("is missing") == 2
-    for path in (broken, tmp_path / "absent.toml"):
+    for path in (invalid, tmp_path / "absent.toml"):
         started = runner.invoke(main, ["entry"], env={"CLEATLINK_BOOT": str(path)})
         assert started.exit_code == 1
         assert str(path) in started.output
--- a/cleatlink/platform/store.py
+++ b/cleatlink/platform/store.py
@@ -11,7 +11,7 @@
 from cleatlink.core.routes import RouteTable
 from cleatlink.platform.entries import (
     CONFIG_KEY,
-    WORKERS,
+    WORKERS_PREFIX,
     Item,
     read_item,
     read_record,
@@ -23,15 +23,15 @@
 
 __all__ = ["PlatformStore"]
 
-_ANSWER_S = 1.0
+_RESPONSE_TIMEOUT_S = 1.0
 _CONFIG_PATH = f"/kv-key?private_key={quote(CONFIG_KEY, safe='')}"
 _MS = 1000.0
-# Rises by one each time that the store comes back from a copy.
+# The store raises its era by one each time that it is restored from a backup.
 _ERA_HEADER = b"store-era"
 
 
 class _Page(msgspec.Struct):
-    """A part of a list; items stay as they came, since each may be anybody's."""
+    """A page of a list; items are parsed one by one, since other writers may store invalid ones."""
 
     items: list[msgspec.Raw]
     at: int
@@ -48,26 +48,28 @@
 
     def __init__(self, address: Address) -> None:
         self._client = StoreClient(address, _ERA_HEADER)
-        # A connection carries one call at a time, and a watch may wait for long.
+        # A connection carries one call at a time, and a long watch would block reads of the table.
         self._table_client = StoreClient(address, _ERA_HEADER)
-        self._whole_read = WholeRead(self._read_page, self._read_table_of)
+        self._whole_read = WholeRead(self._read_page, self._read_table_of_era)
 
     @property
     def is_answering(self) -> bool:
-        """Whether the answer to a call of ``read`` or ``watch`` is on its way."""
+        """Whether a response to ``read`` or ``watch`` is being received."""
         return self._client.is_answering
 
     async def read(self) -> SourceChange:
-        """Read everything, all of it of one era; after a failure only what is missing."""
+        """Read table and entries, all of one era; after a failure, read only what is missing."""
         return await self._whole_read.run()
 
     async def read_table(self) -> SourceTable:
-        """Read the configuration alone."""
-        return _read_answer(await self._table_client.get(_CONFIG_PATH, _ANSWER_S))
+        """Read only the configuration."""
+        return _parse_table_response(
+            await self._table_client.get(_CONFIG_PATH, _RESPONSE_TIMEOUT_S)
+        )
 
     async def _read_page(self, after: str) -> ListPage:
         """Read the page of the workers' entries that begins after a key."""
-        answer = await self._client.get(_list_path(after), _ANSWER_S)
+        answer = await self._client.get(_list_path(after), _RESPONSE_TIMEOUT_S)
         if not answer.is_found:
             raise PlatformError("the list of workers is missing")
         page = decode_json(answer.body, _Page)
@@ -75,37 +77,37 @@
         records = {item.private_key: read_record(item, answer.era) for item in items}
         return ListPage(records, StoreRevision(answer.era, page.at), page.more)
 
-    async def _read_table_of(self, era: int) -> SourceTable:
-        """Read the configuration, which has to be of an era."""
-        answer = await self._client.get(_CONFIG_PATH, _ANSWER_S)
+    async def _read_table_of_era(self, era: int) -> SourceTable:
+        """Read the configuration; raise an error if it belongs to another era."""
+        answer = await self._client.get(_CONFIG_PATH, _RESPONSE_TIMEOUT_S)
         answer.require_era(era)
-        return _read_answer(answer)
+        return _parse_table_response(answer)
 
     async def watch(self, after: StoreRevision, wait_s: float) -> SourceChange:
         """Wait for changes after a revision.
 
-        A store that came back from a copy may have given the revision out again for something
-        else; then only the era of its answer tells.
+        A store that was restored from a backup may reuse the revision for other changes; only the
+        era of its response shows this.
         """
         self._client.note_era(after.era)
         path = f"/kv-watch?path_prefix=&after={after.number}&wait_ms={int(wait_s * _MS)}"
-        answer = await self._client.get(path, wait_s + _ANSWER_S)
+        answer = await self._client.get(path, wait_s + _RESPONSE_TIMEOUT_S)
         answer.require_era(after.era)
         if not answer.is_found:
-            raise PlatformError("no watch is to be had")
-        told = decode_json(answer.body, _Events)
+            raise PlatformError("the store does not support watches")
+        update = decode_json(answer.body, _Events)
         table: RouteTable | None = None
         fault: ReadFault | None = None
         records = []
-        for item in map(read_item, told.events):
+        for item in map(read_item, update.events):
             if item is None:
                 continue
-            if item.private_key == CONFIG_KEY and not item.is_gone:
-                found = _read_configuration(item)
-                table, fault = found.table or table, found.fault
-            elif item.private_key.startswith(WORKERS):
+            if item.private_key == CONFIG_KEY and not item.is_deleted:
+                configuration = _parse_configuration(item)
+                table, fault = configuration.table or table, configuration.fault
+            elif item.private_key.startswith(WORKERS_PREFIX):
                 records.append(read_record(item, answer.era))
-        revision = StoreRevision(answer.era, told.at)
+        revision = StoreRevision(answer.era, update.at)
         return SourceChange(table, records, revision, whole=False, table_fault=fault)
 
     def close(self) -> None:
@@ -115,21 +117,21 @@
 
 
 def _list_path(after: str) -> str:
-    path = f"/kv-range?path_prefix={quote(WORKERS, safe='')}"
+    path = f"/kv-range?path_prefix={quote(WORKERS_PREFIX, safe='')}"
     return path + (f"&after={quote(after, safe='')}" if after else "")
 
 
-def _read_answer(answer: StoreAnswer) -> SourceTable:
-    """Read the configuration out of an answer; there may be none yet."""
+def _parse_table_response(answer: StoreAnswer) -> SourceTable:
+    """Parse the configuration in a response; the store may not have one yet."""
     if not answer.is_found:
         return SourceTable(None)
-    return _read_configuration(read_item(msgspec.Raw(answer.body)))
+    return _parse_configuration(read_item(msgspec.Raw(answer.body)))
 
 
-def _read_configuration(item: Item | None) -> SourceTable:
-    """Read the configuration; without a table there is a reason."""
+def _parse_configuration(item: Item | None) -> SourceTable:
+    """Parse the configuration; an invalid one yields a fault instead of a table."""
     if item is None:
-        return SourceTable(None, ReadFault(FaultKind.JSON, "no item of the store"))
+        return SourceTable(None, ReadFault(FaultKind.JSON, "the response is not a store item"))
     try:
         return SourceTable(read_table(item))
     except UnreadableError as error:
--- a/cleatlink/platform/tables.py
+++ b/cleatlink/platform/tables.py
@@ -1,4 +1,4 @@
-"""Reads the operator's configuration into a route table."""
+"""Parses the operator's configuration into a route table."""
 
 import math
 
@@ -19,16 +19,17 @@
 
 __all__ = ["read_table"]
 
-_MOST_BYTES = 64_000_000
+_MAX_CONFIGURATION_BYTES = 64_000_000
 _MS = 1000.0
-# Callers leave a stream that is silent for the longest of: so many seconds, so many times its
-# route's target, so many of its longest pauses. These are the platform's own figures.
+# The platform's callers abandon a stream after a period without events. The period is the largest
+# of a minimum, a multiple of the route's target latency and a multiple of its target gap between
+# events. The platform defines these values.
 _MIN_PATIENCE_S = 2.0
-_PATIENCE_TARGETS = 4.0
-_PATIENCE_PAUSES = 8.0
-# The platform's callers heed a time to come back up to this share of what is left of theirs.
-_HEEDED_SHARE = 1 / 3
-_USUAL_LIMITS = CallerLimits()
+_PATIENCE_TARGET_FACTOR = 4.0
+_PATIENCE_GAPS_FACTOR = 8.0
+# The platform's callers honour a Retry-After up to this share of their remaining time.
+_HONOURED_RETRY_SHARE = 1 / 3
+_DEFAULT_LIMITS = CallerLimits()
 
 
 class _Engine(msgspec.Struct):
@@ -37,7 +38,7 @@
     handle_retention_s: float = 0.5
     role_switch_s: float = 0.0
     hold_ms: float = 0.0
-    # Tokens from one event to the next.
+    # Tokens per event of a stream.
     stride: int = 1
 
 
@@ -69,7 +70,7 @@
 
 
 class _Tenant(msgspec.Struct):
-    """An organisation; ``rate_per_s`` of 0 is no limit."""
+    """An organisation; a ``rate_per_s`` of 0 means that it has no limit."""
 
     name: str
     api_keys: list[str] = []
@@ -81,10 +82,10 @@
 
 
 class _Limits(msgspec.Struct):
-    max_header_bytes: int = _USUAL_LIMITS.header_bytes
-    max_body_bytes: int = _USUAL_LIMITS.body_bytes
-    header_timeout_ms: float = _USUAL_LIMITS.header_timeout_s * _MS
-    idle_timeout_ms: float = _USUAL_LIMITS.idle_timeout_s * _MS
+    max_header_bytes: int = _DEFAULT_LIMITS.header_bytes
+    max_body_bytes: int = _DEFAULT_LIMITS.body_bytes
+    header_timeout_ms: float = _DEFAULT_LIMITS.header_timeout_s * _MS
+    idle_timeout_ms: float = _DEFAULT_LIMITS.idle_timeout_s * _MS
 
 
 class _Configuration(msgspec.Struct):
@@ -96,17 +97,17 @@
 
 
 def read_table(item: Item) -> RouteTable:
-    """Read a configuration.
+    """Parse a configuration into a route table.
 
     Raises:
-        UnreadableError: It can't be used.
+        UnreadableError: The configuration is invalid.
     """
-    read = decode_json(decode_value(item, _MOST_BYTES), _Configuration)
-    limits, tenants = read.limits or _Limits(), read.tenants
+    configuration = decode_json(decode_value(item, _MAX_CONFIGURATION_BYTES), _Configuration)
+    limits, tenants = configuration.limits or _Limits(), configuration.tenants
     return RouteTable(
-        revision=read.version,
-        routes=tuple(_read_route(entry) for entry in read.routes),
-        services={entry.name: _read_service(entry) for entry in read.services},
+        revision=configuration.version,
+        routes=tuple(_read_route(entry) for entry in configuration.routes),
+        services={entry.name: _read_service(entry) for entry in configuration.services},
         limits=CallerLimits(
             limits.max_header_bytes,
             limits.max_body_bytes,
@@ -159,12 +160,12 @@
         resumable=entry.resumable,
         event_gap_s=event_gap_s,
         patience_s=_patience_s(target_s, event_gap_s),
-        heeded_share=_HEEDED_SHARE,
+        heeded_share=_HONOURED_RETRY_SHARE,
         public=entry.public,
     )
 
 
 def _patience_s(target_s: float, event_gap_s: float) -> float:
-    """Give the silence after which the platform's callers leave a stream."""
-    pauses_s = _PATIENCE_PAUSES * event_gap_s if math.isfinite(event_gap_s) else 0.0
-    return max(_MIN_PATIENCE_S, _PATIENCE_TARGETS * target_s, pauses_s)
+    """Return the silence after which the platform's callers abandon a stream, in seconds."""
+    gaps_s = _PATIENCE_GAPS_FACTOR * event_gap_s if math.isfinite(event_gap_s) else 0.0
+    return max(_MIN_PATIENCE_S, _PATIENCE_TARGET_FACTOR * target_s, gaps_s)
--- a/cleatlink/platform/variable.py
+++ b/cleatlink/platform/variable.py
@@ -1,4 +1,4 @@
-"""Name of the environment variable with the path of the settings file."""
+"""Name of the environment variable that holds the path of the settings file."""
 
 __all__ = ["SETTINGS_VARIABLE"]
 
