--- a/cleatlink/organisations/limits.py
+++ b/cleatlink/organisations/limits.py
@@ -12,8 +12,8 @@
 # before. With half of a burst, instances that all start at once exceed a typical limit by no more
 # than its tolerance, and a fleet that starts under light load rejects no requests.
 _INITIAL_LEVEL_SHARE = 0.5
-# Share of the tolerance reserved for totals in transit between instances; the windows with the
-# most admitted units in the model need no more.
+# Share of the tolerance reserved for totals in transit between instances; the busiest windows in
+# the model need no more.
 _IN_TRANSIT_SHARE = 0.1
 # A bucket below this share of its burst is reported to the peers immediately.
 _LOW_LEVEL_SHARE = 0.5
--- a/cleatlink/organisations/limits_test.py
+++ b/cleatlink/organisations/limits_test.py
@@ -196,8 +196,8 @@
     # Each start may admit a share of a burst, each partition a whole limit until it is detected.
     restarts = sum(kind == "restart" for _, _, _, kind in steps)
     partitions = sum(kind == "cut" for _, _, _, kind in steps)
-    lenient = TYPICAL.lenient(organisation().limit or TokenLimit(0, 0))
-    bound += restarts * lenient.burst + partitions * 2 * HEARD_S * lenient.rate
+    raised = TYPICAL.lenient(organisation().limit or TokenLimit(0, 0))
+    bound += restarts * raised.burst + partitions * 2 * HEARD_S * raised.rate
     assert max_tokens_in_window(admitted, TYPICAL.window_s) <= bound
 
 
