--- a/cleatlink/platform/entries_test.py
+++ b/cleatlink/platform/entries_test.py
@@ -38,7 +38,7 @@
     return msgspec.Raw(json.dumps({"private_key": key, "value": text, "revision": 7}).encode())
 
 
-def parse_record(raw: msgspec.Raw) -> EndpointRecord:
+def decode_record(raw: msgspec.Raw) -> EndpointRecord:
     item = read_item(raw)
     assert item is not None
     return read_record(item, 0)
@@ -51,7 +51,7 @@
 
 
 def test_valid_entry_yields_an_endpoint() -> None:
-    record = parse_record(
+    record = decode_record(
         encode_item(encode_entry(stage="decode", models=[{"name": "m"}], other=[1]))
     )
     assert record.fault is None
@@ -62,7 +62,7 @@
 def test_incarnations_have_distinct_names_but_the_same_instance_id() -> None:
     names = set()
     for born in (0, 1700000000000, 1700000000001):
-        endpoint = parse_record(encode_item(encode_entry(born=born or None))).endpoint
+        endpoint = decode_record(encode_item(encode_entry(born=born or None))).endpoint
         assert endpoint is not None
         assert (endpoint.born, endpoint.answers_to) == (born, "i-1")
         names.add(endpoint.name)
@@ -71,7 +71,7 @@
 
 @pytest.mark.parametrize("field", list(VALID_ENTRY))
 def test_entry_without_a_required_field_yields_no_endpoint(field: str) -> None:
-    record = parse_record(encode_item(encode_entry(**{field: None})))
+    record = decode_record(encode_item(encode_entry(**{field: None})))
     assert record.endpoint is None
     assert record.fault is not None
     assert record.fault.kind is FaultKind.FIELDS
@@ -107,7 +107,7 @@
     ids=str,
 )
 def test_field_of_the_wrong_type_or_out_of_range_is_rejected(changes: dict[str, Any]) -> None:
-    record = parse_record(encode_item(encode_entry(**changes)))
+    record = decode_record(encode_item(encode_entry(**changes)))
     assert (record.endpoint, record.fault is None) == (None, False)
 
 
@@ -127,7 +127,7 @@
     ],
 )
 def test_record_of_an_invalid_entry_has_the_reason(raw: msgspec.Raw, kind: FaultKind) -> None:
-    record = parse_record(raw)
+    record = decode_record(raw)
     assert record.endpoint is None
     assert record.fault is not None
     assert record.fault.kind is kind
@@ -137,21 +137,21 @@
 @given(st.binary(max_size=200))
 def test_arbitrary_bytes_raise_no_exception(data: bytes) -> None:
     read_item(msgspec.Raw(data))
-    parse_record(encode_item(data))
+    decode_record(encode_item(data))
 
 
 @given(JSON)
 def test_arbitrary_json_raises_no_exception(value: Any) -> None:
     data = json.dumps(value).encode()
     read_item(msgspec.Raw(data))
-    parse_record(encode_item(data))
+    decode_record(encode_item(data))
 
 
 @given(
     st.dictionaries(st.sampled_from([*VALID_ENTRY, "stage", "born", "models"]), JSON, max_size=4)
 )
 def test_arbitrary_field_values_raise_no_exception(changes: dict[str, Any]) -> None:
-    record = parse_record(encode_item(encode_entry(**changes)))
+    record = decode_record(encode_item(encode_entry(**changes)))
     assert (record.endpoint is None) is (record.fault is not None)
 
 
