--- a/cleatlink/__init__.py
+++ b/cleatlink/__init__.py
@@ -1,7 +1,7 @@
 """cleatlink: a router for inference fleets whose prefill and decode pools are separate.
 
-The package is a library first. ``cleatlink.core`` holds the vocabulary, the
-other packages build on it, and ``cleatlink.scripts`` holds thin commands.
+The package is primarily a library. ``cleatlink.core`` defines the shared types, the other
+packages build on it, and ``cleatlink.scripts`` provides the command-line interface.
 """
 
 __all__ = ["__version__"]
--- a/cleatlink/clock.py
+++ b/cleatlink/clock.py
@@ -1,8 +1,8 @@
-"""The program's one clock: steady, and counting the time for which a machine was suspended.
+"""The only source of time in the program: a monotonic clock that includes suspensions.
 
-A machine can be suspended for seconds. The usual steady clock does not count them, so that
-everything that is believed for a time (leases, heartbeats, limits, handles, deadlines) would be
-taken for younger than it is by the rest of the fleet.
+A machine can be suspended for seconds, which the usual monotonic clock does not count. With that
+clock, an instance would treat everything with a limited lifetime (leases, heartbeats, limits,
+handles, deadlines) as younger than the rest of the fleet does.
 """
 
 import time
@@ -15,29 +15,29 @@
 
 
 class SuspensionClock(trio.abc.Clock):
-    """A clock for trio that goes on while the machine is suspended.
+    """A clock for trio that advances while the machine is suspended.
 
-    trio ends waits by the clock it is given: at the first step after a wake, whatever was due
-    meanwhile is due, before any task goes on.
+    trio measures timeouts with the clock that it is given: at the first scheduler step after the
+    machine resumes, timeouts that passed during the suspension expire before any task runs.
     """
 
     def start_clock(self) -> None:
-        """Needs no start."""
+        """Do nothing: the system clock is already running."""
 
     def current_time(self) -> float:
-        """Give the seconds since the machine started, suspensions included."""
+        """Return the seconds since the machine booted, including suspensions."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
     def deadline_to_sleep_time(self, deadline: float) -> float:
-        """Give the seconds until a deadline."""
+        """Return the seconds until a deadline."""
         return deadline - self.current_time()
 
 
 def unix_s() -> float:
-    """Give the time of day in seconds; it may jump, and no wait is measured by it."""
+    """Return the Unix time in seconds; it may jump, so no timeout is measured with it."""
     return time.time()
 
 
 def unix_ms() -> int:
-    """Give the time of day in milliseconds; it orders starts of processes and terms of leaders."""
+    """Return the Unix time in milliseconds; it orders process starts and leadership terms."""
     return int(unix_s() * _MS)
--- a/cleatlink/clock_test.py
+++ b/cleatlink/clock_test.py
@@ -1,7 +1,7 @@
-"""Time that stands still for a suspended machine has passed for everybody else.
+"""An instance whose machine was suspended accounts for the time that passed.
 
-After a wake nothing goes on as if no time had passed: waits that are over end, what is believed
-for a time is no longer believed, and who led leads no more until it has heard the others.
+After the machine resumes, timeouts that passed expire, state with a limited lifetime is dropped,
+and a leader does not lead again until it has received messages from its peers.
 """
 
 import ast
@@ -22,36 +22,36 @@
 pytestmark = pytest.mark.virtual_time
 
 ROOT = Path(cleatlink.__file__).parent
-# Readings of time that are the clock's alone.
-READINGS = {"time", "monotonic", "perf_counter", "clock_gettime", "time_ns", "monotonic_ns"}
+# Functions of the time module that only the clock module may call.
+TIME_FUNCTIONS = {"time", "monotonic", "perf_counter", "clock_gettime", "time_ns", "monotonic_ns"}
 SUSPENSION_S = 20.0
-# A task notices a wake at its next step; idle ones have steps every quarter of a second.
-NOTICED_S = 0.5
+# A task detects the suspension at its next step; idle tasks run every quarter of a second.
+DETECTION_S = 0.5
 
 
 class JumpingClock(SuspensionClock):
-    """The clock of a machine that a test suspends."""
+    """A clock that a test advances to simulate a suspended machine."""
 
     def __init__(self) -> None:
         self.suspended_s = 0.0
 
     def current_time(self) -> float:
-        """Give the time with the suspensions so far."""
+        """Return the time, including the simulated suspensions."""
         return super().current_time() + self.suspended_s
 
 
-def run(play: Callable[[Fleet, JumpingClock], Awaitable[None]]) -> None:
-    """Play with a fleet that lives by a clock that jumps."""
+def run(scenario: Callable[[Fleet, JumpingClock], Awaitable[None]]) -> None:
+    """Run a scenario on a fleet that uses a jumping clock."""
     clock = JumpingClock()
 
     async def main() -> None:
         async with open_fleet() as fleet:
-            await play(fleet, clock)
+            await scenario(fleet, clock)
 
     trio.run(main, clock=clock)
 
 
-def test_clock_goes_on_and_counts_suspensions() -> None:
+def test_clock_advances_and_counts_suspensions() -> None:
     clock = SuspensionClock()
     first = clock.current_time()
     assert 0 <= clock.current_time() - first < 1
@@ -60,7 +60,7 @@
     assert abs(unix_ms() / 1000 - time.time()) < 1
 
 
-def test_nothing_else_reads_time() -> None:
+def test_only_the_clock_module_reads_the_time() -> None:
     faults = []
     for path in sorted(ROOT.rglob("*.py")):
         if path.name.endswith("_test.py") or path == ROOT / "clock.py":
@@ -70,13 +70,13 @@
                 faults.append(f"{path}:{node.lineno}")
             if isinstance(node, ast.ImportFrom) and node.module in ("time", "datetime"):
                 faults.append(f"{path}:{node.lineno}")
-            if isinstance(node, ast.Attribute) and node.attr in READINGS - {"time"}:
+            if isinstance(node, ast.Attribute) and node.attr in TIME_FUNCTIONS - {"time"}:
                 faults.append(f"{path}:{node.lineno}")
     assert faults == []
 
 
-def test_call_in_progress_is_over_at_its_deadline() -> None:
-    async def play(fleet: Fleet, clock: JumpingClock) -> None:
+def test_running_call_ends_at_its_deadline() -> None:
+    async def scenario(fleet: Fleet, clock: JumpingClock) -> None:
         worker = Worker("plain")
         worker.work_s = 300.0
         await start(fleet, worker)
@@ -84,14 +84,14 @@
         await caller.send("/unsafe/x", "POST", body=b"x")
         await fleet.until(lambda: worker.runs)
         clock.suspended_s += SUSPENSION_S
-        with trio.fail_after(NOTICED_S):
+        with trio.fail_after(DETECTION_S):
             assert (await caller.receive()).status == 504
 
-    run(play)
+    run(scenario)
 
 
-def test_call_that_waits_for_room_is_not_sent_after_its_deadline() -> None:
-    async def play(fleet: Fleet, clock: JumpingClock) -> None:
+def test_queued_call_is_not_sent_after_its_deadline() -> None:
+    async def scenario(fleet: Fleet, clock: JumpingClock) -> None:
         prefill, first, second = engines()
         await start(fleet, prefill, first, second)
         fleet.configure({"slots": 1})
@@ -101,41 +101,41 @@
         for _ in range(2):
             await fleet.caller().send("/stream/x", "POST", body=b"x", headers=STREAM)
         await fleet.until(lambda: len(first.runs) + len(second.runs) == 2)
-        waiting = fleet.caller()
-        await waiting.send("/stream/x", "POST", body=b"waits", headers=STREAM)
+        queued = fleet.caller()
+        await queued.send("/stream/x", "POST", body=b"waits", headers=STREAM)
         await trio.sleep(0.05)
         clock.suspended_s += SUSPENSION_S
-        with trio.fail_after(NOTICED_S):
-            assert (await waiting.receive()).status in (503, 504)
+        with trio.fail_after(DETECTION_S):
+            assert (await queued.receive()).status in (503, 504)
         assert len(first.runs) + len(second.runs) == 2
 
-    run(play)
+    run(scenario)
 
 
-def test_leader_leads_no_more_and_gives_no_order_before_it_has_heard_others() -> None:
-    async def play(fleet: Fleet, clock: JumpingClock) -> None:
+def test_leader_steps_down_and_sends_no_orders_before_it_has_received_messages_of_peers() -> None:
+    async def scenario(fleet: Fleet, clock: JumpingClock) -> None:
         prefill, first, second = engines()
         await start(fleet, prefill, first, second)
         for _ in range(2):
             fleet.start_instance()
         await fleet.ready()
         await fleet.until(lambda: any(item.leads for item in fleet.instances), 15.0)
-        seen: list[bool] = []
+        has_leader: list[bool] = []
         clock.suspended_s += SUSPENSION_S
-        # All three were suspended together: none may go by what it heard before.
-        with trio.move_on_after(NOTICED_S):
+        # All three were suspended together: none may rely on messages received before.
+        with trio.move_on_after(DETECTION_S):
             while True:
-                seen.append(any(item.leads for item in fleet.instances))
+                has_leader.append(any(item.leads for item in fleet.instances))
                 await trio.sleep(0.01)
-        assert False in seen
+        assert False in has_leader
         assert all(not worker.orders for worker in (prefill, first, second))
         await fleet.until(lambda: any(item.leads for item in fleet.instances), 15.0)
 
-    run(play)
+    run(scenario)
 
 
-def test_what_is_believed_for_a_time_is_aged_by_what_passed() -> None:
-    async def play(fleet: Fleet, clock: JumpingClock) -> None:
+def test_state_with_a_limited_lifetime_ages_during_a_suspension() -> None:
+    async def scenario(fleet: Fleet, clock: JumpingClock) -> None:
         worker = Worker("plain")
         await start(fleet, worker)
         instance = fleet.instances[0]
@@ -155,13 +155,13 @@
         assert instance.capacity.switching(now) == {}
         assert instance.capacity.candidates("plain", Role.PLAIN, now)
         assert instance._quarantine.judge(identity).needs_trial
-        await fleet.until(lambda: not instance._pool._idle, NOTICED_S)
+        await fleet.until(lambda: not instance._pool._idle, DETECTION_S)
 
-    run(play)
+    run(scenario)
 
 
-def test_planned_stop_ends_when_the_platform_expects_it() -> None:
-    async def play(fleet: Fleet, clock: JumpingClock) -> None:
+def test_planned_stop_ends_in_time_after_a_suspension() -> None:
+    async def scenario(fleet: Fleet, clock: JumpingClock) -> None:
         worker = Worker("plain")
         worker.work_s = 300.0
         fleet.drain_s = 15.0
@@ -174,15 +174,15 @@
         fleet.stops[0].set()
         await trio.sleep(0.1)
         clock.suspended_s += SUSPENSION_S
-        with trio.fail_after(NOTICED_S):
+        with trio.fail_after(DETECTION_S):
             assert (await caller.receive()).status in (502, 504)
             await fleet.ended[0].wait()
 
-    run(play)
+    run(scenario)
 
 
 def test_call_is_not_retried_after_its_deadline() -> None:
-    async def play(fleet: Fleet, clock: JumpingClock) -> None:
+    async def scenario(fleet: Fleet, clock: JumpingClock) -> None:
         workers = [Worker("plain"), Worker("plain")]
         for worker in workers:
             worker.work_s, worker.faults = 0.3, [Fault.RESET_AFTER]
@@ -191,16 +191,16 @@
         await caller.send("/safe/x")
         await fleet.until(lambda: any(worker.runs for worker in workers))
         clock.suspended_s += SUSPENSION_S
-        with trio.fail_after(NOTICED_S):
+        with trio.fail_after(DETECTION_S):
             assert (await caller.receive()).status == 504
         await trio.sleep(0.5)
         assert sum(len(worker.runs) for worker in workers) == 1
 
-    run(play)
+    run(scenario)
 
 
-def test_stream_whose_caller_still_waits_goes_on_to_its_end() -> None:
-    async def play(fleet: Fleet, clock: JumpingClock) -> None:
+def test_stream_completes_if_its_deadline_has_not_passed() -> None:
+    async def scenario(fleet: Fleet, clock: JumpingClock) -> None:
         prefill, first, second = engines()
         for decode in (first, second):
             decode.events, decode.event_s = 10, 0.05
@@ -210,8 +210,8 @@
         version = fleet.configure()
         await fleet.until(lambda: fleet.instances[0].records.table_revision == version)
         caller = fleet.caller()
-        patient = {**STREAM, "Deadline-Milliseconds": "90000"}
-        await caller.send("/stream/x", "POST", body=b"x", headers=patient)
+        headers_with_deadline = {**STREAM, "Deadline-Milliseconds": "90000"}
+        await caller.send("/stream/x", "POST", body=b"x", headers=headers_with_deadline)
         await fleet.until(lambda: first.runs or second.runs)
         await trio.sleep(0.1)
         clock.suspended_s += SUSPENSION_S
@@ -219,44 +219,44 @@
         assert (reply.status, reply.whole) == (200, True)
         assert reply.body.count(b"id: ") == 10
 
-    run(play)
+    run(scenario)
 
 
-def test_rest_is_over_by_the_time_that_passed_and_leaving_is_not() -> None:
-    async def play(fleet: Fleet, clock: JumpingClock) -> None:
-        resting, leaving = Worker("plain"), Worker("plain")
-        await start(fleet, resting, leaving)
-        resting.sheds, resting.asks_rest_s, leaving.says_leaving = True, 10.0, True
-        while not (resting.arrivals and leaving.arrivals):
+def test_suspension_ends_a_back_off_but_not_a_leaving_state() -> None:
+    async def scenario(fleet: Fleet, clock: JumpingClock) -> None:
+        backing_off, leaving = Worker("plain"), Worker("plain")
+        await start(fleet, backing_off, leaving)
+        backing_off.sheds, backing_off.asks_rest_s, leaving.says_leaving = True, 10.0, True
+        while not (backing_off.arrivals and leaving.arrivals):
             await fleet.caller().ask("/unsafe/x", "POST", body=b"x")
         arrived = len(leaving.arrivals)
         assert (await fleet.caller().ask("/safe/x")).status == 503
-        resting.sheds = False
+        backing_off.sheds = False
         clock.suspended_s += SUSPENSION_S
-        await trio.sleep(NOTICED_S)
+        await trio.sleep(DETECTION_S)
         for _ in range(5):
             assert (await fleet.caller().ask("/safe/x")).status == 200
         assert len(leaving.arrivals) == arrived
 
-    run(play)
+    run(scenario)
 
 
-def test_endpoint_that_returned_meanwhile_is_used_in_its_new_life() -> None:
-    async def play(fleet: Fleet, clock: JumpingClock) -> None:
+def test_endpoint_restarted_during_a_suspension_is_used_in_its_new_incarnation() -> None:
+    async def scenario(fleet: Fleet, clock: JumpingClock) -> None:
         worker = Worker("plain")
         worker.born = 1_700_000_000_000
         await start(fleet, worker)
         assert (await fleet.caller().ask("/safe/x")).status == 200
-        # It ends and begins anew while the instance stands still: all news comes at the wake.
+        # The endpoint restarts during the suspension: the instance receives all changes on resume.
         clock.suspended_s += SUSPENSION_S
-        later = worker.successor()
+        restarted = worker.successor()
         worker.close()
-        await fleet.add_worker(later)
+        await fleet.add_worker(restarted)
         instance = fleet.instances[0]
-        name = f"{later.name}@{later.born}"
+        name = f"{restarted.name}@{restarted.born}"
         await fleet.until(lambda: name in instance.capacity.endpoints, 3.0)
         for _ in range(5):
             assert (await fleet.caller().ask("/safe/x")).status == 200
-        assert len(later.runs) == 5
+        assert len(restarted.runs) == 5
 
-    run(play)
+    run(scenario)
