--- a/cleatlink/organisations/gate.py
+++ b/cleatlink/organisations/gate.py
@@ -53,7 +53,7 @@
         """Return the caller's identity; None if the caller may not use this route.
 
         Args:
-            credentials: Values of all credentials headers of the request (Authorization by default).
+            credentials: Values of the request's credentials headers, by default Authorization.
             route: The request's route.
         """
         if self._keys is None:
--- a/cleatlink/organisations/keys.py
+++ b/cleatlink/organisations/keys.py
@@ -15,7 +15,7 @@
     """Parse the API key from a request's credentials.
 
     Args:
-        credentials: Values of all credentials headers of the request (Authorization by default).
+        credentials: Values of the request's credentials headers, by default Authorization.
 
     Returns:
         The key; None if there is no header or more than one, if the scheme is not Bearer, or
