--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -37,13 +37,13 @@
     decodes = _eligible(view, wanted, Role.DECODE, context)
     if not prefills or not decodes:
         return _NOTHING
-    prefill = min(prefills, key=lambda endpoint: view.reported(endpoint).waiting_tokens)
-    decode = min(decodes, key=lambda endpoint: view.reported(endpoint).running)
+    prefill = min(prefills, key=lambda endpoint: view.last_report(endpoint).waiting_tokens)
+    decode = min(decodes, key=lambda endpoint: view.last_report(endpoint).running)
     return Placement(prefill, decode, "least reported load")
 
 
 def _eligible(
     view: FleetView, wanted: RequestClass, role: Role, context: Context
 ) -> list[Endpoint]:
-    endpoints = view.candidates(wanted.name, role, context.now)
+    endpoints = view.usable_endpoints(wanted.name, role, context.now)
     return [endpoint for endpoint in endpoints if endpoint.name not in context.excluded]
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -51,9 +51,9 @@
     fleet = Fleet(1, tuple(_make_endpoint(index) for index in range(endpoints)), ())
     view = FleetView()
     view.set_configuration(configuration)
-    view.set_fleet(fleet)
+    view.update_fleet(fleet)
     for endpoint in fleet.endpoints:
-        view.report(_make_report(endpoint, rng), _NOW)
+        view.add_report(_make_report(endpoint, rng), _NOW)
     services = min(_MODELS, max(1, endpoints // 8))
     asked = [_make_request(number, services, rng) for number in range(requests)]
     return Sample(configuration, view, asked)
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from cleatlink.core.organisations import Organisation, TokenLimit
-from cleatlink.limits import HEARD_S, PeerTotals
+from cleatlink.core.organisations import Organisation, UsageLimit
+from cleatlink.limits import PEER_TIMEOUT_S, PeerTotals
 from cleatlink.organisations import LimitTolerance, OrganisationLimits
 
 __all__ = ["PATTERNS", "WAYS", "Pattern", "measure_limit"]
@@ -27,7 +27,7 @@
 # A request is a call of few tokens or a stream of many, as one day's mix of calls has it.
 _SMALL, _LARGE, _LARGE_SHARE = 200, 14_000, 0.12
 _MEAN = _SMALL * (1 - _LARGE_SHARE) + _LARGE * _LARGE_SHARE
-_LIMIT = TokenLimit(60_000.0, 60_000.0, counts_tokens=True)
+_LIMIT = UsageLimit(60_000.0, 60_000.0, counts_tokens=True)
 _TOLERANCE = LimitTolerance(0.25, 120_000.0, 8.0)
 
 
@@ -127,7 +127,7 @@
 
     def ask(self, cost: int, now: float) -> bool:
         """Take it out of the own part."""
-        limit = _TOLERANCE.lenient(self.limit)
+        limit = _TOLERANCE.raised_limit(self.limit)
         return self._bucket.take(
             cost, limit.rate / self.instances, limit.burst / self.instances, now
         )
@@ -149,7 +149,7 @@
         self._at = now
         everybody = self._asked + sum(self._told.values())
         share = max(self._asked / everybody, 0.25 / self.instances)
-        limit = _TOLERANCE.lenient(self.limit)
+        limit = _TOLERANCE.raised_limit(self.limit)
         return self._bucket.take(cost, share * limit.rate, share * limit.burst, now)
 
     def beat(self, now: float) -> Any:
@@ -177,14 +177,16 @@
         if self.limit != self._organisation.limit:
             self._organisation = Organisation("a", (), None, self.limit)
             self._limits.use_table([self._organisation])
-        granted = self._limits.ask(self._organisation, cost, now).granted
-        self._has_news = self._has_news or granted and self._limits.is_short(self._organisation)
+        granted = self._limits.admit(self._organisation, cost, now).granted
+        self._has_news = self._has_news or granted and self._limits.is_level_low(self._organisation)
         return granted
 
     def _tell(self, now: float) -> PeerTotals:
         limits = self._limits
-        totals, age_s = limits.totals(now), limits.age_s(now)
-        return PeerTotals(str(self.number), self._incarnation, totals, limits.spenders, age_s)
+        totals, age_s = limits.totals(now), limits.uptime_s(now)
+        return PeerTotals(
+            str(self.number), self._incarnation, totals, limits.used_name_count, age_s
+        )
 
     def beat(self, now: float) -> Any:
         """Tell the own totals."""
@@ -203,7 +205,7 @@
 
     def note_heard(self, heard: list[int], now: float) -> None:
         """Note the part of all instances that is heard."""
-        self._limits.note_heard(len(heard) / self.instances, now)
+        self._limits.set_reachable_share(len(heard) / self.instances, now)
 
 
 class Owner(LimitWay):
@@ -236,7 +238,7 @@
 
     def lend(self, wanted: float, share: float, now: float) -> bool:
         """Lend a part of the limit, of which the owner has the share of those it hears."""
-        limit = _TOLERANCE.lenient(self.limit)
+        limit = _TOLERANCE.raised_limit(self.limit)
         return self._bucket.take(wanted, share * limit.rate, limit.burst, now)
 
     def note_heard(self, heard: list[int], now: float) -> None:
@@ -286,7 +288,7 @@
                     self._hear_whom(number, now)
             self._arrive(now)
 
-    def _limit(self, now: float) -> TokenLimit:
+    def _limit(self, now: float) -> UsageLimit:
         factor = self._pattern.limit(now)
         return _LIMIT._replace(rate=factor * _LIMIT.rate, burst=factor * _LIMIT.burst)
 
@@ -323,7 +325,7 @@
         heard = [
             other
             for other in range(self._count)
-            if other == number or now - self._heard_at[number][other] <= HEARD_S
+            if other == number or now - self._heard_at[number][other] <= PEER_TIMEOUT_S
         ]
         self._fleet[number].note_heard(heard, now)
 
--- a/bench/naive.py
+++ b/bench/naive.py
@@ -2,9 +2,9 @@
 
 from cleatlink.core.data import Configuration, Endpoint, Placement, Refusal, Request, Role
 from cleatlink.core.errors import ErrorKind
-from cleatlink.core.labels import match
+from cleatlink.core.labels import matches_selector
 from cleatlink.routing import Context, FleetView, rank_names
-from cleatlink.routing.view import EndpointLoad, endpoint_labels
+from cleatlink.routing.fleet_view import EndpointLoad, endpoint_labels
 
 __all__ = ["place_naively"]
 
@@ -22,7 +22,7 @@
     if not roomy:
         return Refusal(ErrorKind.NO_ROOM, "")
     here = [load for load in roomy if load.endpoint.data_centre == context.data_centre]
-    decode = min(here or roomy, key=lambda load: load.busy)
+    decode = min(here or roomy, key=lambda load: load.busy_share)
     beside = [load for load in prefills if load.endpoint.data_centre == decode.endpoint.data_centre]
     by_name = {load.endpoint.name: load for load in beside or prefills}
     mean = sum(load.waiting_tokens for load in by_name.values()) / len(by_name)
@@ -30,7 +30,7 @@
         load = by_name[name]
         if load.waiting_tokens + request.prompt_tokens <= 1.25 * (mean + request.prompt_tokens):
             return Placement(load.endpoint, decode.endpoint, "")
-    best = min(by_name.values(), key=lambda load: load.wait_s)
+    best = min(by_name.values(), key=lambda load: load.prefill_wait_s)
     return Placement(best.endpoint, decode.endpoint, "")
 
 
@@ -43,12 +43,12 @@
 ) -> list[EndpointLoad]:
     wanted = configuration.classes[request.request_class]
     return [
-        view.load(endpoint, context.now)
+        view.estimate_load(endpoint, context.now)
         for endpoint in view.fleet.endpoints
         if _serves(configuration, endpoint, request.service, role)
-        and match(wanted.selector, endpoint_labels(configuration, endpoint))
+        and matches_selector(wanted.selector, endpoint_labels(configuration, endpoint))
         and endpoint.name not in context.excluded
-        and view.usable(endpoint, context.now)
+        and view.is_usable(endpoint, context.now)
     ]
 
 
--- a/bench/organisations.py
+++ b/bench/organisations.py
@@ -9,9 +9,9 @@
 import msgspec
 
 from cleatlink.core.organisations import digest_key
-from cleatlink.organisations import KeyTable, LimitTolerance, OrganisationGate, OrganisationLimits
-from cleatlink.platform.entries import Item, read_item
-from cleatlink.platform.tables import read_table
+from cleatlink.organisations import KeyTable, LimitTolerance, OrganisationAccess, OrganisationLimits
+from cleatlink.platform.configuration import parse_configuration
+from cleatlink.platform.entries import StoreItem, parse_item
 
 __all__ = ["measure_organisations"]
 
@@ -19,7 +19,7 @@
 _LOOK_UPS = 20_000
 
 
-def _item(count: int) -> Item:
+def _item(count: int) -> StoreItem:
     """Give a table of so many organisations as the configuration service gives it."""
     organisations = [
         {
@@ -33,7 +33,7 @@
     value = {"version": 1, "routes": [], "services": [], "tenants": organisations}
     text = base64.b64encode(json.dumps(value).encode()).decode()
     item = {"private_key": "op/config", "revision": 1, "value": text}
-    read = read_item(msgspec.Raw(json.dumps(item).encode()))
+    read = parse_item(msgspec.Raw(json.dumps(item).encode()))
     assert read is not None, "it is written as the store writes it"
     return read
 
@@ -47,13 +47,13 @@
     """
     item = _item(count)
     tracemalloc.start()
-    table = read_table(item)
-    gate = OrganisationGate(OrganisationLimits(LimitTolerance(), 0.0))
+    table = parse_configuration(item)
+    gate = OrganisationAccess(OrganisationLimits(LimitTolerance(), 0.0))
     gate.use_table(table.organisations)
     held_mb = tracemalloc.get_traced_memory()[0] / 1e6
     tracemalloc.stop()
     began_at = time.perf_counter()
-    table = read_table(item)
+    table = parse_configuration(item)
     read_s = time.perf_counter() - began_at
     began_at = time.perf_counter()
     gate.use_table(table.organisations)
--- a/bench/peers.py
+++ b/bench/peers.py
@@ -24,19 +24,19 @@
 from cleatlink.organisations import OrganisationLimits
 from cleatlink.relay.metrics import RelayMetrics
 from cleatlink.relay.peers import group as group_module
+from cleatlink.relay.peers.advertised_state import AdvertisedState
+from cleatlink.relay.peers.endpoint_notice_channel import EndpointNoticeChannel
 from cleatlink.relay.peers.group import PeerGroup
 from cleatlink.relay.peers.hooks import PeerHooks
-from cleatlink.relay.peers.known_state import KnownState
 from cleatlink.relay.peers.messages import Message, decode_datagram, encode
-from cleatlink.relay.peers.shared_notices import SharedNotices
 from cleatlink.relay.peers.shared_quarantine import SharedQuarantine
 from cleatlink.relay.settings import RelaySettings
 from cleatlink.routing.capacity import Capacity
-from cleatlink.routing.endpoint_pace import PaceKind
+from cleatlink.routing.endpoint_speeds import SpeedSampleKind
 from cleatlink.routing.notices import EndpointNotices
-from cleatlink.routing.plain_load import CallEnd
+from cleatlink.routing.plain_load import CallOutcome
 from cleatlink.routing.reservation import Reservation
-from cleatlink.routing.shared_waiting import WaitingGroup
+from cleatlink.routing.shared_wait_queues import WaitingGroup
 
 __all__ = ["measure_peers", "profile_peers"]
 
@@ -56,25 +56,25 @@
 
 # Steps of the table, by the functions whose time they are, with all that these call.
 _STEPS = {
-    "bundles taken": ("group._take_bundle",),
+    "bundles taken": ("group._handle_bundle",),
     "  held to pass on": ("delivery._hold",),
-    "  known already": ("duplicates.is_new",),
+    "  known already": ("duplicates.record_if_new",),
     "  decoded": ("messages.decode_datagram",),
-    "  same heartbeats": ("heard.note_again",),
-    "  other heartbeats": ("group._take_beat",),
-    "  changes of work": ("group._take_changes",),
-    "  lists of work": ("group._take_list",),
-    "  waiting": ("group._take_wait_news",),
-    "  plain calls": ("group._take_plain_calls",),
-    "  endpoint paces": ("group._take_endpoint_paces",),
-    "rosters taken": ("group._take_roster",),
-    "part of all that is heard": ("group._look",),
+    "  same heartbeats": ("live_peers.record_repeated_heartbeat",),
+    "  other heartbeats": ("group._handle_heartbeat",),
+    "  changes of work": ("group._handle_work_changes",),
+    "  lists of work": ("group._handle_work_list",),
+    "  waiting": ("group._handle_waiting_update",),
+    "  plain calls": ("group._handle_plain_calls",),
+    "  endpoint paces": ("group._handle_endpoint_speeds",),
+    "rosters taken": ("group._handle_roster",),
+    "part of all that is heard": ("group._check_heard_share",),
     "ticks": ("group._tick",),
     "  reflectors": ("delivery.tick",),
-    "  told to few": ("group._tell_few",),
-    "silent ones forgotten": ("group._forget_silent",),
-    "changes told": ("group._tell_changes",),
-    "news told": ("group._tell_news",),
+    "  told to few": ("group._send_to_random_peers",),
+    "silent ones forgotten": ("group._remove_silent_peers",),
+    "changes told": ("group._send_work_changes",),
+    "news told": ("group._send_channel_updates",),
     "bundles passed on": ("delivery.run",),
 }
 
@@ -164,10 +164,10 @@
         capacity,
         OrganisationLimits(settings.limit_tolerance, trio.current_time()),
         quarantine=SharedQuarantine(name, random.Random(number)),
-        notices=SharedNotices(name, EndpointNotices(), random.Random(number)),
+        notices=EndpointNoticeChannel(name, EndpointNotices(), random.Random(number)),
         metrics=RelayMetrics(),
         hooks=PeerHooks(
-            lambda: KnownState(False, 0, NO_REVISION),
+            lambda: AdvertisedState(False, 0, NO_REVISION),
             lambda: None,
             lambda snapshot: None,
             lambda: None,
@@ -183,7 +183,7 @@
     """Place streams and plain calls on the endpoints, one of each a second."""
     capacity = instance.capacity
     waiting: list[WaitingGroup] = []
-    capacity.waiting.attach(lambda: waiting)
+    capacity.shared_wait_queues.set_local_source(lambda: waiting)
     near = [name for name, item in capacity.endpoints.items() if item.data_centre == instance.place]
     engines = [name for name in near if name.startswith("engine")]
     count = 0
@@ -191,17 +191,17 @@
     while True:
         count += 1
         now = trio.current_time()
-        capacity.plain.note_arrival("p", 1, now)
+        capacity.plain_load.note_arrival("p", 1, now)
         worker = f"worker-{rng.randrange(_WORKERS)}"
-        capacity.plain.begin(worker, now)
+        capacity.plain_load.call_started(worker, now)
         if rng.random() < _WAIT_SHARE:
             waiting.append(WaitingGroup("s", 0, False, 1, 3000, 0.0, 2.0))
-            capacity.waiting.note_changed()
+            capacity.shared_wait_queues.notify_change()
             await trio.sleep(_WAIT_S)
             waiting.clear()
-            capacity.waiting.note_changed()
+            capacity.shared_wait_queues.notify_change()
         await trio.sleep(_CALL_S)
-        capacity.plain.end(worker, CallEnd.RAN, trio.current_time())
+        capacity.plain_load.call_ended(worker, CallOutcome.COMPLETED, trio.current_time())
         key, engine, now = f"{instance.name}-{count}/1/d", rng.choice(engines), trio.current_time()
         stream = Reservation(engine, Role.DECODE, 3000, now + _STREAM_S, _STREAM_S, 900)
         _place(instance, key, stream)
@@ -209,19 +209,21 @@
         _place(instance, key + "/p", prompt)
         await trio.sleep(_PROMPT_S)
         _end(instance, key + "/p")
-        capacity.endpoint_paces.note(engine, PaceKind.PROMPT, 1.0, trio.current_time())
+        capacity.endpoint_speeds.note_ratio(
+            engine, SpeedSampleKind.PROMPT, 1.0, trio.current_time()
+        )
         await trio.sleep(max(0.0, 1.0 - _PROMPT_S - _CALL_S) * 2 * rng.random())
         _end(instance, key)
 
 
 def _place(instance: _Instance, key: str, work: Reservation) -> None:
     instance.capacity.reserve(key, work)
-    instance.group.note_work(key)
+    instance.group.announce_work(key)
 
 
 def _end(instance: _Instance, key: str) -> None:
     instance.capacity.release(key)
-    instance.group.note_work(key)
+    instance.group.announce_work(key)
 
 
 async def _run(count: int, seed: int, during: Callable[[], Callable[[], None]]) -> dict[str, Any]:
@@ -243,7 +245,7 @@
             instance.group.start(nursery.start_soon, nursery.start_soon)
             nursery.start_soon(_use, instance, random.Random(seed * 1000 + number))
         await trio.sleep(_START_S)
-        heard = min(instance.group.alive for instance in instances)
+        heard = min(instance.group.live_instances for instance in instances)
         assert heard == count, "all hear all"
         # One process holds the whole fleet: collections would look at all of it.
         gc.collect()
--- a/cleatlink/analysis/crashes.py
+++ b/cleatlink/analysis/crashes.py
@@ -8,11 +8,11 @@
 
 __all__ = ["CrashTable", "SuspectRow"]
 
-_CRASH = "endpoint: has crashed with requests in progress"
-_HOLD = "quarantine: holds a request back"
-_CLEAR = "quarantine: clears a request"
-_TRY = "quarantine: tries a request"
-_HELD = "relay: is held in quarantine"
+_CRASH = "endpoint: crashed with requests in progress"
+_HOLD = "quarantine: request held back after repeated crashes"
+_CLEAR = "quarantine: request completed; clearing it of earlier crashes"
+_TRY = "quarantine: starting the trial of a request"
+_HELD = "relay: request refused: it is in quarantine"
 
 
 class SuspectRow(NamedTuple):
--- a/cleatlink/analysis/engines.py
+++ b/cleatlink/analysis/engines.py
@@ -74,19 +74,22 @@
         """Take a line."""
         endpoint = str(line.fields.get("endpoint", ""))
         key = endpoint, int(line.at // _SLICE_S) * _SLICE_S
-        if line.message == "relay: has room":
+        if line.message == "relay: decode capacity reserved":
             self._note_room(key, line)
-        elif line.message == "relay: is prefilled":
+        elif line.message == "relay: prefill completed":
             self._note_prompt(key, line)
-        elif line.message == "relay: was not run":
+        elif line.message == "relay: endpoint reports that it did not run the request":
             self._uses[key] = self._uses[key]._replace(refused=self._uses[key].refused + 1)
-        elif line.message == "relay: asks for room":
+        elif line.message == "relay: reservation requested at the endpoint":
             self._note_hold(key, line)
-        elif line.message == "relay: has streamed":
+        elif line.message == "relay: stream completed":
             self._note_stream(line)
-        elif line.message == "relay: has no room" and line.fields.get("room_in_s") is not None:
+        elif (
+            line.message == "relay: request refused: no decode endpoint has capacity"
+            and line.fields.get("room_in_s") is not None
+        ):
             self.room_forecasts_s.add(line.number("room_in_s"))
-        elif line.message == "orders: plans a shift":
+        elif line.message == "orders: plans a role change":
             self._note_change(endpoint, line)
 
     def _note_room(self, key: tuple[str, int], line: LogLine) -> None:
--- a/cleatlink/analysis/lines_test.py
+++ b/cleatlink/analysis/lines_test.py
@@ -5,14 +5,21 @@
 
 from cleatlink.analysis.lines import LogReader
 
-LINE = '{"message_type": "relay: is back", "timestamp": 7.5, "request": "r1", "age_ms": 3}'
+LINE = (
+    '{"message_type": "relay: caller retried after a refusal", "timestamp": 7.5, '
+    '"request": "r1", "age_ms": 3}'
+)
 
 
 def test_line_stands_alone_or_behind_a_time_and_a_name(tmp_path: Path) -> None:
     file = tmp_path / "n1.log"
     file.write_text(f"{LINE}\n  12.25 front-2 {LINE}\n")
     first, second = LogReader([file])
-    assert (first.at, first.instance, first.message) == (7.5, "n1", "relay: is back")
+    assert (first.at, first.instance, first.message) == (
+        7.5,
+        "n1",
+        "relay: caller retried after a refusal",
+    )
     assert (second.at, second.instance, second.request) == (12.25, "front-2", "r1")
     assert second.number("age_ms") == 3
     assert second.number("request") == 0
--- a/cleatlink/analysis/organisations.py
+++ b/cleatlink/analysis/organisations.py
@@ -41,7 +41,7 @@
         """Take a line that tells a limit, or where an instance runs."""
         if line.message == "instance: starts":
             self._data_centres[line.instance] = str(line.fields.get("data_centre", ""))
-        elif line.message == "relay: is over its organisation's limit":
+        elif line.message == "relay: is above its organisation's rate limit":
             organisation = str(line.fields.get("organisation", ""))
             self._limits[organisation] = line.number("limit_per_s")
 
--- a/cleatlink/analysis/outcomes.py
+++ b/cleatlink/analysis/outcomes.py
@@ -61,10 +61,10 @@
 _ENDS = {
     "relay: is answered": Outcome.IN_TIME,
     "relay: is refused": Outcome.REFUSED,
-    "relay: breaks its answer off": Outcome.BROKEN,
-    "relay: ran out of time": Outcome.FAILED,
-    "relay: lost its caller": Outcome.GONE,
-    "relay: is cut off by the stop": Outcome.CUT,
+    "relay: cuts its answer off": Outcome.BROKEN,
+    "relay: reached its deadline": Outcome.FAILED,
+    "relay: is cancelled because its caller disconnected": Outcome.GONE,
+    "relay: request interrupted by the end of the planned stop": Outcome.CUT,
 }
 _ENDPOINT_FAULTS = frozenset({"endpoint_failed", "internal", "deadline_passed"})
 
@@ -105,15 +105,18 @@
             self._end(found, line, outcome)
 
     def _note(self, found: _Open, line: LogLine) -> None:
-        if line.fields.get("in_time") is False or line.message == "relay: found an endpoint slow":
+        if (
+            line.fields.get("in_time") is False
+            or line.message == "relay: endpoint is slow, reporting it to peers"
+        ):
             found.in_time = False
-        if line.message == "relay: is back":
+        if line.message == "relay: caller retried after a refusal":
             found.back = True
-        elif line.message == "relay: is prefilled":
+        elif line.message == "relay: prefill completed":
             found.prefills += 1
         elif line.message == "relay: retries":
             self._retries[int(found.arrived_at), found.route] += 1
-        elif line.message == "relay: has room" and not found.waited_ms:
+        elif line.message == "relay: decode capacity reserved" and not found.waited_ms:
             found.waited_ms = line.number("age_ms")
             self.waits_ms.add(found.waited_ms)
 
--- a/cleatlink/analysis/report_test.py
+++ b/cleatlink/analysis/report_test.py
@@ -12,7 +12,7 @@
 
 from cleatlink.analysis import LogReader, Report, Story, render_html, render_text
 from cleatlink.analysis.outcomes import Outcome
-from cleatlink.relay.logs import LineWriter
+from cleatlink.relay.logs import LogWriter
 from cleatlink.scripts.commands import main
 from standins.relay import Fault, Worker
 from standins.relay.example import STREAM, engines, start
@@ -25,7 +25,7 @@
 def log(tmp_path: Path) -> Iterator[Path]:
     file = tmp_path / "n1.log"
     descriptor = os.open(file, os.O_CREAT | os.O_WRONLY | os.O_APPEND)
-    writer = LineWriter(descriptor)
+    writer = LogWriter(descriptor)
     eliot.add_destinations(writer)
     yield file
     eliot.remove_destination(writer)
@@ -36,7 +36,7 @@
 def flush() -> None:
     """Write what the destinations still hold."""
     for destination in eliot._output.Logger._destinations._destinations:
-        if isinstance(destination, LineWriter):
+        if isinstance(destination, LogWriter):
             destination.flush()
 
 
@@ -112,20 +112,20 @@
         story.add(line)
     text = story.render().splitlines()
     assert len(text) >= 4
-    assert "has room" in text[0]
+    assert "decode capacity reserved" in text[0]
     assert "is answered" in text[-1]
     assert Story("no such").render() == "no such: no line tells of it"
 
 
 def test_command_writes_tables_and_a_page(tmp_path: Path) -> None:
     rows = [
-        {"message_type": "relay: has room", "timestamp": 5.2, "request": "a", "route": "r",
-         "age_ms": 200, "endpoint": "e1", "reserved": 70, "running": 1},
+        {"message_type": "relay: decode capacity reserved", "timestamp": 5.2, "request": "a",
+         "route": "r", "age_ms": 200, "endpoint": "e1", "reserved": 70, "running": 1},
         {"message_type": "relay: is answered", "timestamp": 6.0, "request": "a", "route": "r",
          "age_ms": 1000},
-        {"message_type": "relay: has room", "timestamp": 7.0, "request": "b", "route": "r",
-         "age_ms": 0, "endpoint": "e<1>"},
-        {"message_type": "orders: plans a shift", "timestamp": 4.0, "endpoint": "e1",
+        {"message_type": "relay: decode capacity reserved", "timestamp": 7.0, "request": "b",
+         "route": "r", "age_ms": 0, "endpoint": "e<1>"},
+        {"message_type": "orders: plans a role change", "timestamp": 4.0, "endpoint": "e1",
          "role": "decode", "rate": 5.0, "late_share": 0.1},
     ]  # fmt: skip
     file, page = tmp_path / "n1.log", tmp_path / "page.html"
@@ -140,7 +140,7 @@
     assert "e&lt;1&gt;" in text
     assert "e<1>" not in text
     story = CliRunner().invoke(main, ["analyze", str(file), "--request", "b"])
-    assert "has room" in story.output
+    assert "decode capacity reserved" in story.output
 
 
 def test_tables_render_without_any_line(tmp_path: Path) -> None:
--- a/cleatlink/clock.py
+++ b/cleatlink/clock.py
@@ -9,12 +9,12 @@
 
 import trio.abc
 
-__all__ = ["SuspensionClock", "unix_ms", "unix_s"]
+__all__ = ["SuspendAwareClock", "unix_ms", "unix_s"]
 
 _MS = 1000
 
 
-class SuspensionClock(trio.abc.Clock):
+class SuspendAwareClock(trio.abc.Clock):
     """A clock for trio that advances while the machine is suspended.
 
     trio measures timeouts with the clock that it is given: at the first scheduler step after the
--- a/cleatlink/clock_test.py
+++ b/cleatlink/clock_test.py
@@ -13,7 +13,7 @@
 import trio
 
 import cleatlink
-from cleatlink.clock import SuspensionClock, unix_ms
+from cleatlink.clock import SuspendAwareClock, unix_ms
 from cleatlink.core.data import Role
 from standins.relay import Fault, Worker
 from standins.relay.example import STREAM, engines, start
@@ -29,7 +29,7 @@
 DETECTION_S = 0.5
 
 
-class JumpingClock(SuspensionClock):
+class JumpingClock(SuspendAwareClock):
     """A clock that a test advances to simulate a suspended machine."""
 
     def __init__(self) -> None:
@@ -52,7 +52,7 @@
 
 
 def test_clock_advances_and_counts_suspensions() -> None:
-    clock = SuspensionClock()
+    clock = SuspendAwareClock()
     first = clock.current_time()
     assert 0 <= clock.current_time() - first < 1
     assert abs(clock.current_time() - time.clock_gettime(time.CLOCK_BOOTTIME)) < 1
@@ -119,17 +119,17 @@
         for _ in range(2):
             fleet.start_instance()
         await fleet.ready()
-        await fleet.until(lambda: any(item.leads for item in fleet.instances), 15.0)
+        await fleet.until(lambda: any(item.is_leader for item in fleet.instances), 15.0)
         has_leader: list[bool] = []
         clock.suspended_s += SUSPENSION_S
         # All three were suspended together: none may rely on messages received before.
         with trio.move_on_after(DETECTION_S):
             while True:
-                has_leader.append(any(item.leads for item in fleet.instances))
+                has_leader.append(any(item.is_leader for item in fleet.instances))
                 await trio.sleep(0.01)
         assert False in has_leader
         assert all(not worker.orders for worker in (prefill, first, second))
-        await fleet.until(lambda: any(item.leads for item in fleet.instances), 15.0)
+        await fleet.until(lambda: any(item.is_leader for item in fleet.instances), 15.0)
 
     run(scenario)
 
@@ -141,20 +141,20 @@
         instance = fleet.instances[0]
         assert (await fleet.caller().ask("/safe/x")).status == 200
         assert instance._pool._idle
-        instance.capacity.note_switching(worker.name, trio.current_time() + 5.0)
+        instance.capacity.note_role_change(worker.name, trio.current_time() + 5.0)
         identity = b"guilty"
         for number in range(3):
             endpoint = instance.capacity.endpoints[worker.name]
-            instance._quarantine.note_crash(
+            instance._quarantine.record_crash(
                 endpoint._replace(name=f"life-{number}"), {identity: 0.001}
             )
             await trio.sleep(0.01)
-        assert instance._quarantine.judge(identity).is_held
+        assert instance._quarantine.decide(identity).is_quarantined
         clock.suspended_s += 400.0
         now = trio.current_time()
-        assert instance.capacity.switching(now) == {}
+        assert instance.capacity.role_changes_left_s(now) == {}
         assert instance.capacity.candidates("plain", Role.PLAIN, now)
-        assert instance._quarantine.judge(identity).needs_trial
+        assert instance._quarantine.decide(identity).needs_trial
         await fleet.until(lambda: not instance._pool._idle, DETECTION_S)
 
     run(scenario)
--- a/cleatlink/config/loader.py
+++ b/cleatlink/config/loader.py
@@ -11,7 +11,6 @@
 
 from cleatlink.config.document import Fault, Section, parse_document
 from cleatlink.core.data import (
-    CallRule,
     Configuration,
     DataCentre,
     Limits,
@@ -21,13 +20,14 @@
     Role,
     Service,
     ServiceKind,
+    UnrepeatableCallRule,
 )
 from cleatlink.core.labels import Selector, parse_selector
 
-__all__ = ["DOCUMENT_BYTES", "load_configuration"]
+__all__ = ["MAX_DOCUMENT_BYTES", "load_configuration"]
 
 # In bytes; the platform's service stores values of up to 1 MB.
-DOCUMENT_BYTES = 1_000_000
+MAX_DOCUMENT_BYTES = 1_000_000
 
 _METHODS = ("*", "GET", "HEAD", "POST", "PUT", "PATCH", "DELETE")
 _FORMAT_VERSION = 1
@@ -47,8 +47,8 @@
     Returns:
         The configuration and an empty list, or None and all errors in the document.
     """
-    if len(text.encode()) > DOCUMENT_BYTES:
-        return None, [Fault(0, "", f"document is larger than {DOCUMENT_BYTES} bytes")]
+    if len(text.encode()) > MAX_DOCUMENT_BYTES:
+        return None, [Fault(0, "", f"document is larger than {MAX_DOCUMENT_BYTES} bytes")]
     top, faults = parse_document(text)
     if top is None:
         return None, faults
@@ -105,8 +105,8 @@
     return Service(name, _parse_member(ServiceKind, kind, ServiceKind.MODEL), models, rules)
 
 
-def _read_rule(section: Section) -> CallRule:
-    rule = CallRule(section.text("method", "*", _METHODS), section.text("path"))
+def _read_rule(section: Section) -> UnrepeatableCallRule:
+    rule = UnrepeatableCallRule(section.text("method", "*", _METHODS), section.text("path"))
     if rule.path and not rule.path.startswith("/"):
         section.add_fault("must start with '/'", "path")
     section.report_unknown_keys()
--- a/cleatlink/config/revision.py
+++ b/cleatlink/config/revision.py
@@ -12,17 +12,17 @@
 from cleatlink.config.loader import load_configuration
 from cleatlink.core.data import Configuration
 
-__all__ = ["Adoption", "Adopter", "Published"]
+__all__ = ["OfferResult", "ActiveConfiguration", "PublishedConfiguration"]
 
 
-class Published(NamedTuple):
+class PublishedConfiguration(NamedTuple):
     """A published configuration: its revision and its text."""
 
     revision: int
     text: str
 
 
-class Adoption(StrEnum):
+class OfferResult(StrEnum):
     """Result of offering a configuration."""
 
     ADOPTED = "adopted"
@@ -32,12 +32,12 @@
     CONFLICT = "conflict"
 
 
-class Adopter:
+class ActiveConfiguration:
     """Holds the active configuration and replaces it with newer valid ones."""
 
     def __init__(self) -> None:
         self._configuration: Configuration | None = None
-        self._published: Published | None = None
+        self._published: PublishedConfiguration | None = None
         self._faults: list[Fault] = []
         self._highest_validated_revision = 0
 
@@ -47,7 +47,7 @@
         return self._configuration
 
     @property
-    def published(self) -> Published | None:
+    def published(self) -> PublishedConfiguration | None:
         """The active configuration as published, to forward to peers."""
         return self._published
 
@@ -57,7 +57,7 @@
         return self._published.revision if self._published else 0
 
     @property
-    def highest_seen(self) -> int:
+    def highest_validated_revision(self) -> int:
         """The highest revision validated so far, whether valid or not."""
         return self._highest_validated_revision
 
@@ -66,17 +66,17 @@
         """Errors in the last invalid configuration that is newer than the active one."""
         return self._faults
 
-    def offer(self, published: Published) -> Adoption:
+    def offer(self, published: PublishedConfiguration) -> OfferResult:
         """Validate a configuration and activate it if it is newer than the active one and valid."""
         if published.revision < self.revision:
-            return Adoption.OLDER
+            return OfferResult.OLDER
         if published.revision == self.revision:
             is_same_text = self._published is not None and published.text == self._published.text
-            return Adoption.KNOWN if is_same_text else Adoption.CONFLICT
+            return OfferResult.KNOWN if is_same_text else OfferResult.CONFLICT
         configuration, faults = load_configuration(published.text, published.revision)
         self._highest_validated_revision = max(self._highest_validated_revision, published.revision)
         if configuration is None:
             self._faults = faults
-            return Adoption.INVALID
+            return OfferResult.INVALID
         self._configuration, self._published, self._faults = configuration, published, []
-        return Adoption.ADOPTED
+        return OfferResult.ADOPTED
--- a/cleatlink/config/revision_test.py
+++ b/cleatlink/config/revision_test.py
@@ -5,7 +5,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cleatlink.config import Adopter, Adoption, Published, load_configuration
+from cleatlink.config import (
+    ActiveConfiguration,
+    OfferResult,
+    PublishedConfiguration,
+    load_configuration,
+)
 
 VALID_TEXT = (Path(__file__).parents[2] / "examples/regie.yaml").read_text()
 TEXTS = {revision: VALID_TEXT + f"# {revision}\n" for revision in range(1, 8)} | {
@@ -16,10 +21,10 @@
 
 @given(st.lists(st.sampled_from(sorted(TEXTS)), max_size=30))
 def test_active_revision_is_the_highest_valid_one_offered(revisions: list[int]) -> None:
-    adopter, offered = Adopter(), []
+    adopter, offered = ActiveConfiguration(), []
     for revision in revisions:
         previous_revision = adopter.revision
-        adopter.offer(Published(revision, TEXTS[revision]))
+        adopter.offer(PublishedConfiguration(revision, TEXTS[revision]))
         assert adopter.revision >= previous_revision
         offered.append(revision)
     assert adopter.revision == max([0, *(VALID_REVISIONS & set(offered))])
@@ -28,11 +33,11 @@
 
 
 def test_each_result_of_an_offer_is_returned() -> None:
-    adopter = Adopter()
-    assert adopter.offer(Published(2, TEXTS[2])) is Adoption.ADOPTED
-    assert adopter.offer(Published(2, TEXTS[2])) is Adoption.KNOWN
-    assert adopter.offer(Published(2, TEXTS[1])) is Adoption.CONFLICT
-    assert adopter.offer(Published(1, TEXTS[1])) is Adoption.OLDER
-    assert adopter.offer(Published(3, TEXTS[3])) is Adoption.INVALID
+    adopter = ActiveConfiguration()
+    assert adopter.offer(PublishedConfiguration(2, TEXTS[2])) is OfferResult.ADOPTED
+    assert adopter.offer(PublishedConfiguration(2, TEXTS[2])) is OfferResult.KNOWN
+    assert adopter.offer(PublishedConfiguration(2, TEXTS[1])) is OfferResult.CONFLICT
+    assert adopter.offer(PublishedConfiguration(1, TEXTS[1])) is OfferResult.OLDER
+    assert adopter.offer(PublishedConfiguration(3, TEXTS[3])) is OfferResult.INVALID
     assert adopter.faults
-    assert (adopter.revision, adopter.highest_seen) == (2, 3)
+    assert (adopter.revision, adopter.highest_validated_revision) == (2, 3)
--- a/cleatlink/core/data.py
+++ b/cleatlink/core/data.py
@@ -14,12 +14,12 @@
 from cleatlink.core.labels import Selector
 
 __all__ = [
-    "CacheNews",
-    "CallRule",
+    "CacheUpdate",
+    "UnrepeatableCallRule",
     "Configuration",
     "DataCentre",
     "Endpoint",
-    "FencedOrder",
+    "FencedCommand",
     "Fleet",
     "Instance",
     "KvHandle",
@@ -28,7 +28,7 @@
     "Objective",
     "Placement",
     "Pool",
-    "Ran",
+    "ExecutionStatus",
     "Refusal",
     "Request",
     "RequestClass",
@@ -54,7 +54,7 @@
     PLAIN = "plain"
 
 
-class Ran(StrEnum):
+class ExecutionStatus(StrEnum):
     """Whether a request ran at an endpoint, as far as is known."""
 
     NO = "no"
@@ -80,7 +80,7 @@
     checks_fences: bool
 
 
-class CallRule(NamedTuple):
+class UnrepeatableCallRule(NamedTuple):
     """Pattern for calls of a plain service that must not be repeated.
 
     ``method`` is an HTTP method or ``*``; ``path`` is a glob pattern for the part of
@@ -97,7 +97,7 @@
     name: str
     kind: ServiceKind
     models: tuple[str, ...]
-    unrepeatable: tuple[CallRule, ...]
+    unrepeatable: tuple[UnrepeatableCallRule, ...]
 
 
 class RequestClass(NamedTuple):
@@ -112,7 +112,7 @@
         deadline_s: Maximum total duration of a request, in seconds.
         max_wait_s: Maximum wait for free endpoint capacity, in seconds.
         selector: Selects the endpoints that the class may use.
-        runs_late: Whether a request runs even if it can no longer meet its target.
+        runs_after_missed_target: Whether a request runs even if it can no longer meet its target.
         queue_limit_s: Longest prefill queue, in seconds of work, that a request may join.
             If its service also has a more urgent class, the request waits in the router
             instead, so that it doesn't delay requests of that class in the engine's queue.
@@ -126,7 +126,7 @@
     deadline_s: float
     max_wait_s: float
     selector: Selector
-    runs_late: bool = False
+    runs_after_missed_target: bool = False
     queue_limit_s: float = math.inf
 
 
@@ -214,7 +214,7 @@
     fence: int = 0
 
 
-class CacheNews(NamedTuple):
+class CacheUpdate(NamedTuple):
     """Recent insertions into and evictions from an endpoint's prefix cache.
 
     Attributes:
@@ -230,7 +230,7 @@
     gap: bool
 
 
-class FencedOrder(NamedTuple):
+class FencedCommand(NamedTuple):
     """A command to change the state of an endpoint, with an increasing fencing token.
 
     Attributes:
@@ -258,7 +258,7 @@
     max_output_tokens: int
     prefix_hash: int
     deadline: float
-    first_token_by: float = math.inf
+    first_token_deadline: float = math.inf
 
 
 class KvHandle(NamedTuple):
--- a/cleatlink/core/decoding.py
+++ b/cleatlink/core/decoding.py
@@ -9,14 +9,14 @@
 
 from cleatlink.core.errors import PlatformError
 
-__all__ = ["FaultKind", "ReadFault", "UnreadableError", "decode_base64", "decode_json"]
+__all__ = ["ReadFaultKind", "ReadFault", "UnreadableError", "decode_base64", "decode_json"]
 
 _Value = TypeVar("_Value")
 # Error detail may quote input from an untrusted source; this limits its length, in characters.
 _MAX_DETAIL_LENGTH = 160
 
 
-class FaultKind(StrEnum):
+class ReadFaultKind(StrEnum):
     """Reasons why external data can be unusable."""
 
     KEY = "key"
@@ -29,14 +29,14 @@
 class ReadFault(NamedTuple):
     """Reason why external data is unusable, with details."""
 
-    kind: FaultKind
+    kind: ReadFaultKind
     detail: str
 
 
 class UnreadableError(PlatformError):
     """External data is unusable; ``fault`` holds the reason."""
 
-    def __init__(self, kind: FaultKind, detail: str) -> None:
+    def __init__(self, kind: ReadFaultKind, detail: str) -> None:
         super().__init__(detail)
         self.fault = ReadFault(kind, detail[:_MAX_DETAIL_LENGTH])
 
@@ -50,9 +50,9 @@
     try:
         return msgspec.json.decode(data, type=kind)
     except msgspec.ValidationError as error:
-        raise UnreadableError(FaultKind.FIELDS, str(error)) from error
+        raise UnreadableError(ReadFaultKind.FIELDS, str(error)) from error
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        raise UnreadableError(FaultKind.JSON, str(error)) from error
+        raise UnreadableError(ReadFaultKind.JSON, str(error)) from error
 
 
 def decode_base64(text: str, max_bytes: int) -> bytes:
@@ -62,8 +62,8 @@
         UnreadableError: The text is not valid base64, or too long for ``max_bytes``.
     """
     if 3 * len(text) > 4 * (max_bytes + 2):
-        raise UnreadableError(FaultKind.SIZE, f"longer than {max_bytes} bytes")
+        raise UnreadableError(ReadFaultKind.SIZE, f"longer than {max_bytes} bytes")
     try:
         return base64.b64decode(text, validate=True)
     except (ValueError, binascii.Error) as error:
-        raise UnreadableError(FaultKind.ENCODING, f"no base64: {error}") from error
+        raise UnreadableError(ReadFaultKind.ENCODING, f"no base64: {error}") from error
--- a/cleatlink/core/errors.py
+++ b/cleatlink/core/errors.py
@@ -10,16 +10,16 @@
 from typing import NamedTuple
 
 __all__ = [
-    "ANSWERS",
-    "Answer",
+    "ERROR_RESPONSES",
+    "ErrorResponse",
     "CleatlinkError",
     "ConfigurationError",
     "EndpointError",
     "EndpointRefusedError",
-    "EndpointSilentError",
+    "EndpointTimeoutError",
     "EndpointUnreachableError",
     "ErrorKind",
-    "FenceError",
+    "StaleFenceError",
     "ListenError",
     "OutcomeUnknownError",
     "PeerError",
@@ -60,7 +60,7 @@
     INTERNAL = "internal"
 
 
-class Answer(NamedTuple):
+class ErrorResponse(NamedTuple):
     """Response to the caller for one kind of error.
 
     Attributes:
@@ -74,34 +74,34 @@
     retry_after_s: float | None
 
 
-ANSWERS: dict[ErrorKind, Answer] = {
-    ErrorKind.BAD_REQUEST: Answer(400, "no", None),
-    ErrorKind.TOO_LARGE: Answer(413, "no", None),
-    ErrorKind.SLOW_SENDER: Answer(408, "no", 1.0),
-    ErrorKind.UNKNOWN_MODEL: Answer(404, "no", None),
-    ErrorKind.UNKNOWN_SERVICE: Answer(404, "no", None),
-    ErrorKind.UNKNOWN_CLASS: Answer(400, "no", None),
-    ErrorKind.NOT_FOUND: Answer(404, "no", None),
-    ErrorKind.UNKNOWN_KEY: Answer(401, "no", None),
-    ErrorKind.OVER_LIMIT: Answer(429, "no", 1.0),
-    ErrorKind.NOT_READY: Answer(503, "no", 1.0),
-    ErrorKind.STOPPING: Answer(503, "no", 0.0),
-    ErrorKind.BUSY: Answer(503, "no", 1.0),
-    ErrorKind.NO_ENDPOINT: Answer(503, "no", 2.0),
-    ErrorKind.NO_ROOM: Answer(503, "no", 1.0),
-    ErrorKind.TARGET_MISSED: Answer(503, "no", 1.0),
-    ErrorKind.DEADLINE_NOT_RUN: Answer(504, "no", 1.0),
-    ErrorKind.DEADLINE_PASSED: Answer(504, "unknown", 1.0),
-    ErrorKind.ENDPOINT_REFUSED: Answer(503, "no", 1.0),
-    ErrorKind.ENDPOINT_FAILED: Answer(502, "unknown", 1.0),
-    ErrorKind.STREAM_BROKEN: Answer(502, "yes", 1.0),
+ERROR_RESPONSES: dict[ErrorKind, ErrorResponse] = {
+    ErrorKind.BAD_REQUEST: ErrorResponse(400, "no", None),
+    ErrorKind.TOO_LARGE: ErrorResponse(413, "no", None),
+    ErrorKind.SLOW_SENDER: ErrorResponse(408, "no", 1.0),
+    ErrorKind.UNKNOWN_MODEL: ErrorResponse(404, "no", None),
+    ErrorKind.UNKNOWN_SERVICE: ErrorResponse(404, "no", None),
+    ErrorKind.UNKNOWN_CLASS: ErrorResponse(400, "no", None),
+    ErrorKind.NOT_FOUND: ErrorResponse(404, "no", None),
+    ErrorKind.UNKNOWN_KEY: ErrorResponse(401, "no", None),
+    ErrorKind.OVER_LIMIT: ErrorResponse(429, "no", 1.0),
+    ErrorKind.NOT_READY: ErrorResponse(503, "no", 1.0),
+    ErrorKind.STOPPING: ErrorResponse(503, "no", 0.0),
+    ErrorKind.BUSY: ErrorResponse(503, "no", 1.0),
+    ErrorKind.NO_ENDPOINT: ErrorResponse(503, "no", 2.0),
+    ErrorKind.NO_ROOM: ErrorResponse(503, "no", 1.0),
+    ErrorKind.TARGET_MISSED: ErrorResponse(503, "no", 1.0),
+    ErrorKind.DEADLINE_NOT_RUN: ErrorResponse(504, "no", 1.0),
+    ErrorKind.DEADLINE_PASSED: ErrorResponse(504, "unknown", 1.0),
+    ErrorKind.ENDPOINT_REFUSED: ErrorResponse(503, "no", 1.0),
+    ErrorKind.ENDPOINT_FAILED: ErrorResponse(502, "unknown", 1.0),
+    ErrorKind.STREAM_BROKEN: ErrorResponse(502, "yes", 1.0),
     # The caller can't see any error in its request, and it may retry the request.
-    ErrorKind.QUARANTINED: Answer(503, "no", 300.0),
-    ErrorKind.KEY_MISMATCH: Answer(422, "no", None),
+    ErrorKind.QUARANTINED: ErrorResponse(503, "no", 300.0),
+    ErrorKind.KEY_MISMATCH: ErrorResponse(422, "no", None),
     # This request did not run, but another one with the same idempotency key may have run.
-    ErrorKind.KEY_UNAVAILABLE: Answer(503, "unknown", 1.0),
-    ErrorKind.KEY_OUTCOME_UNKNOWN: Answer(409, "unknown", None),
-    ErrorKind.INTERNAL: Answer(500, "unknown", None),
+    ErrorKind.KEY_UNAVAILABLE: ErrorResponse(503, "unknown", 1.0),
+    ErrorKind.KEY_OUTCOME_UNKNOWN: ErrorResponse(409, "unknown", None),
+    ErrorKind.INTERNAL: ErrorResponse(500, "unknown", None),
 }
 
 
@@ -162,7 +162,7 @@
         self.rest_s = rest_s
 
 
-class FenceError(EndpointRefusedError):
+class StaleFenceError(EndpointRefusedError):
     """The endpoint already accepted a command with a higher fencing token."""
 
 
@@ -170,7 +170,7 @@
     """The call may have been sent, and no response shows whether it ran."""
 
 
-class EndpointSilentError(EndpointError):
+class EndpointTimeoutError(EndpointError):
     """The endpoint sent nothing within the timeout."""
 
 
--- a/cleatlink/core/labels.py
+++ b/cleatlink/core/labels.py
@@ -10,7 +10,7 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-__all__ = ["Operator", "Requirement", "Selector", "match", "parse_selector"]
+__all__ = ["Operator", "Requirement", "Selector", "matches_selector", "parse_selector"]
 
 _NAME = r"[A-Za-z0-9](?:[A-Za-z0-9._/-]{0,61}[A-Za-z0-9])?"
 _VALUES = rf"\(\s*{_NAME}(?:\s*,\s*{_NAME})*\s*\)"
@@ -68,7 +68,7 @@
     return Selector(tuple(requirements)), None
 
 
-def match(selector: Selector, labels: Mapping[str, str]) -> bool:
+def matches_selector(selector: Selector, labels: Mapping[str, str]) -> bool:
     """Check whether labels meet all requirements of a selector.
 
     Both ``!=`` and ``notin`` also match if the key is absent.
--- a/cleatlink/core/labels_test.py
+++ b/cleatlink/core/labels_test.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cleatlink.core.labels import Operator, match, parse_selector
+from cleatlink.core.labels import Operator, matches_selector, parse_selector
 
 KEYS = st.sampled_from(["a", "b", "dc", "work.tier"])
 VALUES = st.sampled_from(["x", "y", "fast", "2"])
@@ -45,7 +45,7 @@
     )
     assert error is None
     assert selector is not None
-    assert match(selector, labels) == all(
+    assert matches_selector(selector, labels) == all(
         is_met_by_reference(requirement, labels) for requirement in requirements
     )
 
--- a/cleatlink/core/notices.py
+++ b/cleatlink/core/notices.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-__all__ = ["NO_NOTICE", "EndpointNotice", "read_rate_per_s", "read_rest_s"]
+__all__ = ["EMPTY_NOTICE", "EndpointNotice", "parse_rate_limit_per_s", "parse_backoff_s"]
 
 _SECONDS = re.compile(rb"[0-9]{1,18}(\.[0-9]{1,18})?")
 _RATE = re.compile(rb"[0-9]{1,18}(\.[0-9]{0,18})?|\.[0-9]{1,18}")
@@ -26,19 +26,19 @@
             in seconds; 0 if it requests none.
         rate_per_s: Limit on calls per second from all instances together; None if the
             endpoint announces no limit, or one that can't be parsed.
-        names_rate: Whether the endpoint announces such a limit, valid or not.
+        has_rate_limit: Whether the endpoint announces such a limit, valid or not.
     """
 
     leaving: bool = False
     rest_s: float = 0.0
     rate_per_s: float | None = None
-    names_rate: bool = False
+    has_rate_limit: bool = False
 
 
-NO_NOTICE = EndpointNotice()
+EMPTY_NOTICE = EndpointNotice()
 
 
-def read_rest_s(values: Iterable[bytes]) -> float:
+def parse_backoff_s(values: Iterable[bytes]) -> float:
     """Parse the back-off that an endpoint requests, in seconds.
 
     Args:
@@ -52,7 +52,7 @@
     return min(_MAX_BACK_OFF_S, max(times, default=0.0))
 
 
-def read_rate_per_s(values: Iterable[bytes]) -> float | None:
+def parse_rate_limit_per_s(values: Iterable[bytes]) -> float | None:
     """Parse the limit on calls per second that an endpoint accepts from all instances together.
 
     Args:
--- a/cleatlink/core/organisations.py
+++ b/cleatlink/core/organisations.py
@@ -3,7 +3,7 @@
 import hashlib
 from typing import NamedTuple
 
-__all__ = ["Organisation", "TokenLimit", "digest_key"]
+__all__ = ["Organisation", "UsageLimit", "digest_key"]
 
 # With 128 bits, finding two keys with the same digest is not feasible.
 _DIGEST_BYTES = 16
@@ -18,7 +18,7 @@
     return hashlib.blake2b(key, digest_size=_DIGEST_BYTES).digest()
 
 
-class TokenLimit(NamedTuple):
+class UsageLimit(NamedTuple):
     """Rate limit of an organisation, over all instances together.
 
     Attributes:
@@ -33,7 +33,7 @@
     counts_tokens: bool = False
     default_tokens: int = 1
 
-    def cost(self, tokens: int) -> int:
+    def count_units(self, tokens: int) -> int:
         """Return the number of units that a request uses.
 
         Args:
@@ -59,4 +59,4 @@
     name: str
     key_digests: tuple[bytes, ...]
     priority: int | None = None
-    limit: TokenLimit | None = None
+    limit: UsageLimit | None = None
--- a/cleatlink/core/routes.py
+++ b/cleatlink/core/routes.py
@@ -16,10 +16,10 @@
 
 __all__ = [
     "CallerLimits",
-    "EngineTraits",
+    "EngineProperties",
     "Headers",
-    "Inbound",
-    "KvSource",
+    "InboundRequest",
+    "KvLocation",
     "Route",
     "RouteKind",
     "RouteTable",
@@ -63,11 +63,11 @@
         shares: Services of the route, with their weights.
         max_attempts: Maximum number of endpoints that one call may be sent to.
         resumable: Whether a stream may be continued at another endpoint.
-        event_gap_s: Latency target for the time between two events.
-        patience_s: Time without an event after which callers abandon a stream, also before
+        event_gap_target_s: Latency target for the time between two events.
+        abandon_after_s: Time without an event after which callers abandon a stream, also before
             its first event.
-        heeded_share: Largest retry time (``Retry-After``) that a caller follows, as a fraction of
-            its remaining time.
+        max_retry_after_share: Largest retry time (``Retry-After``) that a caller follows, as a
+            fraction of its remaining time.
         public: Whether callers need no key, even if the table has organisations.
     """
 
@@ -81,13 +81,13 @@
     shares: tuple[ServiceShare, ...]
     max_attempts: int = 1
     resumable: bool = False
-    event_gap_s: float = math.inf
-    patience_s: float = math.inf
-    heeded_share: float = 1.0
+    event_gap_target_s: float = math.inf
+    abandon_after_s: float = math.inf
+    max_retry_after_share: float = 1.0
     public: bool = False
 
 
-class EngineTraits(NamedTuple):
+class EngineProperties(NamedTuple):
     """Properties that all model engines of a service share.
 
     Attributes:
@@ -113,7 +113,7 @@
 
     name: str
     connection_limit: int
-    engine: EngineTraits | None = None
+    engine: EngineProperties | None = None
 
 
 class CallerLimits(NamedTuple):
@@ -172,19 +172,19 @@
     born: int = 0
 
     @property
-    def answers_to(self) -> str:
+    def registered_name(self) -> str:
         """Name of the endpoint in requests to it, the same for all its incarnations."""
         return self.registration or self.name
 
 
-class KvSource(NamedTuple):
+class KvLocation(NamedTuple):
     """Location of the result of a prefill: the address of the engine and the KV handle."""
 
     address: str
     handle: str
 
 
-class Inbound(NamedTuple):
+class InboundRequest(NamedTuple):
     """A request as received from a caller.
 
     Attributes:
@@ -198,7 +198,7 @@
         deadline: Time at which the caller stops waiting.
         prompt_tokens: Tokens of the prompt; 0 for plain calls.
         max_output_tokens: Maximum number of tokens of the answer.
-        output_hint: The caller's estimate of the number of output tokens; 0 for none.
+        estimated_output_tokens: The caller's estimate of the number of output tokens; 0 for none.
         last_event: Number of the last stream event that the caller received; None for none.
         organisation: Name of the calling organisation; empty for none.
     """
@@ -213,7 +213,7 @@
     deadline: float = math.inf
     prompt_tokens: int = 0
     max_output_tokens: int = 0
-    output_hint: int = 0
+    estimated_output_tokens: int = 0
     last_event: int | None = None
     organisation: str = ""
 
--- a/cleatlink/limits/bucket.py
+++ b/cleatlink/limits/bucket.py
@@ -79,7 +79,7 @@
             self.total += cost - paid
             self.changed_at = now
 
-    def give_back(self, cost: int) -> None:
+    def credit_unused(self, cost: int) -> None:
         """Return unused units as a credit: peers notice because `total` then grows more slowly."""
         self.level = min(self.limit.burst, self.level + cost)
         self.credit += cost
--- a/cleatlink/limits/shared.py
+++ b/cleatlink/limits/shared.py
@@ -13,7 +13,7 @@
 
 from cleatlink.limits.bucket import Bucket, RateLimit
 
-__all__ = ["HEARD_S", "PeerTotals", "SharedLimits"]
+__all__ = ["PEER_TIMEOUT_S", "PeerTotals", "SharedLimits"]
 
 # Seconds for which a changed total is reported, so that two datagrams in a row may be lost.
 _REPORT_S = 3.0
@@ -21,7 +21,7 @@
 # is left unused, and units that it took meanwhile are not debited later. A lost heartbeat now and
 # then costs little, since only that peer's share is left unused. In a network partition, each side
 # lets the whole limit pass until this time is over.
-HEARD_S = 1.6
+PEER_TIMEOUT_S = 1.6
 
 
 class PeerTotals(NamedTuple):
@@ -31,16 +31,16 @@
         name: Name of the peer.
         incarnation: Number that grows with each start of the peer.
         totals: Units that it took since its start, by limited name; some or all.
-        spenders: Number of names for which it took units.
-        age_s: Seconds since its start.
+        used_name_count: Number of names for which it took units.
+        uptime_s: Seconds since its start.
         returned: Units that it returned since its start, by limited name; some or all.
     """
 
     name: str
     incarnation: int
     totals: Mapping[str, int]
-    spenders: int
-    age_s: float
+    used_name_count: int
+    uptime_s: float
     returned: Mapping[str, int] = {}
 
 
@@ -94,8 +94,8 @@
         # Levels that arrived before their limits: peers answer the first heartbeat of an
         # instance, which may have no route table yet.
         self._reported_levels: dict[str, _ReportedLevel] = {}
-        self._share = 1.0
-        self._age_from = now
+        self._reachable_share = 1.0
+        self._started_at = now
         self._adopted_uptime_s = 0.0
 
     def __len__(self) -> int:
@@ -106,18 +106,18 @@
         """Return the limit of a name, or None."""
 
     @abstractmethod
-    def _first_bucket(self, limit: RateLimit, now: float) -> Bucket:
+    def _initial_bucket(self, limit: RateLimit, now: float) -> Bucket:
         """Return the bucket for a name that is new."""
 
-    def note_heard(self, share: float, now: float) -> None:
+    def set_reachable_share(self, share: float, now: float) -> None:
         """Set the share of all instances that are reachable, this one included."""
-        if share == self._share:
+        if share == self._reachable_share:
             return
         for bucket in self._buckets.values():
-            bucket.refill(now, self._share)
-        self._share = share
+            bucket.refill(now, self._reachable_share)
+        self._reachable_share = share
 
-    def _bucket(self, name: str, now: float) -> Bucket | None:
+    def _refilled_bucket(self, name: str, now: float) -> Bucket | None:
         """Return the bucket of a name, refilled up to ``now``; None if it has no limit."""
         limit = self._find_limit(name)
         if limit is None:
@@ -125,7 +125,7 @@
         bucket = self._buckets.get(name)
         if bucket is None:
             bucket = self._buckets[name] = self._open_bucket(name, limit, now)
-        bucket.refill(now, self._share)
+        bucket.refill(now, self._reachable_share)
         if bucket.limit != limit:
             bucket.change(limit)
         return bucket
@@ -134,33 +134,33 @@
         """Return the bucket for a name that is new, at the level that a peer reported, if any."""
         reported = self._reported_levels.pop(name, None)
         if reported is None:
-            return self._first_bucket(limit, now)
+            return self._initial_bucket(limit, now)
         return Bucket(limit, min(reported.level, limit.burst), reported.reported_at)
 
-    def _fills_in_s(self, bucket: Bucket, units: float) -> float:
+    def _seconds_until(self, bucket: Bucket, units: float) -> float:
         """Return the seconds until a bucket has ``units``, at the reachable share of its rate."""
-        return max(0.0, units - bucket.level) / (self._share * bucket.limit.rate)
+        return max(0.0, units - bucket.level) / (self._reachable_share * bucket.limit.rate)
 
-    def told_ago_s(self, now: float) -> float | None:
+    def oldest_report_age_s(self, now: float) -> float | None:
         """Return the age of the oldest last report of a reachable peer; None without any."""
         ages = [now - account.reported_at for account in self._peers.values()]
-        return max((round(age, 3) for age in ages if age <= HEARD_S), default=None)
+        return max((round(age, 3) for age in ages if age <= PEER_TIMEOUT_S), default=None)
 
-    def totals(self, now: float, *, whole: bool = False) -> dict[str, int]:
+    def totals(self, now: float, *, include_unchanged: bool = False) -> dict[str, int]:
         """Return the units that this instance took since its start, by name.
 
         Args:
             now: The current time.
-            whole: Whether to include totals that have not changed recently.
+            include_unchanged: Whether to include totals that have not changed recently.
         """
         return {
             name: bucket.total
-            for name, bucket in self._changed_buckets(now, include_unchanged=whole)
+            for name, bucket in self._changed_buckets(now, include_unchanged=include_unchanged)
         }
 
-    def returned(self, now: float, *, whole: bool = False) -> dict[str, int]:
+    def returned(self, now: float, *, include_unchanged: bool = False) -> dict[str, int]:
         """Return the units that this instance returned since its start; see ``totals``."""
-        changed = self._changed_buckets(now, include_unchanged=whole)
+        changed = self._changed_buckets(now, include_unchanged=include_unchanged)
         return {name: bucket.returned for name, bucket in changed if bucket.returned}
 
     def _changed_buckets(self, now: float, *, include_unchanged: bool) -> list[tuple[str, Bucket]]:
@@ -173,24 +173,24 @@
         ]
 
     @property
-    def spenders(self) -> int:
+    def used_name_count(self) -> int:
         """Number of names for which this instance took units."""
         return sum(bucket.total > 0 for bucket in self._buckets.values())
 
     def levels(self, now: float) -> dict[str, float]:
         """Return the levels of the buckets by name, for an instance that starts."""
         for bucket in self._buckets.values():
-            bucket.refill(now, self._share)
+            bucket.refill(now, self._reachable_share)
         return {name: round(bucket.level, 1) for name, bucket in self._buckets.items()}
 
-    def age_s(self, now: float) -> float:
+    def uptime_s(self, now: float) -> float:
         """Return the seconds since this instance started to count units."""
-        return now - self._age_from
+        return now - self._started_at
 
-    def note_again(self, name: str, now: float) -> bool:
+    def note_unchanged_report(self, name: str, now: float) -> bool:
         """Record a report equal to the last one; return False if it must be applied in full."""
         account = self._peers.get(name)
-        if account is None or now - account.reported_at > HEARD_S:
+        if account is None or now - account.reported_at > PEER_TIMEOUT_S:
             return False
         account.reported_at = now
         return True
@@ -203,19 +203,19 @@
         if account is None or report.incarnation > account.incarnation:
             # A peer that has just started took all of its units recently, so its whole total is
             # debited.
-            account = _PeerAccount(report.incarnation, now, report.age_s <= HEARD_S)
+            account = _PeerAccount(report.incarnation, now, report.uptime_s <= PEER_TIMEOUT_S)
             self._peers[report.name] = account
-        elif now - account.reported_at > HEARD_S:
+        elif now - account.reported_at > PEER_TIMEOUT_S:
             account.forget()
         account.reported_at = now
         for name, total in report.totals.items():
             self._debit(name, account.grown(account.totals, name, total), now)
         for name, returned in report.returned.items():
             self._refund(name, account.grown(account.returned, name, returned), now)
-        account.is_complete = len(account.totals) >= report.spenders
+        account.is_complete = len(account.totals) >= report.used_name_count
 
     def _debit(self, name: str, units: int, now: float) -> None:
-        bucket = self._bucket(name, now) if units else None
+        bucket = self._refilled_bucket(name, now) if units else None
         if bucket is not None:
             bucket.debit(units)
         elif name in self._reported_levels:
@@ -223,20 +223,20 @@
             self._reported_levels[name] = reported._replace(level=reported.level - units)
 
     def _refund(self, name: str, units: int, now: float) -> None:
-        bucket = self._bucket(name, now) if units else None
+        bucket = self._refilled_bucket(name, now) if units else None
         if bucket is not None:
             bucket.refund(units)
 
-    def adopt(self, levels: Mapping[str, float], uptime_s: float, now: float) -> None:
+    def adopt_levels(self, levels: Mapping[str, float], uptime_s: float, now: float) -> None:
         """Adopt the bucket levels of a peer that has counted units for longer.
 
         The peer may send them in several messages that all carry the same uptime.
         """
-        if uptime_s <= self.age_s(now) or uptime_s < self._adopted_uptime_s:
+        if uptime_s <= self.uptime_s(now) or uptime_s < self._adopted_uptime_s:
             return
         self._adopted_uptime_s = uptime_s
         for name, level in levels.items():
-            bucket = self._bucket(name, now)
+            bucket = self._refilled_bucket(name, now)
             if bucket is not None:
                 bucket.level = min(level, bucket.limit.burst)
             else:
--- a/cleatlink/members/duplicates.py
+++ b/cleatlink/members/duplicates.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Set
 
-__all__ = ["Duplicates"]
+__all__ = ["DuplicateFilter"]
 
 # Number of messages of one sender that may arrive out of order, sent over several seconds.
 _WINDOW_SIZE = 256
@@ -26,7 +26,7 @@
         self.earlier = 1
 
 
-class Duplicates:
+class DuplicateFilter:
     """A sliding window of the received message numbers of each sender."""
 
     def __init__(self) -> None:
@@ -35,7 +35,7 @@
     def __len__(self) -> int:
         return len(self._received)
 
-    def is_new(self, sender: str, incarnation: int, number: int) -> bool:
+    def record_if_new(self, sender: str, incarnation: int, number: int) -> bool:
         """Check whether a message has not been received yet, and record it as received.
 
         A number below the window counts as received.
@@ -64,7 +64,7 @@
         received.earlier |= bit
         return True
 
-    def keep(self, senders: Set[str]) -> None:
+    def retain_senders(self, senders: Set[str]) -> None:
         """Remove all senders except the given ones."""
         self._received = {
             name: received for name, received in self._received.items() if name in senders
--- a/cleatlink/members/leadership.py
+++ b/cleatlink/members/leadership.py
@@ -10,7 +10,7 @@
 from collections.abc import Mapping, Set
 from typing import NamedTuple
 
-__all__ = ["Hearing", "Leadership"]
+__all__ = ["PeerReports", "LeaderElection"]
 
 # A longer interval between two updates counts as a pause of the instance, during which it may have
 # missed messages.
@@ -19,23 +19,23 @@
 _VOTE_PROPAGATION_S = 1.5
 
 
-class Hearing(NamedTuple):
+class PeerReports(NamedTuple):
     """State that an instance has received from its peers.
 
     Attributes:
         votes: Live peers, with the instance that each votes for.
-        known: Instances known to peers at any time.
-        members: Highest number of instances known to any live peer.
-        left: Instances that reported that they stop or restart.
+        known_names: Instances known to peers at any time.
+        known_count: Highest number of instances known to any live peer.
+        departed: Instances that reported that they stop or restart.
     """
 
     votes: Mapping[str, str]
-    known: Set[str] = frozenset()
-    members: int = 0
-    left: Set[str] = frozenset()
+    known_names: Set[str] = frozenset()
+    known_count: int = 0
+    departed: Set[str] = frozenset()
 
 
-class Leadership:
+class LeaderElection:
     """One instance's view of the leader election."""
 
     def __init__(
@@ -69,11 +69,11 @@
         """All instances known at any time, except those that left."""
         return self._known
 
-    def judge(self, received: Hearing, now: float) -> bool:
+    def update(self, received: PeerReports, now: float) -> bool:
         """Update the election; return whether this instance may send orders now."""
-        left = received.left - {self._name}
+        left = received.departed - {self._name}
         live = (received.votes.keys() - left) | {self._name}
-        self._known = (self._known | live | received.known) - left
+        self._known = (self._known | live | received.known_names) - left
         may_be_disconnected = len(self._known) == 1 and not self._alone
         self._vote = "" if may_be_disconnected else min(live)
         was_paused = now - self._updated_at > _MAX_UPDATE_INTERVAL_S
@@ -85,9 +85,9 @@
             self._elected_since = now
         return now - self._elected_since >= self._election_delay_s
 
-    def _is_elected(self, received: Hearing, live: Set[str]) -> bool:
+    def _is_elected(self, received: PeerReports, live: Set[str]) -> bool:
         if self._vote != self._name:
             return False
         voters = [peer for peer in live if received.votes.get(peer) == self._name]
-        member_count = max(len(self._known), received.members)
+        member_count = max(len(self._known), received.known_count)
         return 2 * (len(voters) + 1) > member_count
--- a/cleatlink/members/leadership_test.py
+++ b/cleatlink/members/leadership_test.py
@@ -5,7 +5,7 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from cleatlink.members.leadership import Hearing, Leadership
+from cleatlink.members.leadership import LeaderElection, PeerReports
 
 STEP_S = 0.25
 LEASE_S = 3.0
@@ -17,63 +17,65 @@
 
 
 def test_lowest_name_leads_after_the_election_delay() -> None:
-    lowest, other = (Leadership(name, LEASE_S, SILENCE_S, 0.0) for name in ("a", "b"))
+    lowest, other = (LeaderElection(name, LEASE_S, SILENCE_S, 0.0) for name in ("a", "b"))
     first_led_at = None
     for step in range(60):
         now = step * STEP_S
-        if lowest.judge(Hearing(make_votes("a", "b", "c")), now) and first_led_at is None:
+        if lowest.update(PeerReports(make_votes("a", "b", "c")), now) and first_led_at is None:
             first_led_at = now
-        assert not other.judge(Hearing(make_votes("a", "a", "c")), now)
+        assert not other.update(PeerReports(make_votes("a", "a", "c")), now)
     assert first_led_at is not None
     assert LEASE_S + SILENCE_S < first_led_at <= LEASE_S + SILENCE_S + 2
 
 
 def test_minority_has_no_leader_unless_the_other_instances_left() -> None:
-    leadership = Leadership("a", LEASE_S, SILENCE_S, 0.0)
+    leadership = LeaderElection("a", LEASE_S, SILENCE_S, 0.0)
     for step in range(100):
         alive = {"b", "c", "d"} if step < 50 else {"b"}
-        leads = leadership.judge(Hearing(make_votes("a", *alive)), step * STEP_S)
+        leads = leadership.update(PeerReports(make_votes("a", *alive)), step * STEP_S)
         assert leads is False or step < 50
-    survivor = Leadership("a", LEASE_S, SILENCE_S, 0.0)
+    survivor = LeaderElection("a", LEASE_S, SILENCE_S, 0.0)
     for step in range(100):
         alive = {"b", "c", "d"} if step < 50 else {"b"}
         departed = set() if step < 40 else {"c", "d"}
-        leads = survivor.judge(Hearing(make_votes("a", *alive), left=departed), step * STEP_S)
+        leads = survivor.update(
+            PeerReports(make_votes("a", *alive), departed=departed), step * STEP_S
+        )
     assert leads
 
 
 def test_instance_does_not_lead_after_a_pause_or_without_any_peer() -> None:
-    leadership = Leadership("a", LEASE_S, SILENCE_S, 0.0)
+    leadership = LeaderElection("a", LEASE_S, SILENCE_S, 0.0)
     for step in range(60):
-        leadership.judge(Hearing(make_votes("a", "b", "c")), step * STEP_S)
-    assert leadership.judge(Hearing(make_votes("a", "b", "c")), 15.0)
-    assert not leadership.judge(Hearing(make_votes("a", "b", "c")), 20.0)
-    alone = Leadership("a", LEASE_S, SILENCE_S, 0.0)
-    assert not any(alone.judge(Hearing({}), step * STEP_S) for step in range(100))
+        leadership.update(PeerReports(make_votes("a", "b", "c")), step * STEP_S)
+    assert leadership.update(PeerReports(make_votes("a", "b", "c")), 15.0)
+    assert not leadership.update(PeerReports(make_votes("a", "b", "c")), 20.0)
+    alone = LeaderElection("a", LEASE_S, SILENCE_S, 0.0)
+    assert not any(alone.update(PeerReports({}), step * STEP_S) for step in range(100))
 
 
 def test_single_instance_without_expected_peers_leads() -> None:
-    leadership = Leadership("a", LEASE_S, SILENCE_S, 0.0, alone=True)
-    assert any(leadership.judge(Hearing({}), step * STEP_S) for step in range(40))
+    leadership = LeaderElection("a", LEASE_S, SILENCE_S, 0.0, alone=True)
+    assert any(leadership.update(PeerReports({}), step * STEP_S) for step in range(40))
 
 
 def test_cut_link_to_the_leader_creates_no_second_leader() -> None:
-    other = Leadership("b", LEASE_S, SILENCE_S, 0.0)
+    other = LeaderElection("b", LEASE_S, SILENCE_S, 0.0)
     for step in range(100):
         alive = {"a", "c", "d"} if step < 40 else {"c", "d"}
-        assert not other.judge(Hearing(make_votes("a", *alive)), step * STEP_S)
+        assert not other.update(PeerReports(make_votes("a", *alive)), step * STEP_S)
 
 
 def test_instance_without_votes_of_its_peers_does_not_lead() -> None:
-    lowest = Leadership("a", LEASE_S, SILENCE_S, 0.0)
+    lowest = LeaderElection("a", LEASE_S, SILENCE_S, 0.0)
     for step in range(100):
-        assert not lowest.judge(Hearing(make_votes("b", "b", "c", "d")), step * STEP_S)
+        assert not lowest.update(PeerReports(make_votes("b", "b", "c", "d")), step * STEP_S)
 
 
 def test_new_instance_needs_a_majority_of_the_instances_known_to_peers() -> None:
-    restarted = Leadership("a", LEASE_S, SILENCE_S, 0.0)
+    restarted = LeaderElection("a", LEASE_S, SILENCE_S, 0.0)
     for step in range(100):
-        assert not restarted.judge(Hearing(make_votes("a", "b"), members=5), step * STEP_S)
+        assert not restarted.update(PeerReports(make_votes("a", "b"), known_count=5), step * STEP_S)
 
 
 @settings(max_examples=100, deadline=None)
@@ -93,7 +95,7 @@
     rng = random.Random(seed)
     names = [f"n{number}" for number in range(count)]
     heartbeat_phases = {name: rng.randrange(4) for name in names}
-    views = {name: Leadership(name, LEASE_S, SILENCE_S, 0.0) for name in names}
+    views = {name: LeaderElection(name, LEASE_S, SILENCE_S, 0.0) for name in names}
     received_at: dict[tuple[str, str], float] = {}
     last_heartbeat: dict[tuple[str, str], tuple[str, int]] = {}
     known_names: dict[str, set[str]] = {name: set() for name in names}
@@ -117,7 +119,7 @@
         for name in names:
             if name in down and now >= down[name]:
                 del down[name]
-                views[name] = Leadership(name, LEASE_S, SILENCE_S, now)
+                views[name] = LeaderElection(name, LEASE_S, SILENCE_S, now)
                 known_names[name] = set()
                 received_at = {key: time for key, time in received_at.items() if key[0] != name}
         up = [name for name in names if name not in down]
@@ -136,11 +138,11 @@
                 for (receiver, peer), received in received_at.items()
                 if receiver == name and now - received <= SILENCE_S
             }
-            hearing = Hearing(
+            hearing = PeerReports(
                 {peer: last_heartbeat[name, peer][0] for peer in alive},
                 known_names[name],
                 max((last_heartbeat[name, peer][1] for peer in alive), default=0),
             )
-            if views[name].judge(hearing, now):
+            if views[name].update(hearing, now):
                 assert last_order is None or last_order[0] == name or now - last_order[1] >= LEASE_S
                 last_order = (name, now)
--- a/cleatlink/members/view.py
+++ b/cleatlink/members/membership.py
@@ -13,20 +13,20 @@
 import xxhash
 
 from cleatlink.core.data import Instance
-from cleatlink.routing.prefix import rank_names
+from cleatlink.routing.hashing import rank_names
 
-__all__ = ["Heartbeat", "Members", "Peer", "PeerState", "State"]
+__all__ = ["Heartbeat", "MembershipView", "Peer", "PeerState", "ReportedState"]
 
 # Interval between heartbeats. A peer is suspect after two lost heartbeats, and dead after a further
 # delay in which other instances can report that it is alive.
-HEARTBEAT_S = 1.0
+HEARTBEAT_INTERVAL_S = 1.0
 SUSPECT_AFTER_S = 2.5
 DEAD_AFTER_S = 4.5
 # Time without a change of the membership after which ownership is confirmed, in seconds.
 OWNERSHIP_SETTLE_S = 5.0
 
 
-class State(StrEnum):
+class ReportedState(StrEnum):
     """State that an instance reports in its heartbeats."""
 
     STARTING = "starting"
@@ -53,18 +53,18 @@
         peer_address: Address at which the sender receives messages of peers.
         state: State of the sender.
         revision: Configuration revision in force at the sender.
-        leaving: Endpoints that are leaving, as known to the sender.
-        members: Hash of the names of the instances that the sender sees in its data centre.
+        leaving_endpoints: Endpoints that are leaving, as known to the sender.
+        members_hash: Hash of the names of the instances that the sender sees in its data centre.
     """
 
     name: str
     incarnation: int
     data_centre: str
     peer_address: str
-    state: State
+    state: ReportedState
     revision: int
-    leaving: tuple[str, ...]
-    members: int
+    leaving_endpoints: tuple[str, ...]
+    members_hash: int
 
 
 class Peer(NamedTuple):
@@ -77,7 +77,7 @@
     heartbeat: Heartbeat | None
 
 
-class Members:
+class MembershipView:
     """One instance's view of the membership; times are readings of the monotonic clock."""
 
     def __init__(self, name: str, data_centre: str, now: float) -> None:
@@ -99,7 +99,7 @@
         self._listed = {instance.name: instance for instance in instances}
         self._update_local_members(now)
 
-    def hear(self, heartbeat: Heartbeat, now: float) -> bool:
+    def receive_heartbeat(self, heartbeat: Heartbeat, now: float) -> bool:
         """Process a heartbeat; return False for one of this instance or an earlier incarnation."""
         previous = self._received.get(heartbeat.name)
         if heartbeat.name == self._name:
@@ -117,18 +117,18 @@
             peer for peer in (self._describe_peer(name, now) for name in names) if peer is not None
         ]
 
-    def alive(self, now: float) -> list[Peer]:
+    def alive_peers(self, now: float) -> list[Peer]:
         """Return the peers with a recent heartbeat."""
         return [peer for peer in self.peers(now) if peer.state is PeerState.ALIVE]
 
-    def note_keepers(self, request: str, now: float, count: int = 2) -> list[Peer]:
+    def choose_note_keepers(self, request: str, now: float, count: int = 2) -> list[Peer]:
         """Return the peers that keep the notes of a request, preferring this data centre."""
-        alive = {peer.name: peer for peer in self.alive(now) if _is_staying(peer)}
+        alive = {peer.name: peer for peer in self.alive_peers(now) if _is_staying(peer)}
         candidates = [alive[name] for name in rank_names(request, alive)]
         candidates.sort(key=lambda peer: peer.data_centre != self._data_centre)
         return candidates[:count]
 
-    def forgive_silence(self, now: float) -> None:
+    def restart_silence_timers(self, now: float) -> None:
         """Restart the silence timers of all peers after a pause of this instance.
 
         Confirmation of ownership restarts as well because another instance may have
@@ -137,7 +137,7 @@
         self._received = {name: (heartbeat, now) for name, (heartbeat, _) in self._received.items()}
         self._unchanged_since = now
 
-    def take_dead(self, now: float) -> list[tuple[str, int]]:
+    def remove_dead(self, now: float) -> list[tuple[str, int]]:
         """Remove the peers that died and return them, each with its incarnation."""
         dead = [
             (name, heartbeat.incarnation)
@@ -175,9 +175,9 @@
         """
         self._update_local_members(now)
         own_hash = self.members_hash(now)
-        for peer in self.alive(now):
+        for peer in self.alive_peers(now):
             is_local = peer.data_centre == self._data_centre
-            if is_local and peer.heartbeat is not None and peer.heartbeat.members != own_hash:
+            if is_local and peer.heartbeat is not None and peer.heartbeat.members_hash != own_hash:
                 return math.inf
         confirmed_at = self._unchanged_since + OWNERSHIP_SETTLE_S
         return confirmed_at if confirmed_at <= now else math.inf
@@ -229,4 +229,4 @@
 
 
 def _is_staying(peer: Peer) -> bool:
-    return peer.heartbeat is not None and peer.heartbeat.state is not State.LEAVING
+    return peer.heartbeat is not None and peer.heartbeat.state is not ReportedState.LEAVING
--- a/cleatlink/members/view_test.py
+++ b/cleatlink/members/membership_test.py
@@ -3,8 +3,8 @@
 import math
 
 from cleatlink.core.data import Instance
-from cleatlink.members import Heartbeat, Members, PeerState, State
-from cleatlink.members.view import DEAD_AFTER_S, OWNERSHIP_SETTLE_S, SUSPECT_AFTER_S
+from cleatlink.members import Heartbeat, MembershipView, PeerState, ReportedState
+from cleatlink.members.membership import DEAD_AFTER_S, OWNERSHIP_SETTLE_S, SUSPECT_AFTER_S
 
 NAMES = ("e1", "e2", "e3", "f1")
 
@@ -13,25 +13,25 @@
     return "a" if name.startswith("e") else "b"
 
 
-def make_members(name: str, now: float = 0.0) -> Members:
-    members = Members(name, data_centre_of(name), now)
+def make_members(name: str, now: float = 0.0) -> MembershipView:
+    members = MembershipView(name, data_centre_of(name), now)
     members.set_instances(tuple(Instance(n, n, data_centre_of(n)) for n in NAMES), now)
     return members
 
 
 def make_heartbeat(name: str, members_hash: int, incarnation: int = 1) -> Heartbeat:
     return Heartbeat(
-        name, incarnation, data_centre_of(name), name, State.READY, 1, (), members_hash
+        name, incarnation, data_centre_of(name), name, ReportedState.READY, 1, (), members_hash
     )
 
 
-def receive_heartbeats(members: Members, now: float, *silent: str) -> None:
+def receive_heartbeats(members: MembershipView, now: float, *silent: str) -> None:
     for name in NAMES:
         if name not in (members.name, *silent):
-            members.hear(make_heartbeat(name, members.members_hash(now)), now)
+            members.receive_heartbeat(make_heartbeat(name, members.members_hash(now)), now)
 
 
-def state_of(members: Members, name: str, now: float) -> PeerState:
+def state_of(members: MembershipView, name: str, now: float) -> PeerState:
     return next(peer.state for peer in members.peers(now) if peer.name == name)
 
 
@@ -40,24 +40,24 @@
     receive_heartbeats(members, 0.0)
     assert state_of(members, "e2", SUSPECT_AFTER_S) is PeerState.ALIVE
     assert state_of(members, "e2", SUSPECT_AFTER_S + 0.1) is PeerState.SUSPECT
-    assert members.take_dead(DEAD_AFTER_S) == []
-    assert ("e2", 1) in members.take_dead(DEAD_AFTER_S + 0.1)
-    assert members.take_dead(DEAD_AFTER_S + 0.1) == []
+    assert members.remove_dead(DEAD_AFTER_S) == []
+    assert ("e2", 1) in members.remove_dead(DEAD_AFTER_S + 0.1)
+    assert members.remove_dead(DEAD_AFTER_S + 0.1) == []
     assert state_of(members, "e2", DEAD_AFTER_S + 0.2) is PeerState.NO_HEARTBEAT
 
 
 def test_heartbeats_of_earlier_incarnations_and_of_itself_are_ignored() -> None:
     members = make_members("e1")
-    assert members.hear(make_heartbeat("e2", 0, incarnation=2), 0.0)
-    assert not members.hear(make_heartbeat("e2", 0, incarnation=1), 1.0)
-    assert not members.hear(make_heartbeat("e1", 0), 1.0)
+    assert members.receive_heartbeat(make_heartbeat("e2", 0, incarnation=2), 0.0)
+    assert not members.receive_heartbeat(make_heartbeat("e2", 0, incarnation=1), 1.0)
+    assert not members.receive_heartbeat(make_heartbeat("e1", 0), 1.0)
 
 
 def test_pause_of_this_instance_restarts_silence_and_ownership_timers() -> None:
     members = make_members("e1")
     receive_heartbeats(members, 0.0)
-    members.forgive_silence(100.0)
-    assert members.take_dead(100.0) == []
+    members.restart_silence_timers(100.0)
+    assert members.remove_dead(100.0) == []
     assert members.owner_since(100.0) == math.inf
 
 
@@ -84,7 +84,7 @@
     assert members.owner_since(OWNERSHIP_SETTLE_S - 0.1) == math.inf
     receive_heartbeats(members, OWNERSHIP_SETTLE_S)
     assert members.owner_since(OWNERSHIP_SETTLE_S) == OWNERSHIP_SETTLE_S
-    members.hear(make_heartbeat("e2", 12345), OWNERSHIP_SETTLE_S)
+    members.receive_heartbeat(make_heartbeat("e2", 12345), OWNERSHIP_SETTLE_S)
     assert members.owner_since(OWNERSHIP_SETTLE_S) == math.inf
 
 
@@ -92,14 +92,14 @@
     members = make_members("e1")
     receive_heartbeats(members, 0.0)
     receive_heartbeats(members, OWNERSHIP_SETTLE_S)
-    members.hear(make_heartbeat("f1", 999), OWNERSHIP_SETTLE_S)
+    members.receive_heartbeat(make_heartbeat("f1", 999), OWNERSHIP_SETTLE_S)
     assert members.owner_since(OWNERSHIP_SETTLE_S) == OWNERSHIP_SETTLE_S
 
 
 def test_notes_go_to_two_peers_that_are_not_leaving_preferring_this_data_centre() -> None:
     members = make_members("e1")
     receive_heartbeats(members, 0.0)
-    assert {peer.name for peer in members.note_keepers("r", 1.0)} == {"e2", "e3"}
-    leaving = make_heartbeat("e2", 0)._replace(state=State.LEAVING)
-    members.hear(leaving, 1.0)
-    assert {peer.name for peer in members.note_keepers("r", 1.0)} == {"e3", "f1"}
+    assert {peer.name for peer in members.choose_note_keepers("r", 1.0)} == {"e2", "e3"}
+    leaving = make_heartbeat("e2", 0)._replace(state=ReportedState.LEAVING)
+    members.receive_heartbeat(leaving, 1.0)
+    assert {peer.name for peer in members.choose_note_keepers("r", 1.0)} == {"e3", "f1"}
--- a/cleatlink/members/presence.py
+++ b/cleatlink/members/presence.py
@@ -1,27 +1,27 @@
 """Tracks the share of instances that are currently sending heartbeats."""
 
-__all__ = ["Presence"]
+__all__ = ["InstancePresence"]
 
 # Time for which a silent instance still counts, in seconds, unless it reported that it stops. A
 # network cut is repaired or an instance replaced within minutes.
 _RETENTION_S = 300.0
 
 
-class Presence:
+class InstancePresence:
     """Records when each of the other instances last sent a heartbeat."""
 
     def __init__(self) -> None:
         self._received_at: dict[str, float] = {}
 
-    def note_heard(self, name: str, now: float) -> None:
+    def record_heartbeat(self, name: str, now: float) -> None:
         """Record a heartbeat of an instance."""
         self._received_at[name] = now
 
-    def note_leaving(self, name: str) -> None:
+    def record_leaving(self, name: str) -> None:
         """Remove an instance that reported that it stops."""
         self._received_at.pop(name, None)
 
-    def heard_share(self, silence_s: float, now: float) -> float:
+    def live_share(self, silence_s: float, now: float) -> float:
         """Return the share of instances that sent a recent heartbeat, including this one.
 
         Args:
--- a/cleatlink/members/reflectors.py
+++ b/cleatlink/members/reflectors.py
@@ -11,7 +11,7 @@
 
 import xxhash
 
-__all__ = ["Candidate", "ReflectorChoice", "rank"]
+__all__ = ["ReflectorCandidate", "ReflectorSelector", "rank_candidates"]
 
 # Reflectors for each data centre. With two, messages still arrive if one datagram is lost or one
 # reflector is dead.
@@ -26,31 +26,31 @@
 _AVOIDANCE_S = 15.0
 
 
-class Candidate(NamedTuple):
+class ReflectorCandidate(NamedTuple):
     """An instance that can be chosen as a reflector.
 
     Attributes:
         name: Name of the instance.
         data_centre: Data centre of the instance.
-        size: Processor share of the instance, in cores; 0 if it does not accept bundles.
+        cores: Processor share of the instance, in cores; 0 if it does not accept bundles.
         silent_s: Seconds since its last message; 0 for the instance that chooses.
     """
 
     name: str
     data_centre: str
-    size: float
+    cores: float
     silent_s: float
 
 
-def rank(candidates: Iterable[Candidate]) -> list[Candidate]:
+def rank_candidates(candidates: Iterable[ReflectorCandidate]) -> list[ReflectorCandidate]:
     """Sort candidates by size, the largest first, and by a hash of the name for equal sizes."""
     return sorted(
         candidates,
-        key=lambda candidate: (-candidate.size, xxhash.xxh64_intdigest(candidate.name.encode())),
+        key=lambda candidate: (-candidate.cores, xxhash.xxh64_intdigest(candidate.name.encode())),
     )
 
 
-class ReflectorChoice:
+class ReflectorSelector:
     """One instance's choice of reflectors; every method takes the time as an argument."""
 
     def __init__(self, data_centre: str) -> None:
@@ -71,15 +71,17 @@
         """Names of the reflectors by data centre, in order of preference."""
         return self._chosen
 
-    def choose(self, candidates: Iterable[Candidate], now: float) -> bool:
+    def choose(self, candidates: Iterable[ReflectorCandidate], now: float) -> bool:
         """Update the choice; return whether any data centre has a reflector that is new."""
         self._avoid_unresponsive(now)
-        by_data_centre: dict[str, list[Candidate]] = defaultdict(list)
+        by_data_centre: dict[str, list[ReflectorCandidate]] = defaultdict(list)
         for candidate in candidates:
             if self._is_eligible(candidate, now):
                 by_data_centre[candidate.data_centre].append(candidate)
         chosen = {
-            data_centre: [candidate.name for candidate in rank(eligible)[:_REFLECTOR_COUNT]]
+            data_centre: [
+                candidate.name for candidate in rank_candidates(eligible)[:_REFLECTOR_COUNT]
+            ]
             for data_centre, eligible in by_data_centre.items()
         }
         has_new = any(
@@ -91,7 +93,7 @@
         self._echoed_at = {name: self._echoed_at.get(name, now) for name in local}
         return has_new
 
-    def note_echo(self, name: str, now: float) -> None:
+    def record_echo(self, name: str, now: float) -> None:
         """Record that a reflector returned a message of this instance."""
         self._avoided_until.pop(name, None)
         if name in self._echoed_at:
@@ -106,9 +108,9 @@
             name: until for name, until in self._avoided_until.items() if now < until
         }
 
-    def _is_eligible(self, candidate: Candidate, now: float) -> bool:
+    def _is_eligible(self, candidate: ReflectorCandidate, now: float) -> bool:
         return (
-            candidate.size > 0
+            candidate.cores > 0
             and candidate.silent_s <= _MAX_SILENCE_S
             and candidate.name not in self._avoided_until
         )
--- a/cleatlink/organisations/gate.py
+++ b/cleatlink/organisations/access.py
@@ -8,10 +8,10 @@
 from cleatlink.organisations.keys import KeyTable, read_key
 from cleatlink.organisations.limits import OrganisationLimits
 
-__all__ = ["NOBODY", "Holder", "OrganisationGate"]
+__all__ = ["ANONYMOUS", "CallerIdentity", "OrganisationAccess"]
 
 
-class Holder(NamedTuple):
+class CallerIdentity(NamedTuple):
     """The identity of a request's caller.
 
     Attributes:
@@ -28,10 +28,10 @@
         return self.organisation.name if self.organisation is not None else ""
 
 
-NOBODY = Holder(None)
+ANONYMOUS = CallerIdentity(None)
 
 
-class OrganisationGate:
+class OrganisationAccess:
     """Checks keys against the active route table; accepts all requests if keys are not used."""
 
     def __init__(self, limits: OrganisationLimits) -> None:
@@ -49,7 +49,7 @@
         self._keys = None if organisations is None else KeyTable(listed)
         self.limits.use_table(listed)
 
-    def identify(self, credentials: Iterable[bytes], route: Route) -> Holder | None:
+    def identify(self, credentials: Iterable[bytes], route: Route) -> CallerIdentity | None:
         """Return the caller's identity; None if the caller may not use this route.
 
         Args:
@@ -57,15 +57,15 @@
             route: The request's route.
         """
         if self._keys is None:
-            return NOBODY
+            return ANONYMOUS
         key = read_key(credentials)
         digest = digest_key(key) if key is not None else b""
         organisation = self._keys.find(digest)
         if organisation is None:
-            return NOBODY if route.public else None
-        return Holder(organisation, digest)
+            return ANONYMOUS if route.public else None
+        return CallerIdentity(organisation, digest)
 
-    def still_holds(self, holder: Holder) -> bool:
+    def is_key_valid(self, holder: CallerIdentity) -> bool:
         """Check whether the request's key still belongs to the same organisation."""
         if self._keys is None or holder.organisation is None:
             return True
--- a/cleatlink/organisations/early_levels_test.py
+++ b/cleatlink/organisations/levels_before_table_test.py
@@ -2,13 +2,13 @@
 
 import pytest
 
-from cleatlink.core.organisations import Organisation, TokenLimit
+from cleatlink.core.organisations import Organisation, UsageLimit
 from cleatlink.limits import PeerTotals
 from cleatlink.organisations import LimitTolerance, OrganisationLimits
 
 EXACT = LimitTolerance(0.0, 0.0, 8.0)
 RATE, BURST = 10.0, 100.0
-ORGANISATION = Organisation("a", (), None, TokenLimit(RATE, BURST, counts_tokens=True))
+ORGANISATION = Organisation("a", (), None, UsageLimit(RATE, BURST, counts_tokens=True))
 
 
 def limits_without_table() -> OrganisationLimits:
@@ -18,20 +18,20 @@
 
 def level(limits: OrganisationLimits, now: float) -> float:
     """Return the units left in the organisation's bucket."""
-    return limits.ask(ORGANISATION, 1, now).level
+    return limits.admit(ORGANISATION, 1, now).level
 
 
 def test_level_received_before_the_table_is_kept() -> None:
     """Guards against dropping levels that arrive first: half a burst would be admitted again."""
     limits = limits_without_table()
-    limits.adopt({"a": -30.0}, 500.0, 1.0)
+    limits.adopt_levels({"a": -30.0}, 500.0, 1.0)
     limits.use_table([ORGANISATION])
     assert level(limits, 1.5) == pytest.approx(-30.0 + 0.5 * RATE)
 
 
 def test_level_received_before_the_table_is_capped_at_the_burst() -> None:
     limits = limits_without_table()
-    limits.adopt({"a": 1_000.0}, 500.0, 1.0)
+    limits.adopt_levels({"a": 1_000.0}, 500.0, 1.0)
     limits.use_table([ORGANISATION])
     assert level(limits, 1.5) == BURST
 
@@ -39,7 +39,7 @@
 def test_units_spent_by_peers_before_the_table_are_deducted() -> None:
     limits = limits_without_table()
     limits.take_totals(PeerTotals("n1", 1, {"a": 400}, 1, 500.0), 1.0)
-    limits.adopt({"a": 60.0}, 500.0, 1.0)
+    limits.adopt_levels({"a": 60.0}, 500.0, 1.0)
     limits.take_totals(PeerTotals("n1", 1, {"a": 450}, 1, 500.5), 1.5)
     limits.use_table([ORGANISATION])
     assert level(limits, 2.0) == pytest.approx(60.0 - 50.0 + RATE)
@@ -47,7 +47,7 @@
 
 def test_received_level_is_ignored_for_an_organisation_without_a_limit() -> None:
     limits = limits_without_table()
-    limits.adopt({"a": -30.0}, 500.0, 1.0)
+    limits.adopt_levels({"a": -30.0}, 500.0, 1.0)
     unlimited = ORGANISATION._replace(limit=None)
     limits.use_table([unlimited])
-    assert limits.ask(unlimited, 10**9, 1.0).granted
+    assert limits.admit(unlimited, 10**9, 1.0).granted
--- a/cleatlink/organisations/limits.py
+++ b/cleatlink/organisations/limits.py
@@ -3,8 +3,8 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from cleatlink.core.organisations import Organisation, TokenLimit
-from cleatlink.limits import HEARD_S, Bucket, RateLimit, SharedLimits
+from cleatlink.core.organisations import Organisation, UsageLimit
+from cleatlink.limits import PEER_TIMEOUT_S, Bucket, RateLimit, SharedLimits
 
 __all__ = ["Admission", "LimitTolerance", "OrganisationLimits"]
 
@@ -34,7 +34,7 @@
     slack: float = 0.0
     window_s: float = 8.0
 
-    def lenient(self, limit: TokenLimit) -> RateLimit:
+    def raised_limit(self, limit: UsageLimit) -> RateLimit:
         """Return the limit raised by the part of the tolerance that organisations may use.
 
         Requests that are counted late, or counted but never run, must not cause rejections below
@@ -43,8 +43,10 @@
         """
         window_s = self.window_s
         tolerance = self.overshoot * (limit.rate * window_s + limit.burst) + self.slack
-        undetected = HEARD_S * limit.rate
-        usable = ((1 - _IN_TRANSIT_SHARE) * tolerance - undetected) / (1 + HEARD_S / window_s)
+        undetected = PEER_TIMEOUT_S * limit.rate
+        usable = ((1 - _IN_TRANSIT_SHARE) * tolerance - undetected) / (
+            1 + PEER_TIMEOUT_S / window_s
+        )
         return RateLimit(limit.rate + max(0.0, usable) / window_s, limit.burst)
 
 
@@ -78,9 +80,9 @@
         """
         super().__init__(now)
         self._tolerance = tolerance
-        self._limits: dict[str, TokenLimit] = {}
+        self._limits: dict[str, UsageLimit] = {}
 
-    def change_tolerance(self, tolerance: LimitTolerance) -> None:
+    def set_tolerance(self, tolerance: LimitTolerance) -> None:
         """Replace the tolerance."""
         self._tolerance = tolerance
 
@@ -90,13 +92,13 @@
 
     def _find_limit(self, name: str) -> RateLimit | None:
         limit = self._limits.get(name)
-        return None if limit is None else self._tolerance.lenient(limit)
+        return None if limit is None else self._tolerance.raised_limit(limit)
 
-    def _first_bucket(self, limit: RateLimit, now: float) -> Bucket:
+    def _initial_bucket(self, limit: RateLimit, now: float) -> Bucket:
         """Return a bucket that has been filling since the start: it has had no request yet."""
-        return Bucket(limit, _INITIAL_LEVEL_SHARE * limit.burst, self._age_from)
+        return Bucket(limit, _INITIAL_LEVEL_SHARE * limit.burst, self._started_at)
 
-    def ask(self, organisation: Organisation, tokens: int, now: float) -> Admission:
+    def admit(self, organisation: Organisation, tokens: int, now: float) -> Admission:
         """Admit a request if its organisation's bucket holds the units that it needs.
 
         A request larger than the burst is admitted when the bucket is full; it overdraws the
@@ -109,30 +111,30 @@
             now: The current time.
         """
         limit = self._limits.get(organisation.name)
-        bucket = self._bucket(organisation.name, now)
+        bucket = self._refilled_bucket(organisation.name, now)
         if limit is None or bucket is None:
             return Admission(True, 0)
-        cost = limit.cost(tokens)
+        cost = limit.count_units(tokens)
         level = bucket.level
         needed = min(float(cost), bucket.limit.burst)
         if level >= needed:
             bucket.take(cost, now)
-            return Admission(True, cost, level, self._share)
-        retry_after_s = max(_MIN_RETRY_AFTER_S, self._fills_in_s(bucket, needed))
-        return Admission(False, cost, level, self._share, retry_after_s)
+            return Admission(True, cost, level, self._reachable_share)
+        retry_after_s = max(_MIN_RETRY_AFTER_S, self._seconds_until(bucket, needed))
+        return Admission(False, cost, level, self._reachable_share, retry_after_s)
 
-    def give_back(self, organisation: Organisation, cost: int) -> None:
+    def refund(self, organisation: Organisation, cost: int) -> None:
         """Refund the units of an admitted request that did not run."""
         bucket = self._buckets.get(organisation.name)
         if bucket is not None:
-            bucket.give_back(cost)
+            bucket.credit_unused(cost)
 
-    def spent(self, organisation: Organisation) -> int:
+    def spent_units(self, organisation: Organisation) -> int:
         """Return the units that this instance has admitted since its start."""
         bucket = self._buckets.get(organisation.name)
         return bucket.total if bucket is not None else 0
 
-    def is_short(self, organisation: Organisation) -> bool:
+    def is_level_low(self, organisation: Organisation) -> bool:
         """Check whether the bucket is low enough to be reported to peers immediately."""
         bucket = self._buckets.get(organisation.name)
         return bucket is not None and bucket.level < _LOW_LEVEL_SHARE * bucket.limit.burst
--- a/cleatlink/organisations/limits_test.py
+++ b/cleatlink/organisations/limits_test.py
@@ -7,8 +7,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cleatlink.core.organisations import Organisation, TokenLimit
-from cleatlink.limits import HEARD_S, PeerTotals
+from cleatlink.core.organisations import Organisation, UsageLimit
+from cleatlink.limits import PEER_TIMEOUT_S, PeerTotals
 from cleatlink.organisations import LimitTolerance, OrganisationLimits
 
 EXACT = LimitTolerance(0.0, 0.0, 8.0)
@@ -18,7 +18,7 @@
 
 def organisation(rate: float = RATE, burst: float = BURST, name: str = "a") -> Organisation:
     return Organisation(
-        name, (), None, TokenLimit(rate, burst, counts_tokens=True, default_tokens=20)
+        name, (), None, UsageLimit(rate, burst, counts_tokens=True, default_tokens=20)
     )
 
 
@@ -32,35 +32,35 @@
         self.limits.use_table([organisation()])
 
     def ask(self, tokens: int, now: float) -> bool:
-        return self.limits.ask(organisation(), tokens, now).granted
+        return self.limits.admit(organisation(), tokens, now).granted
 
     def totals_message(self, now: float, *, whole: bool = False) -> PeerTotals:
         limits = self.limits
-        totals, age_s = limits.totals(now, whole=whole), limits.age_s(now)
-        return PeerTotals(self.name, self.incarnation, totals, limits.spenders, age_s)
+        totals, age_s = limits.totals(now, include_unchanged=whole), limits.uptime_s(now)
+        return PeerTotals(self.name, self.incarnation, totals, limits.used_name_count, age_s)
 
     def level(self, now: float) -> float:
         return self.limits.levels(now).get("a", BURST)
 
 
 def test_request_without_a_token_count_costs_the_default() -> None:
-    limit = TokenLimit(1, 1, counts_tokens=True, default_tokens=200)
-    assert (limit.cost(0), limit.cost(7)) == (200, 7)
-    assert limit._replace(counts_tokens=False).cost(7000) == 1
+    limit = UsageLimit(1, 1, counts_tokens=True, default_tokens=200)
+    assert (limit.count_units(0), limit.count_units(7)) == (200, 7)
+    assert limit._replace(counts_tokens=False).count_units(7000) == 1
 
 
 def test_organisation_without_a_limit_is_always_admitted() -> None:
     limits = OrganisationLimits(EXACT, 0.0)
     unlimited = Organisation("free", ())
     limits.use_table([unlimited])
-    assert all(limits.ask(unlimited, 10**9, 0.0).granted for _ in range(100))
+    assert all(limits.admit(unlimited, 10**9, 0.0).granted for _ in range(100))
     assert limits.totals(0.0) == {}
 
 
 def test_retry_after_is_when_the_bucket_holds_the_needed_units() -> None:
     one = Instance("1", 0.0)
     assert one.ask(1900, 10.0)
-    refused = one.limits.ask(organisation(), 1500, 10.0)
+    refused = one.limits.admit(organisation(), 1500, 10.0)
     assert not refused.granted
     assert refused.retry_after_s == pytest.approx((1500 - 100) / RATE)
     assert not one.ask(1500, 10.0 + refused.retry_after_s - 0.01)
@@ -85,7 +85,7 @@
 def test_refunded_units_are_not_reported_to_peers_twice() -> None:
     one, two = Instance("1", 0.0), Instance("2", 0.0)
     assert one.ask(1900, 10.0)
-    one.limits.give_back(organisation(), 1900)
+    one.limits.refund(organisation(), 1900)
     assert one.ask(1900, 10.0)
     two.limits.take_totals(one.totals_message(10.0), 10.0)
     assert one.totals_message(10.0).totals == {"a": 1900}
@@ -122,17 +122,17 @@
 def test_starting_instance_adopts_levels_of_the_oldest_peer() -> None:
     old, new = Instance("old", 0.0), Instance("new", 10.0)
     assert old.ask(1900, 10.0)
-    new.limits.adopt(old.limits.levels(10.0), old.limits.age_s(10.0), 10.0)
+    new.limits.adopt_levels(old.limits.levels(10.0), old.limits.uptime_s(10.0), 10.0)
     assert new.level(10.0) == pytest.approx(100)
     newer = OrganisationLimits(EXACT, 9.9)
     newer.use_table([organisation()])
-    new.limits.adopt({"a": BURST}, newer.age_s(10.0), 10.0)
+    new.limits.adopt_levels({"a": BURST}, newer.uptime_s(10.0), 10.0)
     assert new.level(10.0) == pytest.approx(100)
 
 
 def test_instance_that_reaches_part_of_the_fleet_enforces_that_share_of_the_limit() -> None:
     one = Instance("1", 0.0)
-    one.limits.note_heard(0.5, 0.0)
+    one.limits.set_reachable_share(0.5, 0.0)
     assert one.ask(2000, 4.0)
     assert one.level(5.0) == pytest.approx(0.5 * RATE)
 
@@ -141,9 +141,9 @@
     one, two = Instance("1", 0.0), Instance("2", 0.0)
     two.limits.take_totals(one.totals_message(0.0), 0.0)
     assert two.ask(20, 0.0)
-    two.limits.note_heard(0.5, 2.0)
+    two.limits.set_reachable_share(0.5, 2.0)
     assert one.ask(1500, 5.0)
-    two.limits.note_heard(1.0, 6.0)
+    two.limits.set_reachable_share(1.0, 6.0)
     before = two.level(6.0)
     two.limits.take_totals(one.totals_message(6.0), 6.0)
     assert two.level(6.0) == before
@@ -157,10 +157,10 @@
     assert one.ask(20, 10.0)
     lower, higher = organisation(100, 200), organisation(1000, 2000)
     one.limits.use_table([lower])
-    assert not one.limits.ask(lower, 199, 10.0).granted or one.level(10.0) <= 200
-    assert not one.limits.ask(lower, 199, 10.0).granted
+    assert not one.limits.admit(lower, 199, 10.0).granted or one.level(10.0) <= 200
+    assert not one.limits.admit(lower, 199, 10.0).granted
     one.limits.use_table([higher])
-    assert one.limits.ask(higher, 1800, 10.0).granted
+    assert one.limits.admit(higher, 1800, 10.0).granted
 
 
 def test_overloaded_organisation_does_not_affect_another() -> None:
@@ -168,8 +168,8 @@
     hot, other = organisation(name="hot"), organisation(name="other")
     one.use_table([hot, other])
     for step in range(1000):
-        one.ask(hot, 500, 5 + 0.01 * step)
-    assert one.ask(other, 1900, 15.0).granted
+        one.admit(hot, 500, 5 + 0.01 * step)
+    assert one.admit(other, 1900, 15.0).granted
 
 
 requests = st.lists(
@@ -196,8 +196,8 @@
     # Each start may admit a share of a burst, each partition a whole limit until it is detected.
     restarts = sum(kind == "restart" for _, _, _, kind in steps)
     partitions = sum(kind == "cut" for _, _, _, kind in steps)
-    raised = TYPICAL.lenient(organisation().limit or TokenLimit(0, 0))
-    bound += restarts * raised.burst + partitions * 2 * HEARD_S * raised.rate
+    raised = TYPICAL.raised_limit(organisation().limit or UsageLimit(0, 0))
+    bound += restarts * raised.burst + partitions * 2 * PEER_TIMEOUT_S * raised.rate
     assert max_tokens_in_window(admitted, TYPICAL.window_s) <= bound
 
 
@@ -229,10 +229,10 @@
                 self.fleet[receiver].limits.take_totals(message, now)
 
     def note_heard(self, now: float) -> None:
-        detected = self.is_partitioned and now - self.partitioned_at > HEARD_S
+        detected = self.is_partitioned and now - self.partitioned_at > PEER_TIMEOUT_S
         for number, instance in enumerate(self.fleet):
             share = (1 / 3 if number == 2 else 2 / 3) if detected else 1.0
-            instance.limits.note_heard(share, now)
+            instance.limits.set_reachable_share(share, now)
 
 
 def run_steps(steps: list[tuple[float, int, int, str]], rng: Any) -> list[tuple[float, int]]:
@@ -279,7 +279,7 @@
         now += delay_s
         level, at = min(BURST, level + RATE * (now - at)), now
         granted = level >= min(cost, BURST)
-        admission = one.limits.ask(organisation(), cost, now)
+        admission = one.limits.admit(organisation(), cost, now)
         if abs(level - min(cost, BURST)) > 1e-6:
             assert admission.granted == granted
         if admission.granted:
--- a/cleatlink/platform/boundary_test.py
+++ b/cleatlink/platform/boundary_test.py
@@ -19,7 +19,15 @@
     re.IGNORECASE,
 )
 # Modules that make decisions (placement, budgets, drivers); the adapter must not import them.
-DECIDES = ("relay_place", "capacity", "shared_budget", "waiting", "stream", "plain", "service")
+DECIDES = (
+    "relay_placement",
+    "capacity",
+    "shared_retry_budget",
+    "wait_queue",
+    "stream",
+    "plain",
+    "service",
+)
 
 
 def source_files(folder: Path) -> list[Path]:
--- a/cleatlink/platform/tables.py
+++ b/cleatlink/platform/configuration.py
@@ -5,19 +5,19 @@
 import msgspec
 
 from cleatlink.core.decoding import decode_json
-from cleatlink.core.organisations import Organisation, TokenLimit, digest_key
+from cleatlink.core.organisations import Organisation, UsageLimit, digest_key
 from cleatlink.core.routes import (
     CallerLimits,
-    EngineTraits,
+    EngineProperties,
     Route,
     RoutedService,
     RouteKind,
     RouteTable,
     ServiceShare,
 )
-from cleatlink.platform.entries import Item, decode_value
+from cleatlink.platform.entries import StoreItem, decode_value
 
-__all__ = ["read_table"]
+__all__ = ["parse_configuration"]
 
 _MAX_CONFIGURATION_BYTES = 64_000_000
 _MS = 1000.0
@@ -96,7 +96,7 @@
     tenants: list[_Tenant] | None = None
 
 
-def read_table(item: Item) -> RouteTable:
+def parse_configuration(item: StoreItem) -> RouteTable:
     """Parse a configuration into a route table.
 
     Raises:
@@ -122,7 +122,7 @@
     limit = None
     if entry.rate_per_s and entry.rate_per_s > 0:
         counts_tokens = entry.unit == "tokens"
-        limit = TokenLimit(entry.rate_per_s, entry.burst or 0.0, counts_tokens, entry.plain_tokens)
+        limit = UsageLimit(entry.rate_per_s, entry.burst or 0.0, counts_tokens, entry.plain_tokens)
     digests = tuple(digest_key(key.encode()) for key in entry.api_keys)
     return Organisation(entry.name, digests, entry.priority, limit)
 
@@ -131,7 +131,7 @@
     engine = entry.engine
     traits = None
     if engine is not None:
-        traits = EngineTraits(
+        traits = EngineProperties(
             engine.slots,
             engine.kv_cache_tokens,
             engine.handle_retention_s,
@@ -158,9 +158,9 @@
         shares=tuple(ServiceShare(share.service, share.weight) for share in shares),
         max_attempts=entry.attempts,
         resumable=entry.resumable,
-        event_gap_s=event_gap_s,
-        patience_s=_patience_s(target_s, event_gap_s),
-        heeded_share=_HONOURED_RETRY_SHARE,
+        event_gap_target_s=event_gap_s,
+        abandon_after_s=_patience_s(target_s, event_gap_s),
+        max_retry_after_share=_HONOURED_RETRY_SHARE,
         public=entry.public,
     )
 
--- a/cleatlink/platform/entries.py
+++ b/cleatlink/platform/entries.py
@@ -10,7 +10,7 @@
 
 from cleatlink.core.address import parse_address
 from cleatlink.core.data import Role
-from cleatlink.core.decoding import FaultKind, UnreadableError, decode_base64, decode_json
+from cleatlink.core.decoding import ReadFaultKind, UnreadableError, decode_base64, decode_json
 from cleatlink.core.errors import ConfigurationError
 from cleatlink.core.revisions import StoreRevision
 from cleatlink.core.routes import RoutedEndpoint
@@ -19,10 +19,10 @@
 __all__ = [
     "CONFIG_KEY",
     "WORKERS_PREFIX",
-    "Item",
+    "StoreItem",
     "decode_value",
-    "read_item",
-    "read_record",
+    "parse_item",
+    "parse_record",
 ]
 
 CONFIG_KEY = "op/config"
@@ -35,7 +35,7 @@
 _ShortText = Annotated[str, msgspec.Meta(min_length=1, max_length=256)]
 
 
-class Item(msgspec.Struct):
+class StoreItem(msgspec.Struct):
     """An item of the store as it was written; a deleted item has no value."""
 
     private_key: str
@@ -68,15 +68,15 @@
     born: _NonNegativeInteger = 0
 
 
-def read_item(raw: msgspec.Raw) -> Item | None:
+def parse_item(raw: msgspec.Raw) -> StoreItem | None:
     """Parse an item; return None if its key or revision can't be parsed."""
     try:
-        return decode_json(raw, Item)
+        return decode_json(raw, StoreItem)
     except UnreadableError:
         return None
 
 
-def decode_value(item: Item, max_bytes: int) -> bytes:
+def decode_value(item: StoreItem, max_bytes: int) -> bytes:
     """Decode the bytes of an item's value.
 
     Raises:
@@ -86,7 +86,7 @@
     return decode_base64(decode_json(item.value, str), max_bytes)
 
 
-def read_record(item: Item, era: int) -> EndpointRecord:
+def parse_record(item: StoreItem, era: int) -> EndpointRecord:
     """Parse a worker's entry; the record of an invalid entry has a fault and no endpoint."""
     name = item.private_key.removeprefix(WORKERS_PREFIX)
     revision = StoreRevision(era, item.revision)
@@ -98,16 +98,16 @@
         return EndpointRecord(name, revision, None, error.fault)
 
 
-def _read_endpoint(name: str, item: Item) -> RoutedEndpoint:
+def _read_endpoint(name: str, item: StoreItem) -> RoutedEndpoint:
     if not name or "/" in name:
-        raise UnreadableError(FaultKind.KEY, "the key does not name a worker")
+        raise UnreadableError(ReadFaultKind.KEY, "the key does not name a worker")
     entry = decode_json(decode_value(item, _MAX_ENTRY_BYTES), _Entry)
     try:
         address = parse_address(entry.address)
     except ConfigurationError as error:
-        raise UnreadableError(FaultKind.FIELDS, str(error)) from error
+        raise UnreadableError(ReadFaultKind.FIELDS, str(error)) from error
     if not address.port:
-        raise UnreadableError(FaultKind.FIELDS, "the address has no port")
+        raise UnreadableError(ReadFaultKind.FIELDS, "the address has no port")
     return RoutedEndpoint(
         name=f"{name}@{entry.born}" if entry.born else name,
         address=entry.address,
--- a/cleatlink/platform/entries_test.py
+++ b/cleatlink/platform/entries_test.py
@@ -9,10 +9,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cleatlink.core.decoding import FaultKind
+from cleatlink.core.decoding import ReadFaultKind
 from cleatlink.core.errors import PlatformError
-from cleatlink.platform.entries import read_item, read_record
-from cleatlink.platform.tables import read_table
+from cleatlink.platform.configuration import parse_configuration
+from cleatlink.platform.entries import parse_item, parse_record
 from cleatlink.routing.fleet_records import EndpointRecord
 
 VALID_ENTRY: dict[str, Any] = {
@@ -39,9 +39,9 @@
 
 
 def decode_record(raw: msgspec.Raw) -> EndpointRecord:
-    item = read_item(raw)
+    item = parse_item(raw)
     assert item is not None
-    return read_record(item, 0)
+    return parse_record(item, 0)
 
 
 def encode_entry(**changes: Any) -> bytes:
@@ -56,7 +56,7 @@
     )
     assert record.fault is None
     assert record.endpoint is not None
-    assert (record.endpoint.name, record.endpoint.answers_to) == ("i-1", "i-1")
+    assert (record.endpoint.name, record.endpoint.registered_name) == ("i-1", "i-1")
 
 
 def test_incarnations_have_distinct_names_but_the_same_instance_id() -> None:
@@ -64,7 +64,7 @@
     for born in (0, 1700000000000, 1700000000001):
         endpoint = decode_record(encode_item(encode_entry(born=born or None))).endpoint
         assert endpoint is not None
-        assert (endpoint.born, endpoint.answers_to) == (born, "i-1")
+        assert (endpoint.born, endpoint.registered_name) == (born, "i-1")
         names.add(endpoint.name)
     assert len(names) == 3
 
@@ -74,7 +74,7 @@
     record = decode_record(encode_item(encode_entry(**{field: None})))
     assert record.endpoint is None
     assert record.fault is not None
-    assert record.fault.kind is FaultKind.FIELDS
+    assert record.fault.kind is ReadFaultKind.FIELDS
     assert field in record.fault.detail
 
 
@@ -114,19 +114,22 @@
 @pytest.mark.parametrize(
     ("raw", "kind"),
     [
-        (encode_item(b"\xff\xfe\x00"), FaultKind.JSON),
-        (encode_item(b'{"service":'), FaultKind.JSON),
-        (encode_item(b"[]"), FaultKind.FIELDS),
-        (encode_item(b"[" * 5000), FaultKind.FIELDS),
-        (encode_item("no base64!"), FaultKind.ENCODING),
-        (encode_item("AAA"), FaultKind.ENCODING),
-        (encode_item(encode_entry(version="v" * 100_000)), FaultKind.SIZE),
-        (encode_item(encode_entry(), "servers/"), FaultKind.KEY),
-        (encode_item(encode_entry(), "servers/a/b"), FaultKind.KEY),
-        (msgspec.Raw(b'{"private_key":"servers/i-1","revision":1,"value":7}'), FaultKind.FIELDS),
+        (encode_item(b"\xff\xfe\x00"), ReadFaultKind.JSON),
+        (encode_item(b'{"service":'), ReadFaultKind.JSON),
+        (encode_item(b"[]"), ReadFaultKind.FIELDS),
+        (encode_item(b"[" * 5000), ReadFaultKind.FIELDS),
+        (encode_item("no base64!"), ReadFaultKind.ENCODING),
+        (encode_item("AAA"), ReadFaultKind.ENCODING),
+        (encode_item(encode_entry(version="v" * 100_000)), ReadFaultKind.SIZE),
+        (encode_item(encode_entry(), "servers/"), ReadFaultKind.KEY),
+        (encode_item(encode_entry(), "servers/a/b"), ReadFaultKind.KEY),
+        (
+            msgspec.Raw(b'{"private_key":"servers/i-1","revision":1,"value":7}'),
+            ReadFaultKind.FIELDS,
+        ),
     ],
 )
-def test_record_of_an_invalid_entry_has_the_reason(raw: msgspec.Raw, kind: FaultKind) -> None:
+def test_record_of_an_invalid_entry_has_the_reason(raw: msgspec.Raw, kind: ReadFaultKind) -> None:
     record = decode_record(raw)
     assert record.endpoint is None
     assert record.fault is not None
@@ -136,14 +139,14 @@
 
 @given(st.binary(max_size=200))
 def test_arbitrary_bytes_raise_no_exception(data: bytes) -> None:
-    read_item(msgspec.Raw(data))
+    parse_item(msgspec.Raw(data))
     decode_record(encode_item(data))
 
 
 @given(JSON)
 def test_arbitrary_json_raises_no_exception(value: Any) -> None:
     data = json.dumps(value).encode()
-    read_item(msgspec.Raw(data))
+    parse_item(msgspec.Raw(data))
     decode_record(encode_item(data))
 
 
@@ -157,7 +160,7 @@
 
 @given(JSON)
 def test_arbitrary_json_is_rejected_as_configuration(value: Any) -> None:
-    item = read_item(encode_item(json.dumps(value).encode(), "op/config"))
+    item = parse_item(encode_item(json.dumps(value).encode(), "op/config"))
     assert item is not None
     with pytest.raises(PlatformError):
-        read_table(item)
+        parse_configuration(item)
--- a/cleatlink/platform/settings.py
+++ b/cleatlink/platform/settings.py
@@ -6,7 +6,7 @@
 
 from cleatlink.core.address import Address
 from cleatlink.core.errors import ConfigurationError
-from cleatlink.core.tables import TableReader
+from cleatlink.core.table_reader import TableReader
 from cleatlink.organisations import LimitTolerance
 from cleatlink.relay.settings import RelaySettings
 from cleatlink.routing.spill_over import CROSSING_SHARE
@@ -63,7 +63,7 @@
         retry_ratio=reader.number("bounds.retry_budget_ratio"),
         retry_allowance=reader.number("bounds.retry_allowance"),
         retry_window_s=reader.number("bounds.budget_window_s"),
-        leaving_s=reader.number("bounds.drain_ms") / _MS,
+        endpoint_leave_s=reader.number("bounds.drain_ms") / _MS,
         lease_s=reader.number("bounds.lease_ms") / _MS,
         history_s=reader.number("platform.history_s"),
         limit_tolerance=_read_tolerance(reader),
--- a/cleatlink/platform/store.py
+++ b/cleatlink/platform/store.py
@@ -5,21 +5,21 @@
 import msgspec
 
 from cleatlink.core.address import Address
-from cleatlink.core.decoding import FaultKind, ReadFault, UnreadableError, decode_json
+from cleatlink.core.decoding import ReadFault, ReadFaultKind, UnreadableError, decode_json
 from cleatlink.core.errors import PlatformError
 from cleatlink.core.revisions import StoreRevision
 from cleatlink.core.routes import RouteTable
+from cleatlink.platform.configuration import parse_configuration
 from cleatlink.platform.entries import (
     CONFIG_KEY,
     WORKERS_PREFIX,
-    Item,
-    read_item,
-    read_record,
+    StoreItem,
+    parse_item,
+    parse_record,
 )
-from cleatlink.platform.tables import read_table
 from cleatlink.relay.following.source import ConfigurationSource, SourceChange, SourceTable
 from cleatlink.relay.following.store_client import StoreAnswer, StoreClient
-from cleatlink.relay.whole_read import ListPage, WholeRead
+from cleatlink.relay.full_read import FullRead, ListPage
 
 __all__ = ["PlatformStore"]
 
@@ -50,12 +50,12 @@
         self._client = StoreClient(address, _ERA_HEADER)
         # A connection carries one call at a time, and a long watch would block reads of the table.
         self._table_client = StoreClient(address, _ERA_HEADER)
-        self._whole_read = WholeRead(self._read_page, self._read_table_of_era)
+        self._whole_read = FullRead(self._read_page, self._read_table_of_era)
 
     @property
-    def is_answering(self) -> bool:
+    def is_receiving(self) -> bool:
         """Whether a response to ``read`` or ``watch`` is being received."""
-        return self._client.is_answering
+        return self._client.is_receiving
 
     async def read(self) -> SourceChange:
         """Read table and entries, all of one era; after a failure, read only what is missing."""
@@ -73,8 +73,8 @@
         if not answer.is_found:
             raise PlatformError("the list of workers is missing")
         page = decode_json(answer.body, _Page)
-        items = [item for item in map(read_item, page.items) if item is not None]
-        records = {item.private_key: read_record(item, answer.era) for item in items}
+        items = [item for item in map(parse_item, page.items) if item is not None]
+        records = {item.private_key: parse_record(item, answer.era) for item in items}
         return ListPage(records, StoreRevision(answer.era, page.at), page.more)
 
     async def _read_table_of_era(self, era: int) -> SourceTable:
@@ -89,7 +89,7 @@
         A store that was restored from a backup may reuse the revision for other changes; only the
         era of its response shows this.
         """
-        self._client.note_era(after.era)
+        self._client.record_era(after.era)
         path = f"/kv-watch?path_prefix=&after={after.number}&wait_ms={int(wait_s * _MS)}"
         answer = await self._client.get(path, wait_s + _RESPONSE_TIMEOUT_S)
         answer.require_era(after.era)
@@ -99,16 +99,16 @@
         table: RouteTable | None = None
         fault: ReadFault | None = None
         records = []
-        for item in map(read_item, update.events):
+        for item in map(parse_item, update.events):
             if item is None:
                 continue
             if item.private_key == CONFIG_KEY and not item.is_deleted:
                 configuration = _parse_configuration(item)
                 table, fault = configuration.table or table, configuration.fault
             elif item.private_key.startswith(WORKERS_PREFIX):
-                records.append(read_record(item, answer.era))
+                records.append(parse_record(item, answer.era))
         revision = StoreRevision(answer.era, update.at)
-        return SourceChange(table, records, revision, whole=False, table_fault=fault)
+        return SourceChange(table, records, revision, is_full=False, table_fault=fault)
 
     def close(self) -> None:
         """Close all connections."""
@@ -125,14 +125,14 @@
     """Parse the configuration in a response; the store may not have one yet."""
     if not answer.is_found:
         return SourceTable(None)
-    return _parse_configuration(read_item(msgspec.Raw(answer.body)))
+    return _parse_configuration(parse_item(msgspec.Raw(answer.body)))
 
 
-def _parse_configuration(item: Item | None) -> SourceTable:
+def _parse_configuration(item: StoreItem | None) -> SourceTable:
     """Parse the configuration; an invalid one yields a fault instead of a table."""
     if item is None:
-        return SourceTable(None, ReadFault(FaultKind.JSON, "the response is not a store item"))
+        return SourceTable(None, ReadFault(ReadFaultKind.JSON, "the response is not a store item"))
     try:
-        return SourceTable(read_table(item))
+        return SourceTable(parse_configuration(item))
     except UnreadableError as error:
         return SourceTable(None, error.fault)
--- a/cleatlink/platform/store_test.py
+++ b/cleatlink/platform/store_test.py
@@ -10,7 +10,7 @@
 from cleatlink.core.errors import PlatformError
 from cleatlink.core.revisions import StoreRevision
 from cleatlink.platform import PlatformStore
-from cleatlink.relay.following.source import HistoryGoneError, SourceChange
+from cleatlink.relay.following.source import HistoryUnavailableError, SourceChange
 from standins.relay import RawCall, Store, Worker
 
 
@@ -85,7 +85,7 @@
     store = RestoringStore(calls)
     store.page_items = 1
     async with open_client(store) as client:
-        with pytest.raises(HistoryGoneError):
+        with pytest.raises(HistoryUnavailableError):
             await client.read()
         change = await client.read()
         assert change.revision.era == 2
@@ -101,7 +101,7 @@
         backup = store.copy()
         store.restore(backup)
         store.put("servers/i-9", Worker("plain").registration())
-        with pytest.raises(HistoryGoneError):
+        with pytest.raises(HistoryUnavailableError):
             await client.watch(change.revision, 1.0)
 
 
@@ -127,7 +127,7 @@
         assert change.table is None
         store.era = 2
         # The response that the configuration is not found carries the era, too.
-        with pytest.raises(HistoryGoneError):
+        with pytest.raises(HistoryUnavailableError):
             await client.watch(change.revision, 0.1)
         assert (await client.read()).revision.era == 2
 
@@ -139,7 +139,7 @@
     async with open_client(store) as client:
         change = await client.read()
         assert change.revision == StoreRevision(0, store.revision)
-        assert not (await client.watch(change.revision, 0.05)).whole
+        assert not (await client.watch(change.revision, 0.05)).is_full
 
 
 @pytest.mark.virtual_time
@@ -204,7 +204,7 @@
         with pytest.raises(PlatformError):
             await client.read()
         store.restore(backup)
-        with pytest.raises(HistoryGoneError):
+        with pytest.raises(HistoryUnavailableError):
             await client.read()
         change = await client.read()
         assert [record.name for record in change.records] == ["i-0", "i-1", "i-2"]
@@ -221,7 +221,7 @@
         with pytest.raises(PlatformError):
             await client.read()
         store.restore(backup)
-        with pytest.raises(HistoryGoneError):
+        with pytest.raises(HistoryUnavailableError):
             await client.read()
         change = await client.read()
         assert [record.name for record in change.records] == ["i-0", "i-1", "i-2"]
--- a/cleatlink/platform/names.py
+++ b/cleatlink/platform/wire_names.py
@@ -3,9 +3,9 @@
 from cleatlink.relay.endpoints.protocol import (
     EndpointPaths,
     HeaderNames,
-    HoldFields,
-    OrderFields,
     Protocol,
+    ReservationFields,
+    RoleChangeFields,
 )
 
 __all__ = ["PROTOCOL"]
@@ -15,16 +15,16 @@
     deadline_ms=b"deadline-milliseconds",
     token_counts=b"token-counts",
     output_hint=b"length-hint",
-    last_event=b"last-event-id",
+    last_event_id=b"last-event-id",
     signature=b"server-stamp",
     expected_endpoint=b"expected-instance",
-    not_run=b"not-executed",
+    not_executed=b"not-executed",
     endpoint=b"instance-id",
     leaving=b"server-leaving",
     rate_per_s=b"server-limit",
     stage=b"stage",
     kv_source=b"cache-source",
-    hold=b"hold",
+    reservation_id=b"hold",
     priority=b"request-priority",
     organisation=b"tenant",
     reserved=frozenset(
@@ -40,17 +40,17 @@
             b"request-priority",
         }
     ),
-    kept=frozenset({b"model", b"prompt-prefix", b"length-hint"}),
+    always_forwarded=frozenset({b"model", b"prompt-prefix", b"length-hint"}),
 )
 
 _PATHS = EndpointPaths(
-    handle="/kv-handle/{}",
-    order="/order",
+    kv_handle="/kv-handle/{}",
+    role_change="/order",
     prefill_handle_field="prefill_handle",
-    order_fields=OrderFields("operation", "stage", "stage", "holder", "fencing_token"),
-    take_hold="/hold-take",
-    drop_hold="/hold-drop/{}",
-    hold_fields=HoldFields("tokens", "ttl_ms", "hold"),
+    role_change_fields=RoleChangeFields("operation", "stage", "stage", "holder", "fencing_token"),
+    create_reservation="/hold-take",
+    delete_reservation="/hold-drop/{}",
+    reservation_fields=ReservationFields("tokens", "ttl_ms", "hold"),
 )
 
 PROTOCOL = Protocol(_HEADERS, _PATHS)
--- a/cleatlink/quarantine/__init__.py
+++ b/cleatlink/quarantine/__init__.py
@@ -3,15 +3,20 @@
 This package does no I/O and reads no clock: callers pass the current time.
 """
 
-from cleatlink.quarantine.evidence import Blame, CrashEvidence, CrashReport
-from cleatlink.quarantine.verdict import CRASHES_TO_HOLD, Quarantine, Trial, Verdict
+from cleatlink.quarantine.decision import (
+    CRASHES_TO_QUARANTINE,
+    Quarantine,
+    QuarantineDecision,
+    Trial,
+)
+from cleatlink.quarantine.evidence import CrashAttribution, CrashEvidence, CrashReport
 
 __all__ = [
-    "CRASHES_TO_HOLD",
-    "Blame",
+    "CRASHES_TO_QUARANTINE",
+    "CrashAttribution",
     "CrashEvidence",
     "CrashReport",
     "Quarantine",
     "Trial",
-    "Verdict",
+    "QuarantineDecision",
 ]
--- a/cleatlink/quarantine/verdict.py
+++ b/cleatlink/quarantine/decision.py
@@ -4,13 +4,13 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from cleatlink.quarantine.evidence import Blame, CrashEvidence, CrashReport
+from cleatlink.quarantine.evidence import CrashAttribution, CrashEvidence, CrashReport
 
-__all__ = ["CRASHES_TO_HOLD", "Quarantine", "Trial", "Verdict"]
+__all__ = ["CRASHES_TO_QUARANTINE", "Quarantine", "Trial", "QuarantineDecision"]
 
 # Crashes after which a request is quarantined. Two can be chance where endpoints crash often; each
 # further crash breaks off some five other requests.
-CRASHES_TO_HOLD = 3
+CRASHES_TO_QUARANTINE = 3
 # First quarantine time, doubled with each trial that crashes another endpoint, up to the maximum:
 # three trials in the first hour, then at most two an hour.
 _QUARANTINE_S = 300.0
@@ -33,26 +33,26 @@
     age_s: float
 
 
-class Verdict(NamedTuple):
+class QuarantineDecision(NamedTuple):
     """The decision about a request.
 
     Attributes:
         suspicion: Number of crashes that count against it, without those it is cleared of; with two
             or more it has to run apart from other suspects.
-        is_held: Whether it is in quarantine and may not run now.
+        is_quarantined: Whether it is in quarantine and may not run now.
         needs_trial: Whether it may run only as the single trial of all instances.
         retry_after_s: Seconds until it may run, if it is in quarantine.
-        blame: The crashes that are attributed to it.
+        attribution: The crashes that are attributed to it.
     """
 
     suspicion: int = 0
-    is_held: bool = False
+    is_quarantined: bool = False
     needs_trial: bool = False
     retry_after_s: float = 0.0
-    blame: Blame = Blame()
+    attribution: CrashAttribution = CrashAttribution()
 
 
-_UNSUSPECTED = Verdict()
+_UNSUSPECTED = QuarantineDecision()
 
 
 class Quarantine:
@@ -67,48 +67,50 @@
         """Whether no crash is known."""
         return not len(self.evidence)
 
-    def judge(self, identity: bytes, now: float) -> Verdict:
+    def decide(self, identity: bytes, now: float) -> QuarantineDecision:
         """Decide whether a request may run now."""
         suspicion = self.evidence.suspicion(identity)
         if not suspicion:
             return _UNSUSPECTED
-        attribution = self.evidence.blame(identity)
-        extra_crashes = attribution.crashes - CRASHES_TO_HOLD
+        attribution = self.evidence.attribution(identity)
+        extra_crashes = attribution.independent_crashes - CRASHES_TO_QUARANTINE
         if extra_crashes < 0:
-            return Verdict(suspicion, blame=attribution)
+            return QuarantineDecision(suspicion, attribution=attribution)
         quarantine_s = min(_MAX_QUARANTINE_S, _QUARANTINE_S * 2**extra_crashes)
         trial_began_at = self._trials.get(identity, -math.inf)
-        until = max(attribution.last_at + quarantine_s, trial_began_at + _MAX_TRIAL_S)
+        until = max(attribution.last_crash_at + quarantine_s, trial_began_at + _MAX_TRIAL_S)
         if now < until:
-            return Verdict(suspicion, is_held=True, retry_after_s=until - now, blame=attribution)
-        return Verdict(suspicion, needs_trial=True, blame=attribution)
+            return QuarantineDecision(
+                suspicion, is_quarantined=True, retry_after_s=until - now, attribution=attribution
+            )
+        return QuarantineDecision(suspicion, needs_trial=True, attribution=attribution)
 
     def begin_trial(self, identity: bytes, now: float) -> None:
         """Record that this instance starts the single trial of a request."""
         self._trials[identity] = now
 
-    def trials(self, now: float) -> list[Trial]:
+    def active_trials(self, now: float) -> list[Trial]:
         """Return the trials that may still be in progress."""
         return [Trial(identity, now - began_at) for identity, began_at in self._trials.items()]
 
-    def take_trials(self, trials: Iterable[Trial], now: float) -> None:
+    def add_peer_trials(self, trials: Iterable[Trial], now: float) -> None:
         """Add trials of peers; those that must be over are ignored."""
         for trial in trials:
             if trial.age_s < _MAX_TRIAL_S:
                 known_began_at = self._trials.get(trial.identity, -math.inf)
                 self._trials[trial.identity] = max(known_began_at, now - trial.age_s)
 
-    def take_report(self, report: CrashReport, now: float) -> bool:
+    def add_report(self, report: CrashReport, now: float) -> bool:
         """Add a report of a crash.
 
         Returns:
             Whether anything in it was new.
         """
-        return self.evidence.add(report, now)
+        return self.evidence.add_report(report, now)
 
-    def forget(self, now: float) -> None:
+    def remove_expired(self, now: float) -> None:
         """Remove expired crashes and trials."""
-        self.evidence.forget(now)
+        self.evidence.remove_expired(now)
         self._trials = {
             identity: began_at
             for identity, began_at in self._trials.items()
--- a/cleatlink/quarantine/evidence.py
+++ b/cleatlink/quarantine/evidence.py
@@ -19,7 +19,7 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-__all__ = ["Blame", "CrashEvidence", "CrashReport"]
+__all__ = ["CrashAttribution", "CrashEvidence", "CrashReport"]
 
 # Only the newest crashes are kept: at one crash a minute, those of the last hour.
 _MAX_CRASHES = 64
@@ -31,34 +31,36 @@
     """Report of one crash, as exchanged between instances.
 
     Attributes:
-        life: Name of the endpoint's incarnation that crashed; an incarnation crashes only once.
+        incarnation: Name of the endpoint's incarnation that crashed; an incarnation crashes only
+            once.
         age_s: Seconds since the crash.
         suspects: Identities of the requests in progress at the crash, each with the seconds for
             which it had been in progress.
         cleared: Identities of requests that completed since, at any endpoint.
     """
 
-    life: str
+    incarnation: str
     age_s: float
     suspects: Mapping[bytes, float]
     cleared: frozenset[bytes] = frozenset()
 
 
-class Blame(NamedTuple):
+class CrashAttribution(NamedTuple):
     """Crashes that are attributed to a request.
 
     Attributes:
-        lives: Endpoint incarnations that the request crashed according to the evidence.
-        crashes: Number of these crashes, where crashes that happened together count once.
-        last_at: Time of the last of these crashes; minus infinity without any.
+        incarnations: Endpoint incarnations that the request crashed according to the evidence.
+        independent_crashes: Number of these crashes, where crashes that happened together count
+            once.
+        last_crash_at: Time of the last of these crashes; minus infinity without any.
     """
 
-    lives: tuple[str, ...] = ()
-    crashes: int = 0
-    last_at: float = -math.inf
+    incarnations: tuple[str, ...] = ()
+    independent_crashes: int = 0
+    last_crash_at: float = -math.inf
 
 
-_NO_CRASHES = Blame()
+_NO_CRASHES = CrashAttribution()
 
 
 class _Crash:
@@ -115,13 +117,13 @@
         """
         self._retention_s = retention_s
         self._crashes: dict[str, _Crash] = {}
-        self._attributed: dict[bytes, Blame] | None = None
+        self._attributed: dict[bytes, CrashAttribution] | None = None
         self._counts: Counter[bytes] = Counter()
 
     def __len__(self) -> int:
         return len(self._crashes)
 
-    def add(self, report: CrashReport, now: float) -> bool:
+    def add_report(self, report: CrashReport, now: float) -> bool:
         """Add a report.
 
         Returns:
@@ -130,9 +132,9 @@
         if report.age_s >= self._retention_s or not (report.suspects or report.cleared):
             return False
         crashed_at = now - report.age_s
-        crash = self._crashes.get(report.life)
+        crash = self._crashes.get(report.incarnation)
         if crash is None:
-            crash = self._crashes[report.life] = _Crash(crashed_at)
+            crash = self._crashes[report.incarnation] = _Crash(crashed_at)
         # The age in a report is too low by the time for which it was in transit.
         crash.crashed_at = min(crash.crashed_at, crashed_at)
         is_new = crash.add(report.suspects)
@@ -142,7 +144,7 @@
             self._attributed = None
         return is_new
 
-    def clear(self, identity: bytes) -> list[str]:
+    def clear_request(self, identity: bytes) -> list[str]:
         """Clear a request of all crashes so far.
 
         Returns:
@@ -159,7 +161,7 @@
             self._attributed = None
         return incarnations
 
-    def forget(self, now: float) -> None:
+    def remove_expired(self, now: float) -> None:
         """Remove crashes that are older than the retention time."""
         expired = [
             incarnation
@@ -176,15 +178,15 @@
         self._attribute_crashes()
         return self._counts[identity]
 
-    def blame(self, identity: bytes) -> Blame:
+    def attribution(self, identity: bytes) -> CrashAttribution:
         """Return the crashes that are attributed to a request."""
         return self._attribute_crashes().get(identity, _NO_CRASHES)
 
-    def blames(self) -> dict[bytes, Blame]:
+    def attributions(self) -> dict[bytes, CrashAttribution]:
         """Return the attributed crashes of each request that has any."""
         return dict(self._attribute_crashes())
 
-    def report(self, incarnation: str, now: float) -> CrashReport | None:
+    def crash_report(self, incarnation: str, now: float) -> CrashReport | None:
         """Return a report of a crash; None if the crash is not known."""
         crash = self._crashes.get(incarnation)
         if crash is None:
@@ -193,11 +195,11 @@
             incarnation, now - crash.crashed_at, dict(crash.suspects), frozenset(crash.cleared)
         )
 
-    def lives(self) -> list[str]:
+    def crashed_incarnations(self) -> list[str]:
         """Return the crashed incarnations, the newest crash first."""
         return sorted(self._crashes, key=lambda incarnation: -self._crashes[incarnation].crashed_at)
 
-    def _attribute_crashes(self) -> dict[bytes, Blame]:
+    def _attribute_crashes(self) -> dict[bytes, CrashAttribution]:
         """Attribute each crash to its suspect with the highest crash count.
 
         A crash whose highest count is shared by several suspects is attributed to none. Otherwise
@@ -217,7 +219,7 @@
             if len(top_suspects) == 1:
                 crashes_by_request.setdefault(top_suspects[0], []).append((incarnation, crash))
         self._attributed = {
-            request: Blame(
+            request: CrashAttribution(
                 tuple(incarnation for incarnation, _ in attributed),
                 _count_crashes([crash for _, crash in attributed])[request],
                 attributed[-1][1].crashed_at,
--- a/cleatlink/relay/callers/unread.py
+++ b/cleatlink/relay/callers/answer_buffer.py
@@ -10,7 +10,7 @@
 import eliot
 import trio
 
-from cleatlink.routing.held_bytes import HeldBytes, HeldKind
+from cleatlink.routing.buffered_bytes import BufferedBytes, BufferKind
 
 __all__ = ["AnswerBuffer"]
 
@@ -23,7 +23,7 @@
 class AnswerBuffer:
     """Data for one caller that its connection has not accepted yet."""
 
-    def __init__(self, stream: trio.SocketStream, memory: HeldBytes) -> None:
+    def __init__(self, stream: trio.SocketStream, memory: BufferedBytes) -> None:
         """Initialise an empty buffer.
 
         Args:
@@ -58,12 +58,12 @@
         if start_task is None:
             await self._stream.send_all(data)
             return
-        while self._buffer and not self._memory.admits_unread(len(self._buffer), len(data)):
+        while self._buffer and not self._memory.may_buffer_answer(len(self._buffer), len(data)):
             await self._progress.wait()
             if self._failure is not None:
                 raise trio.BrokenResourceError from self._failure
         self._buffer += data
-        self._memory.add(HeldKind.UNREAD_ANSWERS, len(data))
+        self._memory.add(BufferKind.UNREAD_ANSWERS, len(data))
         if not self._is_writing:
             self._is_writing = True
             start_task(self._write_buffer)
@@ -91,7 +91,7 @@
 
     def close(self) -> None:
         """Discard the buffered bytes and release their memory."""
-        self._memory.remove(HeldKind.UNREAD_ANSWERS, len(self._buffer))
+        self._memory.remove(BufferKind.UNREAD_ANSWERS, len(self._buffer))
         self._buffer.clear()
 
     async def _write_buffer(self) -> None:
@@ -110,12 +110,12 @@
         with trio.fail_after(_CALLER_READ_TIMEOUT_S):
             count = await self._stream.socket.send(bytes(self._buffer[:_MAX_SEND_BYTES]))
         del self._buffer[:count]
-        self._memory.remove(HeldKind.UNREAD_ANSWERS, count)
+        self._memory.remove(BufferKind.UNREAD_ANSWERS, count)
 
     def _record_failure(self, error: Exception) -> None:
         self._failure = error
         eliot.log_message(
-            message_type="caller: reads no more",
+            message_type="caller: can't be sent its answer, gives the connection up",
             unread_bytes=len(self._buffer),
             error=repr(error),
         )
--- a/cleatlink/relay/callers/unread_test.py
+++ b/cleatlink/relay/callers/answer_buffer_test.py
@@ -7,9 +7,9 @@
 import pytest
 import trio
 
-from cleatlink.relay.callers import unread
-from cleatlink.relay.callers.unread import AnswerBuffer
-from cleatlink.routing.held_bytes import HeldBytes, HeldKind
+from cleatlink.relay.callers import answer_buffer
+from cleatlink.relay.callers.answer_buffer import AnswerBuffer
+from cleatlink.routing.buffered_bytes import BufferedBytes, BufferKind
 
 EVENT_DATA = b"x" * 10_000
 LIMIT_BYTES = 4_000_000
@@ -48,20 +48,20 @@
     The instance must not read from the endpoint only as fast as its caller reads: a caller that
     pauses for longer would lose the answer although the instance has memory for it.
     """
-    memory = HeldBytes(LIMIT_BYTES)
+    memory = BufferedBytes(LIMIT_BYTES)
     async with connected() as (stream, caller), trio.open_nursery() as nursery:
         answer = AnswerBuffer(stream, memory)
         with trio.fail_after(1.0):
             for _ in range(30):
                 await answer.send(EVENT_DATA, nursery.start_soon)
-        assert memory.held(HeldKind.UNREAD_ANSWERS) > 100_000
+        assert memory.buffered(BufferKind.UNREAD_ANSWERS) > 100_000
         nursery.start_soon(answer.flush)
         assert await read(caller, 30 * len(EVENT_DATA)) == 30 * len(EVENT_DATA)
     assert memory.total == 0
 
 
 async def test_buffer_of_a_slow_caller_is_bounded_and_does_not_block_other_callers() -> None:
-    memory = HeldBytes(LIMIT_BYTES)
+    memory = BufferedBytes(LIMIT_BYTES)
     async with connected() as (slow, _), connected() as (quick, reader):
         async with trio.open_nursery() as nursery:
             first, second = AnswerBuffer(slow, memory), AnswerBuffer(quick, memory)
@@ -84,7 +84,7 @@
 
 
 async def test_hundreds_of_callers_that_do_not_read_stay_within_the_memory_limit() -> None:
-    memory = HeldBytes(LIMIT_BYTES)
+    memory = BufferedBytes(LIMIT_BYTES)
     async with trio.open_nursery() as nursery:
 
         async def send_to_one_caller() -> None:
@@ -105,8 +105,8 @@
 async def test_send_to_a_caller_that_never_reads_fails_after_the_timeout(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(unread, "_CALLER_READ_TIMEOUT_S", 0.1)
-    memory = HeldBytes(LIMIT_BYTES)
+    monkeypatch.setattr(answer_buffer, "_CALLER_READ_TIMEOUT_S", 0.1)
+    memory = BufferedBytes(LIMIT_BYTES)
     async with connected() as (stream, _), trio.open_nursery() as nursery:
         answer = AnswerBuffer(stream, memory)
         for _ in range(10):
--- a/cleatlink/relay/callers/side.py
+++ b/cleatlink/relay/callers/internal_pages.py
@@ -6,7 +6,7 @@
 from cleatlink.relay.callers.server import Handler
 from cleatlink.relay.exchange import Exchange
 from cleatlink.relay.peers.deflate import DEFLATE_HEADERS, accepts_deflate
-from cleatlink.relay.peers.snapshots import Part
+from cleatlink.relay.peers.snapshots import SnapshotPart
 from cleatlink.relay.status import InstanceState
 
 __all__ = [
@@ -55,7 +55,9 @@
         request = exchange.request
         is_compressed = accepts_deflate(request.headers)
         headers = DEFLATE_HEADERS if is_compressed else ()
-        body = self._state.snapshot(Part.of_target(request.target), is_compressed=is_compressed)
+        body = self._state.snapshot(
+            SnapshotPart.from_path(request.target), is_compressed=is_compressed
+        )
         await exchange.answer(200, headers, body)
 
 
--- a/cleatlink/relay/callers/later_tables.py
+++ b/cleatlink/relay/callers/newer_table_wait.py
@@ -9,9 +9,9 @@
 
 from cleatlink.core.data import Refusal
 from cleatlink.core.errors import ErrorKind
-from cleatlink.core.routes import Inbound
+from cleatlink.core.routes import InboundRequest
 from cleatlink.relay.calls.planned_stop import PlannedStop
-from cleatlink.routing.table_knowledge import TableKnowledge, TableStanding
+from cleatlink.routing.table_tracker import TableFreshness, TableTracker
 
 __all__ = ["NewerTableWait"]
 
@@ -24,8 +24,8 @@
 # Refusals that depend on the route table and after which callers do not retry.
 _FINAL_KINDS = frozenset({ErrorKind.NOT_FOUND, ErrorKind.UNKNOWN_KEY})
 _RETRYABLE_DETAILS = {
-    TableStanding.BEHIND: "a newer route table is not here yet",
-    TableStanding.UNCONFIRMED: "the configuration service can't be asked for newer route tables",
+    TableFreshness.BEHIND: "a newer route table is not here yet",
+    TableFreshness.UNCONFIRMED: "the configuration service can't be asked for newer route tables",
 }
 
 _RoutedT = TypeVar("_RoutedT")
@@ -41,7 +41,7 @@
 class NewerTableWait:
     """Prevents final refusals that are based on a route table that may be out of date."""
 
-    def __init__(self, tables: TableKnowledge, stop: PlannedStop) -> None:
+    def __init__(self, tables: TableTracker, stop: PlannedStop) -> None:
         """Initialise without waiting requests.
 
         Args:
@@ -55,16 +55,16 @@
     @property
     def can_refuse_finally(self) -> bool:
         """Whether the table in force is up to date, so that a refusal by it may be final."""
-        return self._standing is TableStanding.CURRENT
+        return self._standing is TableFreshness.CURRENT
 
     @property
     def expects_newer_table(self) -> bool:
         """Whether a newer table exists that this instance has not received yet."""
-        return self._standing is TableStanding.BEHIND
+        return self._standing is TableFreshness.BEHIND
 
     @property
-    def _standing(self) -> TableStanding:
-        return self._tables.standing(trio.current_time())
+    def _standing(self) -> TableFreshness:
+        return self._tables.freshness(trio.current_time())
 
     def recheck_requests(self) -> None:
         """Route all waiting requests again, after a change of the table or the start of a stop."""
@@ -79,7 +79,7 @@
 
     async def wait_and_route(
         self,
-        inbound: Inbound,
+        inbound: InboundRequest,
         refusal: Refusal,
         route_again: Callable[[], _RoutedT | Refusal],
     ) -> _RoutedT | Refusal:
@@ -93,7 +93,7 @@
         Returns:
             The routed request, or its last refusal.
         """
-        if refusal.kind not in _FINAL_KINDS or self._standing is not TableStanding.BEHIND:
+        if refusal.kind not in _FINAL_KINDS or self._standing is not TableFreshness.BEHIND:
             return self.to_retryable(refusal)
         now = trio.current_time()
         behind_s = self._tables.behind_s(now)
@@ -103,10 +103,10 @@
             outcome = result.kind if isinstance(result, Refusal) else _Outcome.FOUND
         finally:
             eliot.log_message(
-                message_type="relay: waited for a newer route table",
+                message_type="relay: held a request for a newer route table",
                 request=inbound.request_id,
-                revision=self._tables.in_force,
-                newest=self._tables.newest,
+                revision=self._tables.revision_in_force,
+                newest=self._tables.newest_revision,
                 behind_ms=int(_MS_PER_S * behind_s),
                 waited_ms=int(_MS_PER_S * (trio.current_time() - now)),
                 outcome=str(outcome),
@@ -130,7 +130,7 @@
     def _may_change(self, result: object) -> bool:
         """Check whether a newer table that is known to exist may change a result."""
         is_final = isinstance(result, Refusal) and result.kind in _FINAL_KINDS
-        return is_final and self._standing is TableStanding.BEHIND
+        return is_final and self._standing is TableFreshness.BEHIND
 
     async def _wait_for_change(self, until: float) -> bool:
         """Wait for a change until a time; return whether there was one."""
--- a/cleatlink/relay/callers/server.py
+++ b/cleatlink/relay/callers/server.py
@@ -12,11 +12,11 @@
 import trio
 
 from cleatlink.core.routes import CallerLimits, Headers
+from cleatlink.relay.callers.answer_buffer import AnswerBuffer
 from cleatlink.relay.callers.targets import to_origin_form
-from cleatlink.relay.callers.unread import AnswerBuffer
 from cleatlink.relay.exchange import AnswerStream, Exchange, RawRequest
-from cleatlink.relay.sockets import quicken
-from cleatlink.routing.held_bytes import HeldBytes, HeldKind
+from cleatlink.relay.sockets import set_connection_options
+from cleatlink.routing.buffered_bytes import BufferedBytes, BufferKind
 
 __all__ = ["Handler", "serve_connections"]
 
@@ -80,7 +80,7 @@
 class CallerConnection(AnswerStream):
     """One connection of a caller."""
 
-    def __init__(self, stream: trio.SocketStream, handler: Handler, memory: HeldBytes) -> None:
+    def __init__(self, stream: trio.SocketStream, handler: Handler, memory: BufferedBytes) -> None:
         self._stream = stream
         self._handler = handler
         self._memory = memory
@@ -115,7 +115,7 @@
 
     def _release_body(self) -> None:
         """Release the memory reserved for the request's body."""
-        self._memory.remove(HeldKind.REQUEST_BODIES, self._reserved_body_bytes)
+        self._memory.remove(BufferKind.REQUEST_BODIES, self._reserved_body_bytes)
         self._reserved_body_bytes = 0
 
     async def _serve_request(self) -> bool:
@@ -256,11 +256,11 @@
             _BadRequestError: No memory was free in time. The request has not run.
         """
         until = trio.current_time() + _MEMORY_WAIT_S
-        while not self._memory.admits_body(count):
+        while not self._memory.may_buffer_body(count):
             if trio.current_time() >= until:
                 raise _BadRequestError(_STATUS_BUSY)
             await trio.sleep(_MEMORY_POLL_S)
-        self._memory.add(HeldKind.REQUEST_BODIES, count)
+        self._memory.add(BufferKind.REQUEST_BODIES, count)
         self._reserved_body_bytes += count
 
     async def _receive(self, until: float) -> bytes | None:
@@ -305,7 +305,7 @@
 
 
 async def serve_connections(
-    listener: trio.SocketListener, handler: Handler, memory: HeldBytes | None = None
+    listener: trio.SocketListener, handler: Handler, memory: BufferedBytes | None = None
 ) -> None:
     """Accept and serve connections until cancelled.
 
@@ -314,7 +314,7 @@
         handler: Serves their requests.
         memory: Counts the bytes held for their callers; by default the listener has its own count.
     """
-    memory = HeldBytes(_DEFAULT_MEMORY_LIMIT_BYTES) if memory is None else memory
+    memory = BufferedBytes(_DEFAULT_MEMORY_LIMIT_BYTES) if memory is None else memory
     try:
         async with trio.open_nursery() as nursery:
             while True:
@@ -329,9 +329,11 @@
         listener.socket.close()
 
 
-async def _serve_connection(stream: trio.SocketStream, handler: Handler, memory: HeldBytes) -> None:
+async def _serve_connection(
+    stream: trio.SocketStream, handler: Handler, memory: BufferedBytes
+) -> None:
     try:
-        quicken(stream.socket, _TCP_USER_TIMEOUT_S)
+        set_connection_options(stream.socket, _TCP_USER_TIMEOUT_S)
         await CallerConnection(stream, handler, memory).run()
     except OSError:
         return
--- a/cleatlink/relay/callers/server_test.py
+++ b/cleatlink/relay/callers/server_test.py
@@ -7,7 +7,7 @@
 from cleatlink.core.routes import CallerLimits
 from cleatlink.relay.callers.server import Handler, serve_connections
 from cleatlink.relay.exchange import Exchange
-from cleatlink.routing.held_bytes import HeldBytes, HeldKind
+from cleatlink.routing.buffered_bytes import BufferedBytes, BufferKind
 
 BODY = b"b" * 60_000
 
@@ -44,34 +44,34 @@
 
 
 async def test_body_without_free_memory_is_refused_and_not_handled() -> None:
-    memory, handler = HeldBytes(100_000), BodyLengthHandler()
+    memory, handler = BufferedBytes(100_000), BodyLengthHandler()
     sock = trio.socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     await sock.bind(("127.0.0.1", 0))
     sock.listen()
     port = sock.getsockname()[1]
     async with trio.open_nursery() as nursery:
         nursery.start_soon(serve_connections, trio.SocketListener(sock), handler, memory)
-        memory.add(HeldKind.UNREAD_ANSWERS, 90_000)
+        memory.add(BufferKind.UNREAD_ANSWERS, 90_000)
         assert await post(port) == b"HTTP/1.1 503 "
         assert handler.handled_requests == 0
-        memory.remove(HeldKind.UNREAD_ANSWERS, 90_000)
+        memory.remove(BufferKind.UNREAD_ANSWERS, 90_000)
         assert memory.total == 0
         nursery.cancel_scope.cancel()
 
 
 async def test_body_waits_until_memory_is_released() -> None:
-    memory, handler = HeldBytes(200_000), BodyLengthHandler()
+    memory, handler = BufferedBytes(200_000), BodyLengthHandler()
     sock = trio.socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     await sock.bind(("127.0.0.1", 0))
     sock.listen()
     port = sock.getsockname()[1]
     async with trio.open_nursery() as nursery:
         nursery.start_soon(serve_connections, trio.SocketListener(sock), handler, memory)
-        memory.add(HeldKind.UNREAD_ANSWERS, 190_000)
+        memory.add(BufferKind.UNREAD_ANSWERS, 190_000)
 
         async def release_memory_later() -> None:
             await trio.sleep(0.2)
-            memory.remove(HeldKind.UNREAD_ANSWERS, 190_000)
+            memory.remove(BufferKind.UNREAD_ANSWERS, 190_000)
 
         nursery.start_soon(release_memory_later)
         assert await post(port) == b"HTTP/1.1 200 "
--- a/cleatlink/relay/callers/service.py
+++ b/cleatlink/relay/callers/service.py
@@ -9,20 +9,27 @@
 import msgspec
 import trio
 
-from cleatlink.core.data import Ran, Refusal
-from cleatlink.core.errors import ANSWERS, ErrorKind
-from cleatlink.core.routes import CallerLimits, Headers, Inbound, Route, RoutedService, RouteTable
-from cleatlink.organisations import Admission, Holder
-from cleatlink.relay.callers.later_tables import NewerTableWait
+from cleatlink.core.data import ExecutionStatus, Refusal
+from cleatlink.core.errors import ERROR_RESPONSES, ErrorKind
+from cleatlink.core.routes import (
+    CallerLimits,
+    Headers,
+    InboundRequest,
+    Route,
+    RoutedService,
+    RouteTable,
+)
+from cleatlink.organisations import Admission, CallerIdentity
+from cleatlink.relay.callers.newer_table_wait import NewerTableWait
 from cleatlink.relay.callers.server import Handler
 from cleatlink.relay.calls.call import Call
-from cleatlink.relay.calls.parts import RelayParts
+from cleatlink.relay.calls.components import RelayComponents
+from cleatlink.relay.calls.decode_admission import DecodeAdmission
 from cleatlink.relay.calls.plain import PlainCall
-from cleatlink.relay.calls.plain_gate import PlainGate
-from cleatlink.relay.calls.planned_stop import ANSWER_S
-from cleatlink.relay.calls.room import DecodeRoom
+from cleatlink.relay.calls.plain_call_admission import PlainCallAdmission
+from cleatlink.relay.calls.planned_stop import ANSWER_SEND_S
 from cleatlink.relay.calls.stream import StreamCall
-from cleatlink.relay.endpoints.pool import Reply
+from cleatlink.relay.endpoints.pool import Response
 from cleatlink.relay.exchange import Exchange, RawRequest
 from cleatlink.routing.route_index import RouteIndex, choose_service
 
@@ -51,20 +58,20 @@
     revision: int
     route: Route
     service: RoutedService
-    holder: Holder
+    holder: CallerIdentity
 
 
 class RelayService(Handler):
     """Serves callers according to the route table in force."""
 
-    def __init__(self, parts: RelayParts) -> None:
+    def __init__(self, parts: RelayComponents) -> None:
         self._parts = parts
         self._index: RouteIndex | None = None
-        self._newer_table_wait = NewerTableWait(parts.tables, parts.stop)
-        self._stream_admission = DecodeRoom(parts)
-        self._plain_gate = PlainGate(parts)
+        self._newer_table_wait = NewerTableWait(parts.table_tracker, parts.planned_stop)
+        self._stream_admission = DecodeAdmission(parts)
+        self._plain_gate = PlainCallAdmission(parts)
         self._in_flight = 0
-        self._scopes: set[trio.CancelScope] = set()
+        self._call_scopes: set[trio.CancelScope] = set()
 
     @property
     def limits(self) -> CallerLimits:
@@ -74,7 +81,7 @@
     @property
     def asks_to_close(self) -> bool:
         """Whether answers ask callers to close their connection."""
-        return self._parts.stop.has_begun
+        return self._parts.planned_stop.has_begun
 
     @property
     def in_flight(self) -> int:
@@ -82,14 +89,14 @@
         return self._in_flight
 
     @property
-    def room(self) -> DecodeRoom:
+    def decode_admission(self) -> DecodeAdmission:
         """Wait queue and admission of streams to decode endpoints."""
         return self._stream_admission
 
     def use_table(self, table: RouteTable) -> None:
         """Use a route table for requests that arrive from now on."""
         self._index = RouteIndex(table)
-        self._parts.gate.use_table(table.organisations)
+        self._parts.organisation_gate.use_table(table.organisations)
         for route in table.routes:
             for share in route.shares:
                 self._set_initial_service_rate(route, table.services.get(share.service))
@@ -99,8 +106,10 @@
         """Use a route's latency targets as the initial estimate of its engines' service rate."""
         if service is None or service.engine is None:
             return
-        service_rate = self._parts.capacity.pace(service.name)
-        service_rate.expect(route.target_s, route.event_gap_s, service.engine.event_tokens)
+        service_rate = self._parts.capacity.service_times(service.name)
+        service_rate.set_priors(
+            route.target_s, route.event_gap_target_s, service.engine.event_tokens
+        )
 
     def begin_stop(self) -> None:
         """Limit the time of calls in progress so that they are answered before the stop ends.
@@ -109,8 +118,8 @@
         started, would get no answer because the process exits first.
         """
         self._newer_table_wait.recheck_requests()
-        for scope in self._scopes:
-            scope.deadline = min(scope.deadline, self._parts.stop.answers_by)
+        for scope in self._call_scopes:
+            scope.deadline = min(scope.deadline, self._parts.planned_stop.answer_deadline)
 
     async def handle(self, exchange: Exchange) -> None:
         """Serve one request."""
@@ -125,10 +134,10 @@
     async def refuse(self, exchange: Exchange, status: int) -> None:
         """Answer input that could not be parsed as a request."""
         eliot.log_message(
-            message_type="relay: can't read a request",
+            message_type="relay: can't parse a request, refuses it",
             status=status,
-            revision=self._parts.tables.in_force,
-            newest=self._parts.tables.newest,
+            revision=self._parts.table_tracker.revision_in_force,
+            newest=self._parts.table_tracker.newest_revision,
         )
         if status in _LIMIT_STATUSES and not self._newer_table_wait.can_refuse_finally:
             detail = "above a limit of a route table that may be out of date"
@@ -172,7 +181,7 @@
             inbound, routed.route, routed.service, routed.revision, parts, holder=routed.holder
         )
         parts.metrics.count_request(routed.route.kind.value)
-        early_refusal = call.bar()
+        early_refusal = call.find_send_refusal()
         if early_refusal is not None:
             await self._refuse_call(call, exchange, early_refusal)
             return
@@ -181,68 +190,68 @@
             refusal = Refusal(ErrorKind.OVER_LIMIT, "its limit", admission.retry_after_s)
             await self._refuse_call(call, exchange, refusal)
             return
-        parts.budget(routed.service.name).count_request(now)
+        parts.retry_budget(routed.service.name).count_request(now)
         await self._run(call, exchange)
 
-    def _read_inbound(self, raw: RawRequest, arrived_at: float) -> Inbound:
-        return self._parts.protocol.read_inbound(
+    def _read_inbound(self, raw: RawRequest, arrived_at: float) -> InboundRequest:
+        return self._parts.protocol.parse_inbound(
             raw.method,
             raw.target,
             raw.headers,
             raw.body,
             arrived_at,
-            withholds_key=self._parts.gate.judges_keys,
+            removes_api_key=self._parts.organisation_gate.judges_keys,
         )
 
-    def _identify(self, headers: Headers, route: Route) -> Holder | None:
+    def _identify(self, headers: Headers, route: Route) -> CallerIdentity | None:
         """Return the sender of a request, or None if it has no sender that may call its route."""
         credentials = self._parts.protocol.read_credentials(headers)
-        return self._parts.gate.identify(credentials, route)
+        return self._parts.organisation_gate.identify(credentials, route)
 
     def _admit(self, call: Call, now: float) -> Admission:
         """Check a call against its organisation's rate limit, and log a call above the limit."""
         organisation = call.holder.organisation
         if organisation is None or organisation.limit is None:
             return Admission(True, 0)
-        limits = self._parts.gate.limits
+        limits = self._parts.organisation_gate.limits
         tokens = call.inbound.prompt_tokens + call.inbound.max_output_tokens
-        admission = limits.ask(organisation, tokens, now)
+        admission = limits.admit(organisation, tokens, now)
         call.admission = admission
         self._parts.metrics.count_admission(organisation.name, admission.granted)
         if not admission.granted:
             call.log(
-                "is over its organisation's limit",
+                "is above its organisation's rate limit",
                 organisation=organisation.name,
                 limit_per_s=organisation.limit.rate,
                 burst=organisation.limit.burst,
                 cost=admission.cost,
                 level=round(admission.level, 1),
                 share=round(admission.share, 3),
-                spent_here=limits.spent(organisation),
-                told_ago_s=limits.told_ago_s(now),
+                spent_here=limits.spent_units(organisation),
+                told_ago_s=limits.oldest_report_age_s(now),
                 retry_after_s=round(admission.retry_after_s, 3),
             )
-        elif limits.is_short(organisation):
-            self._parts.on_spending()
+        elif limits.is_level_low(organisation):
+            self._parts.on_limit_nearly_used()
         return admission
 
     async def _refuse_unrouted(
-        self, exchange: Exchange, inbound: Inbound, refusal: Refusal
+        self, exchange: Exchange, inbound: InboundRequest, refusal: Refusal
     ) -> None:
         """Refuse a request for which no call has been created."""
         now = trio.current_time()
         eliot.log_message(
-            message_type="relay: refuses",
+            message_type="relay: refuses a request before a call starts",
             request=inbound.request_id,
             kind=refusal.kind.value,
-            revision=self._parts.tables.in_force,
-            newest=self._parts.tables.newest,
-            behind_ms=int(_MS_PER_S * self._parts.tables.behind_s(now)),
-            standing=self._parts.tables.standing(now).value,
+            revision=self._parts.table_tracker.revision_in_force,
+            newest=self._parts.table_tracker.newest_revision,
+            behind_ms=int(_MS_PER_S * self._parts.table_tracker.behind_s(now)),
+            standing=self._parts.table_tracker.freshness(now).value,
         )
         await self._send_refusal(exchange, refusal, request_id=inbound.request_id)
 
-    def _route_request(self, inbound: Inbound, headers: Headers) -> _RoutedRequest | Refusal:
+    def _route_request(self, inbound: InboundRequest, headers: Headers) -> _RoutedRequest | Refusal:
         """Find a request's route, service and sender in the route table in force."""
         index = self._index
         if index is None:
@@ -261,8 +270,10 @@
     async def _run(self, call: Call, exchange: Exchange) -> None:
         """Run a call until it is answered, its deadline passes or the planned stop ends."""
         finished = False
-        scope = trio.CancelScope(deadline=min(call.deadline, self._parts.stop.answers_by))
-        self._scopes.add(scope)
+        scope = trio.CancelScope(
+            deadline=min(call.deadline, self._parts.planned_stop.answer_deadline)
+        )
+        self._call_scopes.add(scope)
         try:
             with scope:
                 await self._dispatch(call, exchange)
@@ -276,17 +287,17 @@
             raise
         except Exception as error:
             # A bug in this program ends only this request, not the others in progress.
-            call.log("met a fault of the program", error=repr(error), where=format_exc())
+            call.log("failed with an unexpected exception", error=repr(error), where=format_exc())
             if exchange.started:
                 return
             refusal = Refusal(ErrorKind.INTERNAL, "a fault of the relay")
             await self._refuse_call(call, exchange, refusal)
             return
         finally:
-            self._scopes.discard(scope)
+            self._call_scopes.discard(scope)
         if finished or not scope.cancelled_caught:
             return
-        if call.left_s > 0:
+        if call.remaining_s > 0:
             await self._finish_at_stop_end(call, exchange)
         else:
             await self._finish_after_deadline(call, exchange)
@@ -295,9 +306,9 @@
         """Finish a cancelled call: its caller disconnected, or a planned stop has ended."""
         if exchange.ended:
             return
-        if not self._parts.stop.is_over:
+        if not self._parts.planned_stop.is_over:
             self._parts.metrics.count_disconnected_caller(call.route.kind.value)
-            call.log_outcome("lost its caller", sends=call.sends)
+            call.log_outcome("is cancelled because its caller disconnected", sends=call.send_count)
             return
         await self._finish_at_stop_end(call, exchange)
 
@@ -305,10 +316,10 @@
         """Refuse a call that a planned stop ends; an answer that has started is cut off."""
         if exchange.started:
             self._parts.metrics.count_request_cut_by_stop(call.route.kind.value)
-            call.log_end_by_stop()
+            call.log_interrupted_by_stop()
             return
         refusal = Refusal(ErrorKind.ENDPOINT_FAILED, "this instance stopped before an answer came")
-        if call.ran is Ran.NO:
+        if call.ran is ExecutionStatus.NO:
             refusal = Refusal(ErrorKind.STOPPING, "this instance is stopping")
         await self._refuse_call(call, exchange, refusal)
 
@@ -323,30 +334,32 @@
         outcome = await StreamCall(call, exchange, self._stream_admission, self._parts).run()
         if outcome.refusal is not None:
             await self._refuse_call(call, exchange, outcome.refusal)
-        elif not outcome.whole:
+        elif not outcome.is_complete:
             self._parts.metrics.count_broken_answer(call.route.kind.value)
-            call.log_outcome("breaks its answer off", sends=call.sends)
+            call.log_outcome("cuts its answer off", sends=call.send_count)
         else:
-            call.log_outcome("is answered", sends=call.sends)
+            call.log_outcome("is answered", sends=call.send_count)
 
     async def _finish_after_deadline(self, call: Call, exchange: Exchange) -> None:
         """Refuse a call whose deadline has passed; an answer that has started is cut off."""
-        call.log_outcome("ran out of time", sends=call.sends, ran=call.ran.value)
+        call.log_outcome("reached its deadline", sends=call.send_count, ran=call.ran.value)
         if exchange.started:
             self._parts.metrics.count_broken_answer(call.route.kind.value)
             return
-        if call.ran is Ran.NO:
+        if call.ran is ExecutionStatus.NO:
             refusal = Refusal(ErrorKind.NO_ROOM, "no endpoint took the call in time")
         else:
             refusal = Refusal(ErrorKind.DEADLINE_PASSED, "the call's time is over")
         await self._refuse_call(call, exchange, refusal)
 
-    async def _send_answer(self, call: Call, exchange: Exchange, answer: Reply) -> None:
+    async def _send_answer(self, call: Call, exchange: Exchange, answer: Response) -> None:
         metrics = self._parts.metrics
         status = answer.head.status
         metrics.count_answer(call.route.kind.value, status, call.age_s)
-        call.log_outcome("is answered", status=status, sends=call.sends, in_time=call.in_time)
-        headers = self._parts.protocol.passed_back(answer.head)
+        call.log_outcome(
+            "is answered", status=status, sends=call.send_count, in_time=call.is_in_time
+        )
+        headers = self._parts.protocol.filter_response_headers(answer.head)
         if exchange.request.method == b"HEAD":
             length = answer.head.get(b"content-length")
             headers = (*headers, (b"Content-Length", length)) if length else headers
@@ -355,10 +368,10 @@
     async def _refuse_call(self, call: Call, exchange: Exchange, refusal: Refusal) -> None:
         refusal = self._newer_table_wait.to_retryable(refusal)
         call.log_outcome(
-            "is refused", kind=refusal.kind.value, detail=refusal.detail, sends=call.sends
+            "is refused", kind=refusal.kind.value, detail=refusal.detail, sends=call.send_count
         )
-        if call.ran is Ran.NO:
-            call.give_back()
+        if call.ran is ExecutionStatus.NO:
+            call.refund_admission()
         await self._send_refusal(exchange, refusal, request_id=call.inbound.request_id)
 
     async def _send_refusal(
@@ -369,7 +382,7 @@
         request_id: str = "",
     ) -> None:
         self._parts.metrics.count_refusal(refusal.kind)
-        answer = ANSWERS[refusal.kind]
+        answer = ERROR_RESPONSES[refusal.kind]
         retry_after_s = refusal.retry_after_s
         if retry_after_s is None:
             retry_after_s = answer.retry_after_s
@@ -390,9 +403,9 @@
         self, exchange: Exchange, status: int, headers: Headers, body: bytes
     ) -> None:
         """Send a complete answer; during a planned stop it is shielded from cancellation."""
-        is_stopping = self._parts.stop.has_begun
+        is_stopping = self._parts.planned_stop.has_begun
         # Shielded: otherwise the end of the stop could cut off an answer that is ready to be sent.
         with trio.CancelScope(shield=is_stopping) as scope:
             if is_stopping:
-                scope.deadline = trio.current_time() + ANSWER_S
+                scope.deadline = trio.current_time() + ANSWER_SEND_S
             await exchange.answer(status, headers, body)
--- a/cleatlink/relay/calls/call.py
+++ b/cleatlink/relay/calls/call.py
@@ -3,7 +3,7 @@
 import eliot
 import trio
 
-from cleatlink.core.data import Ran, Refusal
+from cleatlink.core.data import ExecutionStatus, Refusal
 from cleatlink.core.errors import (
     EndpointRefusedError,
     EndpointUnreachableError,
@@ -11,14 +11,14 @@
     OutcomeUnknownError,
     StreamBrokenError,
 )
-from cleatlink.core.routes import Inbound, Route, RoutedEndpoint, RoutedService, RouteKind
-from cleatlink.organisations import NOBODY, Admission, Holder
-from cleatlink.relay.calls.parts import RelayParts
-from cleatlink.relay.endpoints.protocol import OTHER_ENDPOINT, ReplyHead
+from cleatlink.core.routes import InboundRequest, Route, RoutedEndpoint, RoutedService, RouteKind
+from cleatlink.organisations import ANONYMOUS, Admission, CallerIdentity
+from cleatlink.relay.calls.components import RelayComponents
+from cleatlink.relay.endpoints.protocol import MISDIRECTED_REQUEST, ResponseHead
 from cleatlink.relay.peers.messages import HintKind
 from cleatlink.routing.mechanisms import Mechanism
-from cleatlink.routing.relay_place import RUNS_APART, Seeker
-from cleatlink.routing.shared_waiting import rank
+from cleatlink.routing.relay_placement import MIN_CRASHES_TO_ISOLATE, PlacementContext
+from cleatlink.routing.shared_wait_queues import urgency_of
 from cleatlink.routing.uploads import Upload
 
 __all__ = ["Call"]
@@ -34,29 +34,29 @@
 
     def __init__(
         self,
-        inbound: Inbound,
+        inbound: InboundRequest,
         route: Route,
         service: RoutedService,
         revision: int,
-        parts: RelayParts,
+        parts: RelayComponents,
         *,
-        holder: Holder = NOBODY,
+        holder: CallerIdentity = ANONYMOUS,
     ) -> None:
         self.inbound = inbound
         self.holder = holder
         self.route = route
         self.service = service
         self.deadline = min(inbound.deadline, inbound.arrived_at + route.timeout_s)
-        self.ran = Ran.NO
+        self.ran = ExecutionStatus.NO
         self.excluded: set[str] = set()
-        self.sends = 0
+        self.send_count = 0
         self.revision = revision
         self.last_received_at = inbound.arrived_at
         self.admission = Admission(True, 0)
         self._parts = parts
         self._tried_endpoints: set[str] = set()
         self._last_endpoint = ""
-        self._ran_before_send = Ran.NO
+        self._ran_before_send = ExecutionStatus.NO
         self._identity = b""
         self._last_started_at = inbound.arrived_at
         self._is_trial_run = False
@@ -74,7 +74,7 @@
     def suspicion(self) -> int:
         """Number of endpoint crashes while the request ran there, since it last completed."""
         quarantine = self._parts.quarantine
-        return 0 if quarantine.is_empty else quarantine.judge(self.identity).suspicion
+        return 0 if quarantine.is_empty else quarantine.decide(self.identity).suspicion
 
     @property
     def repeatable(self) -> bool:
@@ -89,7 +89,7 @@
     @property
     def has_begun_stream(self) -> bool:
         """Whether part of the stream may exist already, from this call or an earlier one."""
-        return self.ran is not Ran.NO or self.inbound.last_event is not None
+        return self.ran is not ExecutionStatus.NO or self.inbound.last_event is not None
 
     @property
     def priority(self) -> int:
@@ -104,23 +104,25 @@
         """Urgency in the order that all instances share; a larger value goes first."""
         organisation = self.holder.organisation
         if organisation is None or organisation.priority is None:
-            return rank(self.priority)
-        return rank(self.priority, self.route.priority)
+            return urgency_of(self.priority)
+        return urgency_of(self.priority, self.route.priority)
 
     @property
-    def told_priority(self) -> int | None:
+    def forwarded_priority(self) -> int | None:
         """Priority to send to engines; None if the mechanism is off or the group is small."""
         capacity = self._parts.capacity
-        is_enabled = capacity.switches.uses(Mechanism.ENDPOINT_PRIORITY)
-        return self.priority if is_enabled and capacity.waiting.is_large_group else None
+        is_enabled = capacity.switches.is_enabled(Mechanism.ENDPOINT_PRIORITY)
+        return self.priority if is_enabled and capacity.shared_wait_queues.is_large_group else None
 
     @property
     def is_authorized(self) -> bool:
         """Whether the caller's key is still valid, or the call may have run and so continues."""
-        return self.ran is not Ran.NO or self._parts.gate.still_holds(self.holder)
+        return self.ran is not ExecutionStatus.NO or self._parts.organisation_gate.is_key_valid(
+            self.holder
+        )
 
     @property
-    def left_s(self) -> float:
+    def remaining_s(self) -> float:
         """Seconds until the call's deadline."""
         return self.deadline - trio.current_time()
 
@@ -130,24 +132,24 @@
         return trio.current_time() - self.inbound.arrived_at
 
     @property
-    def in_time(self) -> bool:
+    def is_in_time(self) -> bool:
         """Whether an answer that begins now meets the route's latency target."""
         return self.age_s <= self.route.target_s
 
-    def give_back(self) -> None:
+    def refund_admission(self) -> None:
         """Refund the admission cost of a call that did not run to its organisation's limit."""
         organisation, admission = self.holder.organisation, self.admission
         if organisation is not None and admission.granted and admission.cost:
-            self._parts.gate.limits.give_back(organisation, admission.cost)
+            self._parts.organisation_gate.limits.refund(organisation, admission.cost)
             self.admission = Admission(True, 0)
 
-    def seeker(self) -> Seeker:
+    def placement_context(self) -> PlacementContext:
         """Return the placement parameters of the call at this moment."""
         parts = self._parts
         now = trio.current_time()
-        return Seeker(parts.data_centre, self.excluded, now, parts.rng, self.suspicion)
+        return PlacementContext(parts.data_centre, self.excluded, now, parts.rng, self.suspicion)
 
-    def bar(self) -> Refusal | None:
+    def find_send_refusal(self) -> Refusal | None:
         """Return the reason why the call may not be sent now, or None; checked before each send.
 
         Without this check, one request crashed 14 of the 14 endpoints that it was sent to, and 28
@@ -158,40 +160,42 @@
         quarantine = self._parts.quarantine
         if quarantine.is_empty or self._is_trial_run:
             return None
-        verdict = quarantine.judge(self.identity)
+        verdict = quarantine.decide(self.identity)
         if verdict.needs_trial:
             self._is_trial_run = True
             quarantine.begin_trial(self.identity)
-        if not verdict.is_held:
+        if not verdict.is_quarantined:
             return None
         self.log(
-            "is held in quarantine",
+            "request refused: it is in quarantine",
             asks=self.identity.hex(),
-            crashes=verdict.blame.crashes,
-            endpoints=verdict.blame.lives,
-            last_ago_s=round(trio.current_time() - verdict.blame.last_at, 3),
+            crashes=verdict.attribution.independent_crashes,
+            endpoints=verdict.attribution.incarnations,
+            last_ago_s=round(trio.current_time() - verdict.attribution.last_crash_at, 3),
             retry_after_s=round(verdict.retry_after_s, 1),
         )
-        if self.ran is not Ran.NO:
-            return self.failure("the request crashed the endpoints that ran it")
-        detail = f"the request crashed {verdict.blame.crashes} endpoints that ran it"
+        if self.ran is not ExecutionStatus.NO:
+            return self.make_refusal("the request crashed the endpoints that ran it")
+        detail = (
+            f"the request crashed {verdict.attribution.independent_crashes} endpoints that ran it"
+        )
         return Refusal(ErrorKind.QUARANTINED, detail, verdict.retry_after_s)
 
-    async def settle(self, endpoint: RoutedEndpoint) -> None:
+    async def wait_for_crash_check(self, endpoint: RoutedEndpoint) -> None:
         """Wait, after an endpoint failed the call, until it is known whether it crashed.
 
         Without this wait, a call of a resumable or safe route runs at its next endpoint before its
         third crash is counted. Suspects of a crash continue at different moments, so that each
         knows by then where the others run.
         """
-        await self._parts.crashes.wait(endpoint)
-        if self.suspicion >= RUNS_APART:
+        await self._parts.crash_watch.wait_for_check(endpoint)
+        if self.suspicion >= MIN_CRASHES_TO_ISOLATE:
             await trio.sleep(_SUSPECT_SPREAD_S * self._parts.rng.random())
 
-    def note_served(self) -> None:
+    def note_completed(self) -> None:
         """Record that an endpoint completed the call, which clears it of earlier crashes."""
         if not self._parts.quarantine.is_empty:
-            self._parts.quarantine.note_served(self.identity)
+            self._parts.quarantine.record_completed(self.identity)
 
     def may_send(self, endpoint: RoutedEndpoint) -> bool:
         """Check whether the route's maximum of attempts allows the call to go to an endpoint."""
@@ -202,24 +206,26 @@
         """Check whether the route's maximum of attempts allows one more endpoint."""
         return len(self._tried_endpoints) < self.route.max_attempts
 
-    def spend(self, reason: str) -> bool:
+    def take_retry(self, reason: str) -> bool:
         """Take one retry from the shared budget; return False if the budget is empty."""
         now = trio.current_time()
-        is_granted = self._parts.budget(self.service.name).take(self._parts.members(), now)
+        is_granted = self._parts.retry_budget(self.service.name).try_spend(
+            self._parts.member_count(), now
+        )
         self._parts.metrics.count_retry(reason if is_granted else "budget_empty")
-        self.log("retries" if is_granted else "may not retry", reason=reason)
+        self.log("retries" if is_granted else "no retry: the retry budget is empty", reason=reason)
         return is_granted
 
     def note_sent(self, endpoint: RoutedEndpoint) -> None:
         """Record that the call is sent to an endpoint; until a reply, it may have run there."""
-        self.note_begun()
-        self.sends += 1
+        self.note_started()
+        self.send_count += 1
         self._tried_endpoints.add(endpoint.name)
         self._last_endpoint = endpoint.name
         self._ran_before_send = self.ran
-        self.ran = Ran.UNKNOWN
+        self.ran = ExecutionStatus.UNKNOWN
 
-    def note_begun(self) -> None:
+    def note_started(self) -> None:
         """Record the time at which an endpoint is sent the call or its prompt."""
         self._last_started_at = trio.current_time()
 
@@ -231,14 +237,19 @@
         """Record that another endpoint has the address now, so that this one received nothing."""
         self._tried_endpoints.discard(endpoint.name)
 
-    def note_refused(self, endpoint: RoutedEndpoint, head: ReplyHead) -> None:
+    def note_refused(self, endpoint: RoutedEndpoint, head: ResponseHead) -> None:
         """Record an endpoint's report that it did not run the call, with its reason."""
         capacity = self._parts.capacity
         back_off_s = self._parts.protocol.read_notice(head).rest_s
-        self.log("was not run", endpoint=endpoint.name, status=head.status, rest_s=back_off_s)
-        if head.status == OTHER_ENDPOINT:
+        self.log(
+            "endpoint reports that it did not run the request",
+            endpoint=endpoint.name,
+            status=head.status,
+            rest_s=back_off_s,
+        )
+        if head.status == MISDIRECTED_REQUEST:
             self.note_address_reused(endpoint)
-            capacity.note_misdirected(endpoint.name)
+            capacity.note_address_mismatch(endpoint.name)
         else:
             capacity.note_full(endpoint.name, trio.current_time())
 
@@ -255,34 +266,37 @@
         """
         identity = self.identity
         self.log(
-            "failed at an endpoint", endpoint=endpoint.name, error=repr(error), asks=identity.hex()
+            "endpoint failed the request",
+            endpoint=endpoint.name,
+            error=repr(error),
+            asks=identity.hex(),
         )
         self.excluded.add(endpoint.name)
         if in_progress and isinstance(error, OutcomeUnknownError | StreamBrokenError):
             # The trial run of a quarantined request ended: the next send is judged again.
             self._is_trial_run = False
             seconds = trio.current_time() - self._last_started_at
-            self._parts.crashes.note_broken(endpoint, identity, seconds)
+            self._parts.crash_watch.report_broken_request(endpoint, identity, seconds)
         if not isinstance(error, EndpointRefusedError):
             self._parts.capacity.note_failure(endpoint.name, trio.current_time())
         if isinstance(error, EndpointUnreachableError):
-            self._parts.on_endpoint_problem(endpoint.name, HintKind.UNREACHED)
+            self._parts.on_endpoint_problem(endpoint.name, HintKind.UNREACHABLE)
 
-    def upload_to(self, endpoint: RoutedEndpoint) -> Upload:
+    def start_upload(self, endpoint: RoutedEndpoint) -> Upload:
         """Start to track the upload of the call's body to an endpoint.
 
         Each endpoint that did not read the body in time halves the expected rate, since the slow
         link may be this instance's own.
         """
-        measured = self._parts.capacity.upload_paces.pace(endpoint.name)
+        measured = self._parts.capacity.read_rates.read_rate(endpoint.name)
         rate = measured.bytes_a_second / 2**self._unread_uploads
         return Upload(measured._replace(bytes_a_second=rate))
 
-    def note_read(self, endpoint: RoutedEndpoint, upload: Upload, seconds: float) -> None:
+    def update_read_rate(self, endpoint: RoutedEndpoint, upload: Upload, seconds: float) -> None:
         """Update the read rate of an endpoint that answered the call after the given seconds."""
-        self._parts.capacity.upload_paces.note_answered(endpoint.name, upload, seconds)
+        self._parts.capacity.read_rates.note_answered(endpoint.name, upload, seconds)
 
-    def served_s(self, upload: Upload, began_at: float) -> float | None:
+    def processing_s(self, upload: Upload, began_at: float) -> float | None:
         """Return the time for which an endpoint has been processing the call.
 
         Args:
@@ -294,27 +308,31 @@
             process was paused meanwhile.
         """
         now = trio.current_time()
-        if self._parts.capacity.own_pauses.any_since(began_at, now):
+        if self._parts.capacity.process_pauses.has_paused_since(began_at, now):
             return None
-        return upload.served_s(began_at, now)
+        return upload.processing_s(began_at, now)
 
     def note_silent(self, endpoint: RoutedEndpoint, upload: Upload, silent_s: float) -> None:
         """Record that the call looks for another endpoint because this one is silent."""
-        if not upload.is_whole:
+        if not upload.is_accepted:
             self._unread_uploads += 1
         self.log(
-            "hears nothing",
+            "endpoint is silent, looking for another",
             endpoint=endpoint.name,
             silent_ms=int(1000 * silent_s),
             body_bytes=upload.size,
-            taken_bytes=upload.taken,
-            bytes_a_second=int(upload.pace.bytes_a_second),
-            pace_measured=upload.pace.is_measured,
+            taken_bytes=upload.accepted_bytes,
+            bytes_a_second=int(upload.read_rate.bytes_a_second),
+            pace_measured=upload.read_rate.is_measured,
         )
 
-    def note_slow(self, endpoint: RoutedEndpoint, seconds: float) -> None:
+    def report_slow(self, endpoint: RoutedEndpoint, seconds: float) -> None:
         """Report to peers that an endpoint took much longer than expected."""
-        self.log("found an endpoint slow", endpoint=endpoint.name, took_ms=int(1000 * seconds))
+        self.log(
+            "endpoint is slow, reporting it to peers",
+            endpoint=endpoint.name,
+            took_ms=int(1000 * seconds),
+        )
         self._parts.on_endpoint_problem(endpoint.name, HintKind.SLOW)
 
     def note_received(self, now: float) -> None:
@@ -330,41 +348,43 @@
             max_duration_s: Maximum time that the stream still needs, in seconds; infinite if
                 unknown.
         """
-        if self.ran is not Ran.NO:
+        if self.ran is not ExecutionStatus.NO:
             return True
         now = trio.current_time()
         arrived_at = self.inbound.arrived_at
-        return self._parts.stop.leaves_time(arrived_at, self.deadline, max_duration_s, now)
+        return self._parts.planned_stop.leaves_time(arrived_at, self.deadline, max_duration_s, now)
 
     def refuse_for_stop(self, max_duration_s: float) -> Refusal:
         """Refuse a call that has not run; its caller can retry at another instance at once."""
-        stop_left_s = self._parts.stop.ends_at - trio.current_time()
+        stop_left_s = self._parts.planned_stop.ends_at - trio.current_time()
         self.log(
-            "is left to others by the stop", left_s=round(stop_left_s, 3), needs_s=max_duration_s
+            "request refused: it may not end before the planned stop",
+            left_s=round(stop_left_s, 3),
+            needs_s=max_duration_s,
         )
         return Refusal(ErrorKind.STOPPING, "this instance is stopping", 0.0)
 
-    def log_end_by_stop(self) -> None:
+    def log_interrupted_by_stop(self) -> None:
         """Log that the end of a planned stop interrupts the call."""
         now = trio.current_time()
-        stop_age_s = self._parts.stop.age_s(now)
+        stop_age_s = self._parts.planned_stop.age_s(now)
         self.log(
-            "is cut off by the stop",
-            sends=self.sends,
+            "request interrupted by the end of the planned stop",
+            sends=self.send_count,
             ran=self.ran.value,
             arrived_after_stop_ms=int(1000 * (stop_age_s - self.age_s)),
             silent_ms=int(1000 * (now - self.last_received_at)),
         )
 
-    def log_turn(self, endpoint: RoutedEndpoint, wait_s: float) -> None:
+    def log_rate_limit_wait(self, endpoint: RoutedEndpoint, wait_s: float) -> None:
         """Log that the call waits until an endpoint's rate limit allows it."""
-        limits, now = self._parts.capacity.limits, trio.current_time()
+        limits, now = self._parts.capacity.endpoint_limits, trio.current_time()
         self.log(
-            "waits for its turn",
+            "waiting for the rate limit of the endpoint",
             endpoint=endpoint.name,
             limit_per_s=limits.rate_per_s(endpoint.name),
             level=round(limits.level(endpoint.name, now), 2),
-            told_ago_s=limits.told_ago_s(now),
+            told_ago_s=limits.oldest_report_age_s(now),
             wait_ms=int(1000 * wait_s),
         )
 
@@ -387,8 +407,8 @@
             fields.update(organisation=self.holder.name, cost=self.admission.cost)
         self.log(outcome, **fields)
 
-    def failure(self, detail: str, retry_after_s: float | None = None) -> Refusal:
+    def make_refusal(self, detail: str, retry_after_s: float | None = None) -> Refusal:
         """Return a refusal whose kind says whether the call may have run."""
-        if self.ran is Ran.NO:
+        if self.ran is ExecutionStatus.NO:
             return Refusal(ErrorKind.ENDPOINT_REFUSED, detail, retry_after_s)
         return Refusal(ErrorKind.ENDPOINT_FAILED, detail)
