--- a/cleatlink/relay/following/follower_test.py
+++ b/cleatlink/relay/following/follower_test.py
@@ -12,16 +12,16 @@
 from cleatlink.relay.following.follower import Follower, FollowerHooks
 from cleatlink.relay.following.source import (
     ConfigurationSource,
-    HistoryGoneError,
+    HistoryUnavailableError,
     SourceChange,
     SourceTable,
 )
 from cleatlink.relay.metrics import RelayMetrics
-from cleatlink.relay.peers.messages import SourceNews
-from cleatlink.relay.peers.source_news import SourceNewsChannel
+from cleatlink.relay.peers.messages import RegistrationUpdate
+from cleatlink.relay.peers.registration_channel import RegistrationChannel
 from cleatlink.routing.capacity import Capacity
 from cleatlink.routing.fleet_records import EndpointRecord
-from cleatlink.routing.table_knowledge import TableKnowledge
+from cleatlink.routing.table_tracker import TableTracker
 
 pytestmark = pytest.mark.virtual_time
 
@@ -33,16 +33,16 @@
         self.waits_s: list[float] = []
 
     @property
-    def is_answering(self) -> bool:
+    def is_receiving(self) -> bool:
         return False
 
     async def read(self) -> SourceChange:
-        return SourceChange(None, [], StoreRevision(0, 1), whole=True)
+        return SourceChange(None, [], StoreRevision(0, 1), is_full=True)
 
     async def watch(self, after: StoreRevision, wait_s: float) -> SourceChange:
         self.waits_s.append(wait_s)
         await trio.sleep(0.001)
-        return SourceChange(None, [], after, whole=False)
+        return SourceChange(None, [], after, is_full=False)
 
     async def read_table(self) -> SourceTable:
         return SourceTable(None)
@@ -63,7 +63,7 @@
         Capacity(),
         ConnectionPool(),
         RelayMetrics(),
-        tables=TableKnowledge(),
+        tables=TableTracker(),
         rng=random.Random(seed),
         hooks=hooks,
         leaving_s=leaving_s,
@@ -93,7 +93,7 @@
         self.waits_s.append(wait_s)
         await trio.sleep(0.001)
         later = after._replace(number=after.number + 1)
-        return SourceChange(None, [EndpointRecord("e1", later, None)], later, whole=False)
+        return SourceChange(None, [EndpointRecord("e1", later, None)], later, is_full=False)
 
 
 @pytest.mark.parametrize(
@@ -122,18 +122,18 @@
     async def read(self) -> SourceChange:
         # One call for the list and one for the table.
         self._calls += [trio.current_time()] * 2
-        return SourceChange(None, [], StoreRevision(self.era, 1), whole=True)
+        return SourceChange(None, [], StoreRevision(self.era, 1), is_full=True)
 
     async def watch(self, after: StoreRevision, wait_s: float) -> SourceChange:
         self._calls.append(trio.current_time())
         if after.era != self.era or self._always:
-            raise HistoryGoneError("the source was restored from a copy")
+            raise HistoryUnavailableError("the source was restored from a copy")
         with trio.move_on_after(wait_s):
             await self.restored.wait()
             # All waits of all instances end at the same moment.
             self.restored = trio.Event()
             raise PlatformError("the connection was closed")
-        return SourceChange(None, [], after, whole=False)
+        return SourceChange(None, [], after, is_full=False)
 
 
 async def restore_source(members: int, seconds: float, *, always: bool) -> list[float]:
@@ -187,11 +187,11 @@
         self._changed = trio.Event()
 
     @property
-    def is_answering(self) -> bool:
+    def is_receiving(self) -> bool:
         return False
 
     async def read(self) -> SourceChange:
-        return SourceChange(None, [], StoreRevision(0, self.revision), whole=True)
+        return SourceChange(None, [], StoreRevision(0, self.revision), is_full=True)
 
     async def watch(self, after: StoreRevision, wait_s: float) -> SourceChange:
         self.calls += 1
@@ -200,9 +200,9 @@
                 await self._changed.wait()
         numbers = range(after.number + 1, self.revision + 1)
         records = [EndpointRecord(f"e{n}", StoreRevision(0, n), None) for n in numbers]
-        return SourceChange(None, records, StoreRevision(0, self.revision), whole=False)
+        return SourceChange(None, records, StoreRevision(0, self.revision), is_full=False)
 
-    def change(self) -> None:
+    def change_registration(self) -> None:
         """Change a registration, which ends all waits."""
         self.revision += 1
         self._changed.set()
@@ -215,7 +215,7 @@
         """Nothing is open."""
 
 
-class Fleet:
+class FollowerFleet:
     """Followers of one source, of which some watch; a share of their updates is lost."""
 
     def __init__(self, members: int, watching: int, lost_share: float = 0.0) -> None:
@@ -223,7 +223,7 @@
         self.watching = set(range(watching))
         self._lost_share = lost_share
         self._rng = random.Random(3)
-        self._channels = [SourceNewsChannel(f"i{number}") for number in range(members)]
+        self._channels = [RegistrationChannel(f"i{number}") for number in range(members)]
         self.followers = [self._create_follower(number, members) for number in range(members)]
 
     def _create_follower(self, number: int, members: int) -> Follower:
@@ -234,14 +234,14 @@
             lambda *_: None,
             lambda: members,
             lambda: number in self.watching,
-            self._channels[number].tell,
+            self._channels[number].report_change,
         )
         return Follower(
             self.source,
             Capacity(),
             ConnectionPool(),
             RelayMetrics(),
-            tables=TableKnowledge(),
+            tables=TableTracker(),
             rng=random.Random(number),
             hooks=hooks,
             leaving_s=3.0,
@@ -256,28 +256,29 @@
 
     async def _deliver_updates(self, number: int) -> None:
         while True:
-            for update in await self._channels[number].next():
+            for update in await self._channels[number].next_messages():
                 for other, follower in enumerate(self.followers):
                     if other != number and self._rng.random() >= self._lost_share:
-                        follower.take_news(update)
+                        follower.apply_peer_update(update)
 
-    def complete(self) -> int:
+    def count_up_to_date(self) -> int:
         """Return the number of followers that know all changes."""
         return sum(
-            follower.records.revision.number == self.source.revision for follower in self.followers
+            follower.records.complete_revision.number == self.source.revision
+            for follower in self.followers
         )
 
 
-async def count_calls_for_changes(fleet: Fleet, changes: int) -> int:
+async def count_calls_for_changes(fleet: FollowerFleet, changes: int) -> int:
     """Make changes one second apart; return the number of watches that they cause."""
     async with trio.open_nursery() as nursery:
         nursery.start_soon(fleet.run)
         await trio.sleep(30.0)
         before = fleet.source.calls
         for _ in range(changes):
-            fleet.source.change()
+            fleet.source.change_registration()
             await trio.sleep(1.0)
-            assert fleet.complete() == len(fleet.followers)
+            assert fleet.count_up_to_date() == len(fleet.followers)
         nursery.cancel_scope.cancel()
     return fleet.source.calls - before
 
@@ -290,26 +291,26 @@
     With 82 instances that all watched, the fleet made 40 to 80 calls a second to its configuration
     service on a busy day, one of the largest costs of that day, and all of them read the same data.
     """
-    assert await count_calls_for_changes(Fleet(82, 82), 20) >= 20 * 82
-    assert await count_calls_for_changes(Fleet(82, 2), 20) <= 20 * 2 + 40
+    assert await count_calls_for_changes(FollowerFleet(82, 82), 20) >= 20 * 82
+    assert await count_calls_for_changes(FollowerFleet(82, 2), 20) <= 20 * 2 + 40
 
 
 async def test_lost_update_is_read_from_service(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    fleet = Fleet(30, 2, lost_share=0.2)
+    fleet = FollowerFleet(30, 2, lost_share=0.2)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(fleet.run)
         await trio.sleep(5.0)
         for _ in range(40):
-            fleet.source.change()
+            fleet.source.change_registration()
             await trio.sleep(1.0)
         # An instance that missed the last update learns of a newer revision from a heartbeat.
         for follower in fleet.followers:
-            if follower.records.revision.number < fleet.source.revision:
-                follower.look_again()
+            if follower.records.complete_revision.number < fleet.source.revision:
+                follower.poll_service()
         await trio.sleep(0.2)
-        assert fleet.complete() == len(fleet.followers)
+        assert fleet.count_up_to_date() == len(fleet.followers)
         assert all(len(item.records.records) == 40 for item in fleet.followers)
         nursery.cancel_scope.cancel()
 
@@ -317,14 +318,14 @@
 async def test_new_watching_instances_replace_previous_ones(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    fleet = Fleet(30, 2)
+    fleet = FollowerFleet(30, 2)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(fleet.run)
         await trio.sleep(5.0)
         fleet.watching = {7, 8}
-        fleet.source.change()
+        fleet.source.change_registration()
         await trio.sleep(1.0)
-        assert fleet.complete() == len(fleet.followers)
+        assert fleet.count_up_to_date() == len(fleet.followers)
         nursery.cancel_scope.cancel()
 
 
@@ -335,10 +336,10 @@
     async with trio.open_nursery() as nursery:
         nursery.start_soon(follower.run)
         await trio.sleep(1.0)
-        follower.take_news(SourceNews("peer", 1, 0, 9, [], 60.0))
-        assert follower.records.revision == StoreRevision(0, 1)
-        follower.take_news(SourceNews("peer", 0, 1, 9, [], 60.0))
-        assert follower.records.revision == StoreRevision(0, 9)
+        follower.apply_peer_update(RegistrationUpdate("peer", 1, 0, 9, [], 60.0))
+        assert follower.records.complete_revision == StoreRevision(0, 1)
+        follower.apply_peer_update(RegistrationUpdate("peer", 0, 1, 9, [], 60.0))
+        assert follower.records.complete_revision == StoreRevision(0, 9)
         nursery.cancel_scope.cancel()
 
 
@@ -350,7 +351,7 @@
         self._is_answering = False
 
     @property
-    def is_answering(self) -> bool:
+    def is_receiving(self) -> bool:
         return self._is_answering
 
     async def watch(self, after: StoreRevision, wait_s: float) -> SourceChange:
@@ -361,7 +362,7 @@
         finally:
             self._is_answering = False
         later = after._replace(number=9)
-        return SourceChange(None, [EndpointRecord("e1", later, None)], later, whole=False)
+        return SourceChange(None, [EndpointRecord("e1", later, None)], later, is_full=False)
 
 
 async def test_heartbeat_does_not_cancel_arriving_answer(
@@ -377,6 +378,6 @@
         nursery.start_soon(follower.run)
         for _ in range(6):
             await trio.sleep(0.5)
-            follower.look_again()
-        assert follower.records.revision.number == 9
+            follower.poll_service()
+        assert follower.records.complete_revision.number == 9
         nursery.cancel_scope.cancel()
--- a/cleatlink/relay/following/lost_news_test.py
+++ b/cleatlink/relay/following/lost_updates_test.py
@@ -9,8 +9,8 @@
 from cleatlink.core.routes import RoutedEndpoint
 from cleatlink.relay.following import follower_test
 from cleatlink.relay.following.follower import Follower
-from cleatlink.relay.peers.messages import SourceNews
-from cleatlink.relay.peers.snapshots import RecordItem
+from cleatlink.relay.peers.messages import RegistrationUpdate
+from cleatlink.relay.peers.snapshots import RegistrationRecord
 from standins.relay import Worker
 from standins.relay.example import start
 from standins.relay.fleet import Fleet, open_fleet
@@ -28,7 +28,7 @@
     await start(fleet, Worker("plain"))
     fleet.start_instance()
     await fleet.ready()
-    await fleet.until(lambda: all(item._peers.alive == 2 for item in fleet.instances))
+    await fleet.until(lambda: all(item._peers.live_instances == 2 for item in fleet.instances))
     fleet.turn_away(1)
 
 
@@ -46,43 +46,48 @@
         middle = fleet.store.revision
         await fleet.add_worker(announced)
         # The update arrives before any heartbeat can announce the two changes.
-        item = RecordItem(announced.name, fleet.store.revision, endpoint(announced.name))
-        assert second.records.revision == StoreRevision(0, known)
-        second._follower.take_news(SourceNews("n1", 0, middle, fleet.store.revision, [item], 60.0))
+        item = RegistrationRecord(announced.name, fleet.store.revision, endpoint(announced.name))
+        assert second.records.complete_revision == StoreRevision(0, known)
+        second._follower.apply_peer_update(
+            RegistrationUpdate("n1", 0, middle, fleet.store.revision, [item], 60.0)
+        )
         assert second.records.get(announced.name) is not None
         await fleet.until(lambda: second.records.get(missed.name) is not None, 4.0)
 
 
-class DisorderedFleet(follower_test.Fleet):
+class ReorderingFleet(follower_test.FollowerFleet):
     """Followers that receive updates late, twice and out of order."""
 
     async def _deliver_updates(self, number: int) -> None:
         async with trio.open_nursery() as nursery:
             while True:
-                for update in await self._channels[number].next():
+                for update in await self._channels[number].next_messages():
                     for other, follower in enumerate(self.followers):
                         if other != number:
                             nursery.start_soon(self._deliver_late, follower, update)
                             nursery.start_soon(self._deliver_late, follower, update)
 
-    async def _deliver_late(self, follower: Follower, update: SourceNews) -> None:
+    async def _deliver_late(self, follower: Follower, update: RegistrationUpdate) -> None:
         await trio.sleep(self._rng.random())
-        follower.take_news(update)
+        follower.apply_peer_update(update)
 
 
 @pytest.mark.parametrize("members", [62, 195])
 async def test_reordered_updates_leave_no_change_out(
     members: int, autojump_clock: trio.testing.MockClock
 ) -> None:
-    fleet = DisorderedFleet(members, 2)
+    fleet = ReorderingFleet(members, 2)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(fleet.run)
         await trio.sleep(5.0)
         for _ in range(40):
-            fleet.source.change()
+            fleet.source.change_registration()
             await trio.sleep(0.1)
         await trio.sleep(2.0)
-        assert fleet.complete() == members
+        assert fleet.count_up_to_date() == members
         assert all(len(item.records.records) == 40 for item in fleet.followers)
-        assert all(item.records.newest == item.records.revision for item in fleet.followers)
+        assert all(
+            item.records.newest_record_revision == item.records.complete_revision
+            for item in fleet.followers
+        )
         nursery.cancel_scope.cancel()
--- a/cleatlink/relay/following/registrations.py
+++ b/cleatlink/relay/following/registrations.py
@@ -12,7 +12,7 @@
 
 from cleatlink.core.routes import RoutedEndpoint
 from cleatlink.relay.endpoints.pool import ConnectionPool
-from cleatlink.relay.logs import LineAllowance
+from cleatlink.relay.logs import LogRateLimit
 from cleatlink.relay.metrics import RelayMetrics
 from cleatlink.routing.capacity import Capacity
 from cleatlink.routing.fleet_records import EndpointRecord, FleetRecords
@@ -73,7 +73,7 @@
         self._on_change = on_change
         self._reconnected_at = -RECOVERY_S
         self._removal_delay_s = min(_MAX_REMOVAL_DELAY_S, _REMOVAL_DELAY_SHARE * leaving_s)
-        self._fault_line_limit = LineAllowance(_MAX_FAULT_LINES, _FAULT_LINES_WINDOW_S)
+        self._fault_line_limit = LogRateLimit(_MAX_FAULT_LINES, _FAULT_LINES_WINDOW_S)
 
     def note_reconnected(self) -> None:
         """Note that the service is reachable again; registrations may have expired meanwhile."""
@@ -105,23 +105,23 @@
     def _was_removed_before_restore(self, endpoint: RoutedEndpoint, before: EndpointRecord) -> bool:
         """Check whether a registration is one that was removed before the service was restored."""
         is_removed = before.endpoint is None and self._records.was_removed(endpoint)
-        return is_removed and not self._capacity.knows_life(endpoint)
+        return is_removed and not self._capacity.is_registered(endpoint)
 
     def _register(
         self, record: EndpointRecord, endpoint: RoutedEndpoint, known: RoutedEndpoint | None
     ) -> None:
         replaced = self._capacity.set_endpoint(endpoint)
         if replaced is not None:
-            self._pool.break_off(replaced)
+            self._pool.abort_connections(replaced)
             _log(
-                "source: an endpoint began a new life",
+                "source: an endpoint was restarted, closed connections to its previous incarnation",
                 record,
                 endpoint=endpoint.name,
                 before=replaced,
             )
         if known != endpoint:
             _log(
-                "source: an endpoint is registered",
+                "source: registered an endpoint",
                 record,
                 endpoint=endpoint.name,
                 address=endpoint.address,
@@ -133,7 +133,7 @@
     async def _register_later(self, record: EndpointRecord, endpoint: RoutedEndpoint) -> None:
         """Use a previously removed endpoint if its registration is still present after a delay."""
         _log(
-            "source: a registration of an endpoint that was gone is in doubt",
+            "source: a removed endpoint reappeared after a restore, delays its use",
             record,
             endpoint=endpoint.name,
         )
@@ -168,7 +168,7 @@
     async def _remove_later(self, record: EndpointRecord, delay_s: float) -> None:
         """Remove an endpoint after a delay, unless it registers again meanwhile."""
         _log(
-            "source: a removal is in doubt",
+            "source: a removal may be due to an outage or a restore, delays it",
             record,
             endpoint=record.name,
             hold_s=delay_s,
@@ -178,28 +178,28 @@
             self._remove(record)
 
     def _remove(self, record: EndpointRecord) -> None:
-        incarnation = self._capacity.life_of(record.name)
+        incarnation = self._capacity.current_incarnation(record.name)
         if incarnation is None:
             return
         _log(
-            "source: an endpoint is gone",
+            "source: removed an endpoint",
             record,
             endpoint=incarnation,
         )
         self._capacity.remove_endpoint(incarnation)
-        self._pool.forget(incarnation)
+        self._pool.close_idle(incarnation)
 
     def _log_fault_change(self, record: EndpointRecord, before: EndpointRecord) -> None:
         """Log when a registration becomes unusable, and when it becomes usable again."""
         if record.fault is not None:
-            self._metrics.count_unusable(record.fault.kind.value)
+            self._metrics.count_unusable_entry(record.fault.kind.value)
         if (record.fault is None) is (before.fault is None):
             return
-        message, fields = "source: a registration is no longer unusable", {}
+        message, fields = "source: a registration is usable again", {}
         if record.fault is not None:
-            message = "source: a registration can't be used"
+            message = "source: a registration is unusable"
             fields = {"kind": record.fault.kind.value, "detail": record.fault.detail}
-        if self._fault_line_limit.take(trio.current_time()):
+        if self._fault_line_limit.allow(trio.current_time()):
             _log(message, record, registration=record.label, **fields)
 
 
--- a/cleatlink/relay/following/source.py
+++ b/cleatlink/relay/following/source.py
@@ -9,10 +9,10 @@
 from cleatlink.core.routes import RouteTable
 from cleatlink.routing.fleet_records import EndpointRecord
 
-__all__ = ["ConfigurationSource", "HistoryGoneError", "SourceChange", "SourceTable"]
+__all__ = ["ConfigurationSource", "HistoryUnavailableError", "SourceChange", "SourceTable"]
 
 
-class HistoryGoneError(PlatformError):
+class HistoryUnavailableError(PlatformError):
     """The changes since the last call are not available; everything must be read again.
 
     The service no longer keeps them, or was restored from a copy that lacks them.
@@ -26,24 +26,24 @@
         table: The route table, or None if it did not change.
         records: Registrations that changed.
         revision: All changes up to this revision are now known.
-        whole: Whether ``records`` is the complete list.
+        is_full: Whether ``records`` is the complete list.
         table_fault: Why the present route table can't be used; None if it can.
     """
 
-    __slots__ = ("records", "revision", "table", "table_fault", "whole")
+    __slots__ = ("records", "revision", "table", "table_fault", "is_full")
 
     def __init__(
         self,
         table: RouteTable | None,
         records: list[EndpointRecord],
         revision: StoreRevision,
-        whole: bool,
+        is_full: bool,
         table_fault: ReadFault | None = None,
     ) -> None:
         self.table = table
         self.records = records
         self.revision = revision
-        self.whole = whole
+        self.is_full = is_full
         self.table_fault = table_fault
 
 
@@ -64,7 +64,7 @@
 
     @property
     @abstractmethod
-    def is_answering(self) -> bool:
+    def is_receiving(self) -> bool:
         """Whether the answer to a call of ``read`` or ``watch`` is arriving."""
 
     @abstractmethod
--- a/cleatlink/relay/following/store_client.py
+++ b/cleatlink/relay/following/store_client.py
@@ -8,8 +8,8 @@
 from cleatlink.core.address import Address
 from cleatlink.core.errors import EndpointError, PlatformError
 from cleatlink.relay.endpoints.connection import EndpointConnection
-from cleatlink.relay.endpoints.protocol import OutgoingRequest, ReplyHead
-from cleatlink.relay.following.source import HistoryGoneError
+from cleatlink.relay.endpoints.protocol import OutgoingRequest, ResponseHead
+from cleatlink.relay.following.source import HistoryUnavailableError
 
 __all__ = ["StoreAnswer", "StoreClient"]
 
@@ -49,7 +49,7 @@
             HistoryGoneError: The store was restored from a copy meanwhile.
         """
         if self.era != era:
-            raise HistoryGoneError(
+            raise HistoryUnavailableError(
                 f"the store changed from era {era} to era {self.era} between two answers"
             )
 
@@ -74,7 +74,7 @@
         self._era = 0
 
     @property
-    def is_answering(self) -> bool:
+    def is_receiving(self) -> bool:
         """Whether bytes of an answer arrived recently, so that the rest is expected."""
         return trio.current_time() - self._received_at < _BODY_IDLE_TIMEOUT_S
 
@@ -84,7 +84,7 @@
             self._connection.close()
             self._connection = None
 
-    def note_era(self, era: int) -> None:
+    def record_era(self, era: int) -> None:
         """Record an era known from peers; answers of earlier eras are rejected."""
         self._era = max(self._era, era)
 
@@ -118,13 +118,15 @@
             head = await connection.exchange(request, self._note_bytes)
         with trio.fail_after(timeout_s + _BODY_TIMEOUT_S):
             silence_s = max(timeout_s, _BODY_IDLE_TIMEOUT_S)
-            body = await connection.read_body(_MAX_BODY_BYTES, silence_s=silence_s)
+            body = await connection.read_body(_MAX_BODY_BYTES, silence_timeout_s=silence_s)
         self._received_at = -math.inf
-        if not connection.finish(trio.current_time()):
+        if not connection.end_exchange(trio.current_time()):
             self.close()
         era = self._read_era(head)
         if head.status == _HTTP_GONE:
-            raise HistoryGoneError(f"the store no longer keeps the requested history, in era {era}")
+            raise HistoryUnavailableError(
+                f"the store no longer keeps the requested history, in era {era}"
+            )
         if head.status not in (_HTTP_OK, _HTTP_NOT_FOUND):
             raise PlatformError(f"the store answered with status {head.status}")
         return StoreAnswer(head.status == _HTTP_OK, era, body)
@@ -134,14 +136,14 @@
 
     async def _connect(self) -> EndpointConnection:
         """Return a usable connection; open one if there is none."""
-        if self._connection is None or not self._connection.usable:
+        if self._connection is None or not self._connection.is_reusable:
             self.close()
             self._connection = await EndpointConnection.open(
                 str(self._address), _ACK_TIMEOUT_S, _CONNECT_TIMEOUT_S
             )
         return self._connection
 
-    def _read_era(self, head: ReplyHead) -> int:
+    def _read_era(self, head: ResponseHead) -> int:
         """Return the era of an answer, also of a failed one; without the header, the latest known.
 
         Raises:
--- a/cleatlink/relay/whole_read.py
+++ b/cleatlink/relay/full_read.py
@@ -5,10 +5,10 @@
 
 from cleatlink.core.errors import PlatformError
 from cleatlink.core.revisions import NO_REVISION, StoreRevision
-from cleatlink.relay.following.source import HistoryGoneError, SourceChange, SourceTable
+from cleatlink.relay.following.source import HistoryUnavailableError, SourceChange, SourceTable
 from cleatlink.routing.fleet_records import EndpointRecord
 
-__all__ = ["ListPage", "WholeRead"]
+__all__ = ["ListPage", "FullRead"]
 
 
 class ListPage(NamedTuple):
@@ -25,7 +25,7 @@
     has_more: bool
 
 
-class WholeRead:
+class FullRead:
     """Reads the list of endpoints page by page, then the route table, all of one era.
 
     When a call fails, the pages that were read are kept, and the next run reads only the missing
@@ -58,7 +58,7 @@
         """
         try:
             change = await self._read_missing()
-        except HistoryGoneError:
+        except HistoryUnavailableError:
             self._reset()
             raise
         self._reset()
@@ -76,7 +76,7 @@
             self._add_page(await self._read_page(self._last_key))
         found = await self._read_table(self._revision.era)
         return SourceChange(
-            found.table, self._records, self._revision, whole=True, table_fault=found.fault
+            found.table, self._records, self._revision, is_full=True, table_fault=found.fault
         )
 
     def _add_page(self, page: ListPage) -> None:
@@ -98,6 +98,6 @@
         A revision before that of the first page also means that the era changed.
         """
         if revision.era != self._revision.era or revision < self._revision:
-            raise HistoryGoneError(
+            raise HistoryUnavailableError(
                 f"page of revision {revision} after first page of {self._revision}"
             )
--- a/cleatlink/relay/whole_read_test.py
+++ b/cleatlink/relay/full_read_test.py
@@ -6,7 +6,7 @@
 from cleatlink.core.errors import PlatformError
 from cleatlink.core.revisions import StoreRevision
 from cleatlink.relay.following.source import SourceTable
-from cleatlink.relay.whole_read import ListPage, WholeRead
+from cleatlink.relay.full_read import FullRead, ListPage
 from cleatlink.routing.fleet_records import EndpointRecord
 
 pytestmark = pytest.mark.virtual_time
@@ -46,7 +46,7 @@
 @pytest.mark.parametrize("invalid_page", [page(8, has_more=True), page(8, "a", has_more=True)])
 async def test_page_that_does_not_advance_is_ignored(invalid_page: ListPage) -> None:
     service = FakeService(page(7, "a", "b", has_more=True), invalid_page, page(9, "b", "c"))
-    read = WholeRead(service.read_page, service.read_table)
+    read = FullRead(service.read_page, service.read_table)
     with pytest.raises(PlatformError, match="does not advance past the previous page"):
         await read.run()
     change = await read.run()
@@ -57,7 +57,7 @@
 
 async def test_first_page_that_does_not_advance_sets_no_revision() -> None:
     service = FakeService(page(7, has_more=True), page(9, "a"))
-    read = WholeRead(service.read_page, service.read_table)
+    read = FullRead(service.read_page, service.read_table)
     with pytest.raises(PlatformError, match="does not advance past the previous page"):
         await read.run()
     assert (await read.run()).revision.number == 9
--- a/cleatlink/relay/instance.py
+++ b/cleatlink/relay/instance.py
@@ -10,40 +10,40 @@
 from cleatlink.core.address import Address
 from cleatlink.core.errors import ListenError
 from cleatlink.core.routes import RoutedEndpoint, RouteTable
-from cleatlink.organisations import OrganisationGate, OrganisationLimits
-from cleatlink.relay.budgets import ServiceBudgets
+from cleatlink.organisations import OrganisationAccess, OrganisationLimits
+from cleatlink.relay.callers.internal_pages import MetricsHandler, PeerHandler, ReadyHandler
 from cleatlink.relay.callers.server import Handler, serve_connections
 from cleatlink.relay.callers.service import RelayService
-from cleatlink.relay.callers.side import MetricsHandler, PeerHandler, ReadyHandler
-from cleatlink.relay.calls.parts import RelayParts
+from cleatlink.relay.calls.components import RelayComponents
 from cleatlink.relay.calls.planned_stop import PlannedStop
-from cleatlink.relay.endpoints.answer_notices import AnswerNotices
-from cleatlink.relay.endpoints.crash_watch import CrashWatch
+from cleatlink.relay.endpoints.crash_detector import CrashDetector
 from cleatlink.relay.endpoints.pool import ConnectionPool
 from cleatlink.relay.endpoints.protocol import Protocol
+from cleatlink.relay.endpoints.response_notices import ResponseNoticeReader
 from cleatlink.relay.following.follower import Follower, FollowerHooks
 from cleatlink.relay.following.source import ConfigurationSource
-from cleatlink.relay.logs import LineWriter
+from cleatlink.relay.logs import LogWriter
 from cleatlink.relay.metrics import RelayMetrics
-from cleatlink.relay.orders import RoleController
+from cleatlink.relay.peers.advertised_state import AdvertisedState
 from cleatlink.relay.peers.encoded_parts import EncodedParts
+from cleatlink.relay.peers.endpoint_notice_channel import EndpointNoticeChannel
 from cleatlink.relay.peers.group import PeerGroup
 from cleatlink.relay.peers.hooks import PeerHooks
-from cleatlink.relay.peers.known_state import KnownState
 from cleatlink.relay.peers.messages import HintKind
-from cleatlink.relay.peers.shared_notices import SharedNotices
 from cleatlink.relay.peers.shared_quarantine import SharedQuarantine
-from cleatlink.relay.peers.snapshots import Part
+from cleatlink.relay.peers.snapshots import SnapshotPart
+from cleatlink.relay.retry_budgets import ServiceBudgets
+from cleatlink.relay.role_controller import RoleController
 from cleatlink.relay.settings import RelaySettings
 from cleatlink.relay.sockets import listen
 from cleatlink.relay.status import InstanceStatus
-from cleatlink.relay.tasks import Task, run_once, supervise
+from cleatlink.relay.tasks import Task, run_and_log_errors, run_with_restarts
+from cleatlink.routing.buffered_bytes import BufferedBytes
 from cleatlink.routing.capacity import Capacity
 from cleatlink.routing.fleet_records import FleetRecords
-from cleatlink.routing.held_bytes import HeldBytes
-from cleatlink.routing.mechanisms import Switches
+from cleatlink.routing.mechanisms import MechanismSwitches
 from cleatlink.routing.reservation import Reservation
-from cleatlink.routing.table_knowledge import TableKnowledge
+from cleatlink.routing.table_tracker import TableTracker
 
 __all__ = ["RelayInstance"]
 
@@ -79,44 +79,44 @@
         protocol: Protocol,
         source: ConfigurationSource,
         incarnation: int,
-        writer: LineWriter | None = None,
+        writer: LogWriter | None = None,
     ) -> None:
         self._settings = settings
         self._source = source
         self._incarnation = incarnation
         self._writer = writer
-        self._capacity = Capacity(Switches(settings.without), trio.current_time())
+        self._capacity = Capacity(MechanismSwitches(settings.without), trio.current_time())
         self._capacity.spill_over.crossing_share = settings.crossing_share
         self._metrics = RelayMetrics()
         notices = self._capacity.notices
-        self._answer_notices = AnswerNotices(
+        self._answer_notices = ResponseNoticeReader(
             protocol,
             notices,
-            self._capacity.limits,
+            self._capacity.endpoint_limits,
             metrics=self._metrics,
             on_leaving=self._handle_leaving,
-            on_rest=self._announce_back_off,
-            on_limit=self._announce_limit,
+            on_backoff=self._announce_back_off,
+            on_limit_changed=self._announce_limit,
         )
         self._pool = ConnectionPool(
             self._connection_limit,
-            self._answer_notices.note_head,
+            self._answer_notices.process_head,
             notices.is_leaving,
             self._record_sent,
         )
         self._budgets = ServiceBudgets(settings)
-        self._held = HeldBytes(_caller_memory_limit_bytes(settings.memory_mb))
+        self._caller_memory = BufferedBytes(_caller_memory_limit_bytes(settings.memory_mb))
         self._planned_stop = PlannedStop()
         limits = OrganisationLimits(settings.limit_tolerance, trio.current_time())
-        self._gate = OrganisationGate(limits)
-        self._tables = TableKnowledge()
+        self._gate = OrganisationAccess(limits)
+        self._tables = TableTracker()
         rng = random.Random(incarnation)
         self._quarantine = SharedQuarantine(settings.name, rng)
-        self._shared_notices = SharedNotices(settings.name, notices, rng)
-        self._crash_watch = CrashWatch(
-            self._pool, self._metrics, spawn=self._spawn, on_crash=self._quarantine.note_crash
+        self._shared_notices = EndpointNoticeChannel(settings.name, notices, rng)
+        self._crash_watch = CrashDetector(
+            self._pool, self._metrics, spawn=self._spawn, on_crash=self._quarantine.record_crash
         )
-        self._parts = RelayParts(
+        self._parts = RelayComponents(
             settings.data_centre,
             protocol,
             self._pool,
@@ -126,7 +126,7 @@
             self._tables,
             self._metrics,
             rng,
-            self._budgets.of,
+            self._budgets.get_budget,
             self._estimate_members,
             self._announce_work,
             self._announce_spending,
@@ -142,9 +142,9 @@
             self._announce_new_table,
             self._offer_capacity,
             self._spawn,
-            lambda: self._peers.alive,
+            lambda: self._peers.live_instances,
             lambda: self._peers.must_watch(),  # noqa: PLW0108
-            lambda *change: self._peers.tell_source(*change),  # noqa: PLW0108
+            lambda *change: self._peers.announce_registration(*change),  # noqa: PLW0108
         )
         self._follower = Follower(
             source,
@@ -154,18 +154,18 @@
             tables=self._tables,
             rng=self._parts.rng,
             hooks=follower_hooks,
-            leaving_s=settings.leaving_s,
+            leaving_s=settings.endpoint_leave_s,
         )
         self._encoded_parts = EncodedParts(self._follower.records)
         hooks = PeerHooks(
             self._known_state,
-            self._follower.look_again,
-            self._follower.take_snapshot,
+            self._follower.poll_service,
+            self._follower.apply_snapshot,
             self._offer_capacity,
             self._record_peer_demand,
             self._close_connections,
-            self._follower.take_news,
-            self._follower.note_table,
+            self._follower.apply_peer_update,
+            self._follower.note_peer_table,
             self._follower.read_table,
         )
         self._peers = PeerGroup(
@@ -193,12 +193,12 @@
     @property
     def ready(self) -> bool:
         """Whether this instance accepts new connections."""
-        return self._follower.complete and not self._planned_stop.has_begun
+        return self._follower.has_table_and_endpoints and not self._planned_stop.has_begun
 
     @property
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         """Whether this instance is the leader, which sends role orders."""
-        return self._role_controller.leads
+        return self._role_controller.is_leader
 
     @property
     def service(self) -> RelayService:
@@ -261,7 +261,7 @@
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             for listener, handler in listeners:
-                held = self._held if handler is self._service else None
+                held = self._caller_memory if handler is self._service else None
                 nursery.start_soon(serve_connections, listener, handler, held)
             self._peers.start(self._start_supervised, self._spawn)
             for task in (self._follower.run, self._run_housekeeping, self._role_controller.run):
@@ -272,7 +272,7 @@
                 data_centre=self._settings.data_centre,
                 incarnation=self._incarnation,
                 version=__version__,
-                without=self._capacity.switches.without,
+                without=self._capacity.switches.disabled_names,
             )
             await stop.wait()
             await self._stop()
@@ -281,40 +281,40 @@
     def reload(self, settings: RelaySettings) -> None:
         """Apply the settings that may change at run time."""
         self._settings = settings
-        self._budgets.change(settings)
+        self._budgets.apply_settings(settings)
         self._capacity.spill_over.crossing_share = settings.crossing_share
-        self._gate.limits.change_tolerance(settings.limit_tolerance)
-        eliot.log_message(message_type="instance: reloads its settings", name=settings.name)
+        self._gate.limits.set_tolerance(settings.limit_tolerance)
+        eliot.log_message(message_type="instance: applies reloaded settings", name=settings.name)
 
     async def _stop(self) -> None:
         """Stop as planned: report not ready, then finish all accepted requests."""
         stop = self._planned_stop
         stop.begin(trio.current_time(), self._settings.drain_s - _EXIT_MARGIN_S)
         eliot.log_message(
-            message_type="instance: stops",
+            message_type="instance: begins a planned stop",
             in_flight=self._service.in_flight,
-            waiting=self._service.room.waiting,
+            waiting=self._service.decode_admission.waiting_count,
             grace_s=self._settings.drain_s,
         )
         self._service.begin_stop()
-        self._peers.send_beat()
+        self._peers.send_heartbeat()
         while (now := trio.current_time()) < stop.ends_at:
             if stop.age_s(now) >= _MIN_STOP_S and self._service.in_flight == 0:
                 break
             await trio.sleep(_STOP_POLL_S)
         stop.end()
         eliot.log_message(
-            message_type="instance: has stopped",
+            message_type="instance: completed its planned stop",
             in_flight=self._service.in_flight,
             took_ms=int(1000 * stop.age_s(trio.current_time())),
         )
 
-    def take_table(self, table: RouteTable, source: str) -> None:
+    def apply_newer_table(self, table: RouteTable, source: str) -> None:
         """Put a route table in force if it is newer than the current one, whatever its source."""
         self._follower.take_table(table, source)
 
     def _announce_new_table(self) -> None:
-        self._peers.send_beat()
+        self._peers.send_heartbeat()
         self._offer_capacity()
 
     def _connection_limit(self, endpoint: RoutedEndpoint) -> float:
@@ -326,62 +326,62 @@
         return service.connection_limit / self._estimate_members()
 
     def _close_connections(self, incarnation: str) -> None:
-        self._pool.forget(incarnation)
+        self._pool.close_idle(incarnation)
 
     def _handle_leaving(self, incarnation: str) -> None:
         self._close_connections(incarnation)
-        self._shared_notices.tell_leaving(incarnation)
+        self._shared_notices.report_leaving(incarnation)
 
     def _announce_back_off(self, incarnation: str) -> None:
-        self._shared_notices.tell_rest(incarnation)
+        self._shared_notices.report_backoff(incarnation)
 
     def _announce_limit(self, incarnation: str) -> None:
-        self._peers.tell_limit(incarnation)
+        self._peers.announce_limit(incarnation)
 
     def _record_sent(self, endpoint: RoutedEndpoint) -> None:
-        self._capacity.limits.note_sent(endpoint.name, trio.current_time())
+        self._capacity.endpoint_limits.count_sent_call(endpoint.name, trio.current_time())
 
     def _estimate_members(self) -> int:
-        known = self._peers.most_members
+        known = self._peers.peak_live_instances
         return max(known + 1, _ASSUMED_INITIAL_MEMBERS if known == 1 else 0)
 
     def _announce_work(self, *keys: str) -> None:
-        self._peers.note_work(*keys)
+        self._peers.announce_work(*keys)
 
     def _announce_spending(self) -> None:
-        self._peers.note_spending()
+        self._peers.announce_usage()
 
     def _announce_rejected_tokens(self, endpoint: str, tokens: int) -> None:
-        self._peers.tell_shed(endpoint, tokens)
+        self._peers.announce_rejection(endpoint, tokens)
 
     def _send_hint(self, endpoint: str, kind: HintKind) -> None:
-        self._peers.tell_hint(endpoint, kind)
+        self._peers.announce_hint(endpoint, kind)
 
     def _offer_capacity(self) -> None:
-        self._service.room.offer()
+        self._service.decode_admission.place_waiting()
 
     def _start_supervised(self, task: Task) -> None:
         if self._nursery is not None:
-            self._nursery.start_soon(supervise, task)
+            self._nursery.start_soon(run_with_restarts, task)
 
     def _spawn(self, task: Task, *args: object) -> None:
         if self._nursery is not None:
-            self._nursery.start_soon(run_once, task, *args)
+            self._nursery.start_soon(run_and_log_errors, task, *args)
 
-    def _known_state(self) -> KnownState:
+    def _known_state(self) -> AdvertisedState:
         records = self._follower.records
-        return KnownState(
+        return AdvertisedState(
             self._planned_stop.has_begun,
             records.table_revision,
-            records.newest,
-            self._follower.connected,
+            records.newest_record_revision,
+            self._follower.is_connected,
         )
 
     def _record_peer_demand(self, work: Reservation) -> None:
         """Count work that a peer assigned to an endpoint as demand."""
-        self._capacity.note_demand(work, trio.current_time())
+        self._capacity.count_demand(work, trio.current_time())
 
-    def snapshot(self, part: Part, *, is_compressed: bool) -> bytes:
+    def snapshot(self, part: SnapshotPart, *, is_compressed: bool) -> bytes:
         """Return a part of this instance's state, encoded for a peer."""
         return self._encoded_parts.get(part, is_compressed=is_compressed)
 
@@ -396,44 +396,48 @@
             name=self._settings.name,
             version=__version__,
             table_revision=self.records.table_revision,
-            store_era=self.records.revision.era,
+            store_era=self.records.complete_revision.era,
             endpoints=len(self._capacity.endpoints),
             unusable=dict(sorted(unusable.items())[:_MAX_REPORTED_ITEMS]),
-            instances=self._peers.alive,
-            leads=self.leads,
-            quarantine=self._quarantine.held_requests(),
+            instances=self._peers.live_instances,
+            leads=self.is_leader,
+            quarantine=self._quarantine.quarantined_requests(),
             leaving=self._capacity.notices.leaving_sources(_MAX_REPORTED_ITEMS),
-            limits=self._capacity.limits.rates_per_s(_MAX_REPORTED_ITEMS),
+            limits=self._capacity.endpoint_limits.rates_per_s(_MAX_REPORTED_ITEMS),
         )
 
     def render_metrics(self) -> bytes:
         """Return the metrics as text."""
         if self._writer is not None:
             self._metrics.set_dropped_log_lines(self._writer.dropped)
-        self._metrics.set_held_bytes(self._held)
+        self._metrics.set_held_bytes(self._caller_memory)
         return self._metrics.render()
 
     async def _sleep_and_detect_pause(self, seconds: float) -> None:
         """Sleep, and log a pause if the process was not running when it should have woken."""
-        pauses = self._capacity.own_pauses
-        pauses.expect_look(trio.current_time() + seconds)
+        pauses = self._capacity.process_pauses
+        pauses.schedule_check(trio.current_time() + seconds)
         await trio.sleep(seconds)
-        paused_s = pauses.look(trio.current_time())
+        paused_s = pauses.check(trio.current_time())
         if paused_s:
-            eliot.log_message(message_type="instance: did not run", paused_ms=int(1000 * paused_s))
+            eliot.log_message(
+                message_type="instance: its process was paused", paused_ms=int(1000 * paused_s)
+            )
 
     async def _run_housekeeping(self) -> None:
         rng = random.Random(self._incarnation)
         while True:
             # Random intervals, so that instances that start together do not check at the same time.
             await self._sleep_and_detect_pause(_HOUSEKEEPING_S * (0.5 + rng.random()))
-            self._pool.prune()
-            self._service.room.keep_house()
-            self._quarantine.keep_house()
-            self._capacity.notices.forget(trio.current_time())
-            self._capacity.limits.forget(trio.current_time())
-            self._capacity.plain.forget(self._capacity.endpoints.keys(), trio.current_time())
-            self._capacity.plain_returns.forget(trio.current_time())
+            self._pool.close_expired()
+            self._service.decode_admission.run_maintenance()
+            self._quarantine.remove_expired()
+            self._capacity.notices.drop_old(trio.current_time())
+            self._capacity.endpoint_limits.expire(trio.current_time())
+            self._capacity.plain_load.remove_stale(
+                self._capacity.endpoints.keys(), trio.current_time()
+            )
+            self._capacity.expected_plain_retries.remove_expired(trio.current_time())
             if self._writer is not None:
                 self._writer.flush()
 
--- a/cleatlink/relay/own_pauses_test.py
+++ b/cleatlink/relay/instance_pauses_test.py
@@ -41,10 +41,10 @@
         caller = fleet.caller()
         for _ in range(5):
             assert (await caller.ask("/safe/x")).status == 200
-        normal_s = fleet.instances[0].capacity.pace("plain").plain_s
+        normal_s = fleet.instances[0].capacity.service_times("plain").plain_call_s
         for _ in range(3):
             await ask_across_a_pause(caller, "/safe/x", {})
-        assert fleet.instances[0].capacity.pace("plain").plain_s < 1.5 * normal_s
+        assert fleet.instances[0].capacity.service_times("plain").plain_call_s < 1.5 * normal_s
 
 
 async def test_pauses_do_not_make_engines_look_slow() -> None:
@@ -56,7 +56,7 @@
         caller = fleet.caller()
         for _ in range(20):
             assert (await caller.ask("/stream/x", "POST", body=b"p", headers=STREAM)).status == 200
-        pace = fleet.instances[0].capacity.pace("model")
+        pace = fleet.instances[0].capacity.service_times("model")
         slow_token_before_s = pace.slow_token_s
         for _ in range(10):
             await ask_across_a_pause(caller, "/stream/x", STREAM, after_s=0.06)
@@ -71,7 +71,7 @@
         caller = fleet.caller()
         for _ in range(8):
             assert (await caller.ask("/stream/x", "POST", body=b"p", headers=STREAM)).status == 200
-        pace = fleet.instances[0].capacity.pace("model")
+        pace = fleet.instances[0].capacity.service_times("model")
         normal_s = pace.prompt_s(100)
         for _ in range(12):
             await ask_across_a_pause(caller, "/stream/x", STREAM)
--- a/cleatlink/relay/logs.py
+++ b/cleatlink/relay/logs.py
@@ -12,7 +12,7 @@
 import eliot
 import msgspec
 
-__all__ = ["LineAllowance", "LineWriter", "write_lines"]
+__all__ = ["LogRateLimit", "LogWriter", "install_log_writer"]
 
 # About a megabyte, or some seconds of log lines under load.
 _MAX_QUEUED_LINES = 4_000
@@ -20,7 +20,7 @@
 _BLOCK_BYTES = 4_096
 
 
-class LineAllowance:
+class LogRateLimit:
     """Limits the number of log lines of a kind in each time window."""
 
     def __init__(self, max_lines: int, window_s: float) -> None:
@@ -35,7 +35,7 @@
         self._window_start = 0.0
         self._line_count = 0
 
-    def take(self, now: float) -> bool:
+    def allow(self, now: float) -> bool:
         """Count one line; return whether the limit allows it."""
         if now - self._window_start >= self._window_s:
             self._window_start, self._line_count = now, 0
@@ -43,12 +43,12 @@
         return self._line_count <= self._max_lines
 
 
-class LineWriter:
+class LogWriter:
     """Writes JSON lines to a file descriptor without blocking."""
 
-    def __init__(self, descriptor: int, most_lines: int = _MAX_QUEUED_LINES) -> None:
+    def __init__(self, descriptor: int, max_lines: int = _MAX_QUEUED_LINES) -> None:
         self._descriptor = descriptor
-        self._most_lines = most_lines
+        self._most_lines = max_lines
         self._lines: deque[bytes] = deque()
         self._pending = b""
         self._poll = select.poll()
@@ -91,8 +91,8 @@
         return any(events & select.POLLOUT for _, events in self._poll.poll(0))
 
 
-def write_lines(descriptor: int = 1) -> LineWriter:
+def install_log_writer(descriptor: int = 1) -> LogWriter:
     """Send all logs of this process to a file descriptor."""
-    writer = LineWriter(descriptor)
+    writer = LogWriter(descriptor)
     eliot.add_destinations(writer)
     return writer
--- a/cleatlink/relay/metrics.py
+++ b/cleatlink/relay/metrics.py
@@ -8,7 +8,7 @@
 
 from cleatlink import __version__
 from cleatlink.core.errors import ErrorKind
-from cleatlink.routing.held_bytes import HeldBytes, HeldKind
+from cleatlink.routing.buffered_bytes import BufferedBytes, BufferKind
 
 __all__ = ["RelayMetrics"]
 
@@ -150,15 +150,15 @@
         """Count a request that was cut off by the end of a planned stop."""
         self._cut_by_stop.inc({"kind": kind})
 
-    def count_handle(self, fate: str) -> None:
+    def count_prefill_handle(self, fate: str) -> None:
         """Count a handle, which refers to a prefill's result, by its outcome."""
         self._handles.inc({"fate": fate})
 
-    def count_read(self, outcome: str) -> None:
+    def count_configuration_call(self, outcome: str) -> None:
         """Count a call to the configuration service."""
         self._configuration_calls.inc({"outcome": outcome})
 
-    def count_message(self, kind: str) -> None:
+    def count_peer_message(self, kind: str) -> None:
         """Count a datagram exchanged with peers."""
         self._unrendered_messages[kind] += 1
 
@@ -166,35 +166,35 @@
         """Count a role order to an endpoint; status 0 means no answer."""
         self._role_orders.inc({"status": status})
 
-    def count_crash(self, service: str) -> None:
+    def count_endpoint_crash(self, service: str) -> None:
         """Count an endpoint that crashed with requests in progress."""
         self._crashes.inc({"service": service})
 
-    def count_notice(self, kind: str) -> None:
+    def count_endpoint_notice(self, kind: str) -> None:
         """Count an answer in which an endpoint reported something about itself."""
         self._notices.inc({"kind": kind})
 
-    def count_plain(self, outcome: str) -> None:
+    def count_plain_admission(self, outcome: str) -> None:
         """Count a plain call that arrived while its service was nearly at capacity."""
         self._plain_admissions.inc({"outcome": outcome})
 
-    def count_unusable(self, reason: str) -> None:
+    def count_unusable_entry(self, reason: str) -> None:
         """Count a registration or a route table that can't be used."""
         self._unusable_entries.inc({"reason": reason})
 
-    def count_room_left(self) -> None:
+    def count_yielded_capacity(self) -> None:
         """Count a stream that yielded capacity to streams waiting at other instances."""
         self._yielded_capacity.inc({})
 
-    def count_place(self, *, is_far: bool) -> None:
+    def count_stream_placement(self, *, is_other_data_centre: bool) -> None:
         """Count a stream that was assigned to an endpoint, by whether it is in this data centre."""
-        self._stream_placements.inc({"data_centre": "other" if is_far else "own"})
+        self._stream_placements.inc({"data_centre": "other" if is_other_data_centre else "own"})
 
     def observe_prefill(self, seconds: float) -> None:
         """Record the duration of a prefill."""
         self._prefill_s.observe({}, seconds)
 
-    def observe_wait(self, seconds: float) -> None:
+    def observe_capacity_wait(self, seconds: float) -> None:
         """Record how long a stream waited for decode capacity."""
         self._capacity_wait_s.observe({}, seconds)
 
@@ -213,10 +213,10 @@
             for which, speed in figures.items():
                 self._speeds.set({"which": which}, round(speed, 3))
 
-    def set_held_bytes(self, held: HeldBytes) -> None:
+    def set_held_bytes(self, held: BufferedBytes) -> None:
         """Set the bytes held for callers that read or send slowly, by kind."""
-        for kind in HeldKind:
-            self._held_bytes.set({"kind": kind.value}, held.held(kind))
+        for kind in BufferKind:
+            self._held_bytes.set({"kind": kind.value}, held.buffered(kind))
 
     def set_dropped_log_lines(self, count: int) -> None:
         """Set the number of dropped log lines."""
--- a/cleatlink/relay/newer_table_denials_test.py
+++ b/cleatlink/relay/newer_route_table_refusals_test.py
@@ -19,7 +19,7 @@
     fleet.organisations = [{"name": "first", "api_keys": ["k-first"]}]
     fleet.add_route("/open/", "safe", "plain", public=True)
     await start(fleet, Worker("plain"))
-    fleet.instances[0]._follower.note_table(99, "n2")
+    fleet.instances[0]._follower.note_peer_table(99, "n2")
     return fleet.instances[0]
 
 
--- a/cleatlink/relay/newer_table_test.py
+++ b/cleatlink/relay/newer_route_table_test.py
@@ -9,11 +9,11 @@
 from cleatlink.core.revisions import NO_REVISION
 from cleatlink.core.routes import CallerLimits, Route, RouteKind, RouteTable, ServiceShare
 from cleatlink.relay.metrics import RelayMetrics
+from cleatlink.relay.peers.advertised_state import AdvertisedState
 from cleatlink.relay.peers.catch_up import CatchUp
-from cleatlink.relay.peers.heard import HeardPeers
 from cleatlink.relay.peers.hooks import PeerHooks
-from cleatlink.relay.peers.known_state import KnownState
-from cleatlink.relay.peers.messages import Beat, SourceNews, encode
+from cleatlink.relay.peers.live_peers import LivePeers
+from cleatlink.relay.peers.messages import HeartbeatMessage, RegistrationUpdate, encode
 from cleatlink.relay.peers.snapshots import Snapshot
 from standins.relay import RawCall, RawServer, Worker
 from standins.relay.example import start
@@ -34,10 +34,14 @@
         fleet.store.forget_watches()
         version = fleet.configure()
         revision = fleet.store.revision
-        instance._follower.take_news(SourceNews("n9", 0, revision - 1, revision, [], 60.0))
+        instance._follower.apply_peer_update(
+            RegistrationUpdate("n9", 0, revision - 1, revision, [], 60.0)
+        )
         with trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM) as sender:
             host, _, port = fleet.peer_address().rpartition(":")
-            await sender.sendto(encode(beat(silent_peer.address, version)), (host, int(port)))
+            await sender.sendto(
+                encode(make_heartbeat(silent_peer.address, version)), (host, int(port))
+            )
             await fleet.until(lambda: instance.records.table_revision == version, 2.0)
         silent_peer.close()
         nursery.cancel_scope.cancel()
@@ -64,7 +68,7 @@
         return True
 
 
-def table_of(revision: int, routes: int) -> RouteTable:
+def make_route_table(revision: int, routes: int) -> RouteTable:
     """Build a route table with the given number of routes."""
     table_routes = [
         Route(
@@ -82,20 +86,20 @@
     return RouteTable(revision, tuple(table_routes), {}, CallerLimits())
 
 
-def beat(address: str, table: int) -> Beat:
+def make_heartbeat(address: str, table: int) -> HeartbeatMessage:
     """Build a peer's heartbeat that names its table revision."""
-    return Beat("n9", 1, "a", address, False, table, 0, [], 0, {}, "", 2)
+    return HeartbeatMessage("n9", 1, "a", address, False, table, 0, [], 0, {}, "", 2)
 
 
 async def test_peer_copy_slower_than_one_second_is_used() -> None:
     """Guards against aborting a copy after one second, without a log line, and starting over."""
     snapshots: list[Snapshot] = []
-    body = encode(Snapshot(table_of(9, 1000), [], 0))
+    body = encode(Snapshot(make_route_table(9, 1000), [], 0))
     peer = SlowPeer(body, parts=12, pause_s=0.25)
     async with trio.open_nursery() as nursery:
         await peer.start(nursery)
         hooks = PeerHooks(
-            lambda: KnownState(False, 9 if snapshots else 3, NO_REVISION),
+            lambda: AdvertisedState(False, 9 if snapshots else 3, NO_REVISION),
             lambda: None,
             snapshots.append,
             lambda: None,
@@ -103,13 +107,13 @@
             lambda life: None,
             lambda news: None,
         )
-        received = HeardPeers("n2", [], trio.current_time())
-        received.note_beat(beat(peer.address, 9), trio.current_time())
+        received = LivePeers("n2", [], trio.current_time())
+        received.record_heartbeat(make_heartbeat(peer.address, 9), trio.current_time())
         catch_up = CatchUp(
             "a", hooks, received, RelayMetrics(), random.Random(1), must_watch=lambda: False
         )
         for _ in range(5):
-            catch_up.note(beat(peer.address, 9), nursery.start_soon)
+            catch_up.handle_heartbeat(make_heartbeat(peer.address, 9), nursery.start_soon)
             await trio.sleep(1.0)
         peer.close()
         nursery.cancel_scope.cancel()
@@ -120,7 +124,7 @@
     """Guards against a 404 from a table that is known to be outdated."""
     async with open_fleet() as fleet:
         await start(fleet, Worker("plain"))
-        fleet.instances[0]._follower.note_table(99, "n2")
+        fleet.instances[0]._follower.note_peer_table(99, "n2")
         reply = await fleet.caller().ask("/new/x")
         assert reply.status == 503
         assert float(reply.headers["retry-after"]) > 0.0
--- a/cleatlink/relay/operations_test.py
+++ b/cleatlink/relay/operations_test.py
@@ -11,7 +11,7 @@
 import pytest
 import trio
 
-from cleatlink.relay.logs import LineWriter
+from cleatlink.relay.logs import LogWriter
 from standins.relay import Fault, Worker
 from standins.relay.fleet import Fleet, open_fleet
 
@@ -27,7 +27,7 @@
     def __init__(self, file: Path) -> None:
         self._descriptor = os.open(file, os.O_CREAT | os.O_WRONLY | os.O_APPEND)
         self._file = file
-        self.writer = LineWriter(self._descriptor)
+        self.writer = LogWriter(self._descriptor)
 
     def lines_of(self, request: str) -> list[dict[str, Any]]:
         """Return the log lines of a request in order."""
@@ -73,13 +73,16 @@
         request = await second.send("/stream/x", "POST", body=b"p", headers=STREAM)
         assert (await second.receive()).status == 503
         rows = log_file.lines_of(request)
-        assert message_types(rows)[-2:] == ["relay: has no room", "relay: is refused"]
+        assert message_types(rows)[-2:] == [
+            "relay: request refused: no decode endpoint has capacity",
+            "relay: is refused",
+        ]
         assert (rows[-1]["kind"], rows[-1]["sends"]) == ("no_room", 0)
         assert rows[-1]["revision"] == 5
         room = next(
             row
             for row in log_file.lines_of(first_request)
-            if row["message_type"] == "relay: has room"
+            if row["message_type"] == "relay: decode capacity reserved"
         )
         assert (room["endpoint"], room["reserved"]) == (decode.name, 150)
 
@@ -93,9 +96,11 @@
         request = await caller.send("/unsafe/x", "POST", body=b"p")
         assert (await caller.receive()).status in (502, 504)
         rows = log_file.lines_of(request)
-        timeout_lines = [row for row in rows if row["message_type"] == "relay: ran out of time"]
+        timeout_lines = [
+            row for row in rows if row["message_type"] == "relay: reached its deadline"
+        ]
         failure_lines = [
-            row for row in rows if row["message_type"] == "relay: failed at an endpoint"
+            row for row in rows if row["message_type"] == "relay: endpoint failed the request"
         ]
         assert timeout_lines or failure_lines
         assert all(row["sends"] == 1 and row["ran"] == "unknown" for row in timeout_lines)
@@ -113,11 +118,11 @@
         await trio.sleep(0.05)
         rows = log_file.lines_of(request)
         assert message_types(rows) == [
-            "relay: has room",
-            "relay: is prefilled",
-            "relay: begins its answer",
-            "relay: failed at an endpoint",
-            "relay: breaks its answer off",
+            "relay: decode capacity reserved",
+            "relay: prefill completed",
+            "relay: answer started",
+            "relay: endpoint failed the request",
+            "relay: cuts its answer off",
         ]
         assert rows[3]["endpoint"] == decode.name
 
@@ -143,9 +148,14 @@
         fleet.stops[0].set()
         assert not (await staying_caller.receive()).whole
         await fleet.ended[0].wait()
-        assert message_types(log_file.lines_of(abandoned_request))[-1] == "relay: lost its caller"
+        assert (
+            message_types(log_file.lines_of(abandoned_request))[-1]
+            == "relay: is cancelled because its caller disconnected"
+        )
         last_line = log_file.lines_of(cut_request)[-1]
-        assert last_line["message_type"] == "relay: is cut off by the stop"
+        assert (
+            last_line["message_type"] == "relay: request interrupted by the end of the planned stop"
+        )
         assert last_line["ran"] == "yes"
         assert -2000 < last_line["arrived_after_stop_ms"] < 0
         # The engine was sending events until the stop.
@@ -169,7 +179,7 @@
 def test_full_log_queue_drops_and_counts_lines_without_blocking(tmp_path: Path) -> None:
     reading, writing = os.pipe()
     try:
-        writer = LineWriter(writing, most_lines=500)
+        writer = LogWriter(writing, max_lines=500)
         for number in range(3000):
             writer({"message_type": "relay: x", "number": number, "text": "y" * 200})
             writer.flush()
--- a/cleatlink/relay/organisations_test.py
+++ b/cleatlink/relay/organisations_test.py
@@ -155,7 +155,7 @@
         await trio.sleep(0.3)
         long_deadline = {**STREAM, **KEY, "Deadline-Milliseconds": "9000"}
         await waiting.send("/stream/y", "POST", headers=long_deadline)
-        await fleet.until(lambda: fleet.instances[0].service.room.waiting == 1)
+        await fleet.until(lambda: fleet.instances[0].service.decode_admission.waiting_count == 1)
         fleet.organisations[0]["api_keys"] = []
         fleet.configure({"slots": 1})
         with trio.fail_after(1.5):
@@ -171,7 +171,7 @@
         # The instance keeps its last state of the store, which now serves only the other instance.
         second._follower._source._address = "127.0.0.1:1"
         second._follower._source.close()
-        second._follower.look_again()
+        second._follower.poll_service()
         await trio.sleep(0.2)
         assert fleet.organisations is not None
         fleet.organisations[0]["api_keys"] = ["k-new"]
--- a/cleatlink/relay/doubtful_tables_test.py
+++ b/cleatlink/relay/outdated_route_table_test.py
@@ -3,7 +3,7 @@
 import pytest
 import trio
 
-from cleatlink.relay.peers.messages import Beat, encode
+from cleatlink.relay.peers.messages import HeartbeatMessage, encode
 from standins.relay import Worker
 from standins.relay.example import start
 from standins.relay.fleet import Fleet, open_fleet
@@ -20,7 +20,9 @@
     host, _, port = fleet.peer_address().rpartition(":")
     with trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM) as sender:
         for _ in range(int(3 * seconds)):
-            heartbeat = Beat("n9", 1, "a", address, False, MISSING_REVISION, 0, [], 0, {}, "", 2)
+            heartbeat = HeartbeatMessage(
+                "n9", 1, "a", address, False, MISSING_REVISION, 0, [], 0, {}, "", 2
+            )
             await sender.sendto(encode(heartbeat), (host, int(port)))
             await trio.sleep(1 / 3)
 
@@ -29,7 +31,7 @@
     """Guards against a lost peer's claim overriding the configuration service forever."""
     async with open_fleet() as fleet:
         await start(fleet, Worker("plain"))
-        fleet.instances[0]._follower.note_table(MISSING_REVISION, "n9")
+        fleet.instances[0]._follower.note_peer_table(MISSING_REVISION, "n9")
         await trio.sleep(60.0)
         await fleet.instances[0]._follower.read_table()
         reply = await fleet.caller().ask("/nowhere/x")
@@ -53,7 +55,7 @@
         fleet.store.mode = StoreMode.SILENT
         await trio.sleep(10.0)
         size = instance._service.limits.body_bytes
-        for _ in range(instance._held.limit_bytes // 2 // size):
+        for _ in range(instance._caller_memory.limit_bytes // 2 // size):
             caller = fleet.caller()
             await caller.send("/nowhere/x", "PUT", more=(f"Content-Length: {size}",))
             assert caller._stream is not None
--- /dev/null
+++ b/cleatlink/relay/peers/advertised_state.py
@@ -0,0 +1,23 @@
+"""The state that an instance advertises to its peers."""
+
+from typing import NamedTuple
+
+from cleatlink.core.revisions import StoreRevision
+
+__all__ = ["AdvertisedState"]
+
+
+class AdvertisedState(NamedTuple):
+    """The state that an instance advertises to its peers.
+
+    Attributes:
+        leaving: Whether the instance is stopping.
+        table_revision: Revision of its route table.
+        newest_revision: Revision of the newest registration that it knows.
+        is_service_reachable: Whether its last request to the configuration service was answered.
+    """
+
+    leaving: bool
+    table_revision: int
+    newest_revision: StoreRevision
+    is_service_reachable: bool = False
--- a/cleatlink/relay/peers/catch_up.py
+++ b/cleatlink/relay/peers/catch_up.py
@@ -4,9 +4,9 @@
 from collections.abc import Callable
 
 from cleatlink.relay.metrics import RelayMetrics
-from cleatlink.relay.peers.heard import HeardPeers
 from cleatlink.relay.peers.hooks import PeerHooks
-from cleatlink.relay.peers.messages import Beat
+from cleatlink.relay.peers.live_peers import LivePeers
+from cleatlink.relay.peers.messages import HeartbeatMessage
 from cleatlink.relay.peers.peer_copier import PeerCopier
 from cleatlink.relay.peers.registration_catch_up import RegistrationCatchUp
 from cleatlink.relay.peers.table_catch_up import TableCatchUp
@@ -21,7 +21,7 @@
         self,
         data_centre: str,
         hooks: PeerHooks,
-        live_peers: HeardPeers,
+        live_peers: LivePeers,
         metrics: RelayMetrics,
         rng: random.Random,
         *,
@@ -42,8 +42,8 @@
         self._tables = TableCatchUp(hooks, copier, rng, must_watch)
         self._registrations = RegistrationCatchUp(hooks, copier, rng)
 
-    def note(self, beat: Beat, spawn: Callable[..., None]) -> None:
+    def handle_heartbeat(self, beat: HeartbeatMessage, spawn: Callable[..., None]) -> None:
         """Start to catch up if a peer's heartbeat reports a newer revision."""
-        self._hooks.on_table_revision(beat.table, beat.name, beat.finds_source)
-        self._tables.note(beat, spawn)
-        self._registrations.note(beat, spawn)
+        self._hooks.on_table_revision(beat.table_revision, beat.name, beat.source_is_reachable)
+        self._tables.handle_heartbeat(beat, spawn)
+        self._registrations.handle_heartbeat(beat, spawn)
--- a/cleatlink/relay/peers/catch_up_rounds.py
+++ b/cleatlink/relay/peers/catch_up_rounds.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from cleatlink.relay.peers.messages import Beat
+from cleatlink.relay.peers.messages import HeartbeatMessage
 
 __all__ = ["CatchUpRounds"]
 
@@ -26,15 +26,15 @@
         self._is_running = False
         # The heartbeat with the newest revision that still needs a round, and that of the
         # running round.
-        self._pending: Beat | None = None
-        self._target: Beat | None = None
+        self._pending: HeartbeatMessage | None = None
+        self._target: HeartbeatMessage | None = None
         self._round_scope = trio.CancelScope()
         # Consecutive rounds without progress, and the local revision after the last round.
         self._rounds_without_progress = 0
         self._last_revision: RevisionT | None = None
 
     @abstractmethod
-    def revision_of(self, beat: Beat) -> RevisionT:
+    def revision_of(self, beat: HeartbeatMessage) -> RevisionT:
         """Return the revision that a heartbeat reports."""
 
     @abstractmethod
@@ -46,14 +46,14 @@
         """Check whether a revision is later than another one."""
 
     @abstractmethod
-    async def fetch(self, beat: Beat) -> None:
+    async def fetch(self, beat: HeartbeatMessage) -> None:
         """Try to fetch the revision that a heartbeat reports."""
 
-    def is_behind(self, beat: Beat) -> bool:
+    def is_behind(self, beat: HeartbeatMessage) -> bool:
         """Check whether a heartbeat reports a later revision than this instance has."""
         return self.is_later(self.revision_of(beat), self.local_revision())
 
-    def note(self, beat: Beat, spawn: Callable[..., None]) -> None:
+    def handle_heartbeat(self, beat: HeartbeatMessage, spawn: Callable[..., None]) -> None:
         """Start to catch up if a heartbeat reports a later revision.
 
         A running round whose revision has arrived meanwhile is cancelled, since it would delay
--- a/cleatlink/relay/peers/late_tables_test.py
+++ b/cleatlink/relay/peers/catch_up_test.py
@@ -8,30 +8,30 @@
 
 from cleatlink.core.revisions import NO_REVISION
 from cleatlink.relay.metrics import RelayMetrics
-from cleatlink.relay.newer_table_test import SlowPeer, beat, table_of
+from cleatlink.relay.newer_route_table_test import SlowPeer, make_heartbeat, make_route_table
+from cleatlink.relay.peers.advertised_state import AdvertisedState
 from cleatlink.relay.peers.catch_up import CatchUp
-from cleatlink.relay.peers.heard import HeardPeers
 from cleatlink.relay.peers.hooks import PeerHooks
-from cleatlink.relay.peers.known_state import KnownState
-from cleatlink.relay.peers.messages import Beat, encode
+from cleatlink.relay.peers.live_peers import LivePeers
+from cleatlink.relay.peers.messages import HeartbeatMessage, encode
 from cleatlink.relay.peers.snapshots import Snapshot
 
 pytestmark = pytest.mark.virtual_time
 
-_TABLE = encode(Snapshot(table_of(9, 10), [], 0))
+_TABLE = encode(Snapshot(make_route_table(9, 10), [], 0))
 
 
 class OutdatedInstance:
     """An instance with table 3 and no registrations that does not watch the service."""
 
-    def __init__(self, *beats: Beat, read_s: float = 0.0, seed: int = 1) -> None:
+    def __init__(self, *beats: HeartbeatMessage, read_s: float = 0.0, seed: int = 1) -> None:
         self.snapshots: list[Snapshot] = []
         self.polls: list[float] = []
         self.reads: list[float] = []
         self._read_s = read_s
-        self._live_peers = HeardPeers("n2", [], trio.current_time())
+        self._live_peers = LivePeers("n2", [], trio.current_time())
         for item in beats:
-            self._live_peers.note_beat(item, trio.current_time())
+            self._live_peers.record_heartbeat(item, trio.current_time())
         hooks = PeerHooks(
             self._state,
             lambda: self.polls.append(trio.current_time()),
@@ -56,17 +56,19 @@
         """Whether a table was copied from a peer."""
         return any(item.table is not None for item in self.snapshots)
 
-    def _state(self) -> KnownState:
-        return KnownState(False, 9 if self.has_table else 3, NO_REVISION)
+    def _state(self) -> AdvertisedState:
+        return AdvertisedState(False, 9 if self.has_table else 3, NO_REVISION)
 
     async def _read(self) -> None:
         self.reads.append(trio.current_time())
         await trio.sleep(self._read_s)
 
-    async def receive_heartbeats(self, nursery: trio.Nursery, item: Beat, seconds: int) -> None:
+    async def receive_heartbeats(
+        self, nursery: trio.Nursery, item: HeartbeatMessage, seconds: int
+    ) -> None:
         """Pass a heartbeat to the catch-up twice a second."""
         for _ in range(2 * seconds):
-            self.catch_up.note(item, nursery.start_soon)
+            self.catch_up.handle_heartbeat(item, nursery.start_soon)
             await trio.sleep(0.5)
 
 
@@ -75,7 +77,7 @@
     peer = SlowPeer(_TABLE, parts=1, pause_s=0.0)
     async with trio.open_nursery() as nursery:
         await peer.start(nursery)
-        heartbeat = replace(beat(peer.address, 9), leaving=True)
+        heartbeat = replace(make_heartbeat(peer.address, 9), leaving=True)
         instance = OutdatedInstance(heartbeat)
         await instance.receive_heartbeats(nursery, heartbeat, 5)
         peer.close()
@@ -88,7 +90,7 @@
     peer = SlowPeer(_TABLE, parts=10, pause_s=0.8)
     async with trio.open_nursery() as nursery:
         await peer.start(nursery)
-        heartbeat = replace(beat(peer.address, 9), newest=7)
+        heartbeat = replace(make_heartbeat(peer.address, 9), newest_registration=7)
         instance = OutdatedInstance(heartbeat)
         await instance.receive_heartbeats(nursery, heartbeat, 3)
         peer.close()
@@ -104,7 +106,7 @@
     peer = SlowPeer(_TABLE, parts=1, pause_s=0.0)
     async with trio.open_nursery() as nursery:
         await peer.start(nursery)
-        heartbeat = replace(beat(peer.address, 9), data_centre="b")
+        heartbeat = replace(make_heartbeat(peer.address, 9), data_centre="b")
         instance = OutdatedInstance(heartbeat, read_s=10.0)
         await instance.receive_heartbeats(nursery, heartbeat, 3)
         peer.close()
@@ -122,7 +124,10 @@
     async with trio.open_nursery() as nursery:
         await slow.start(nursery)
         await fast.start(nursery)
-        beats = [beat(slow.address, 9), replace(beat(fast.address, 9), name="n8")]
+        beats = [
+            make_heartbeat(slow.address, 9),
+            replace(make_heartbeat(fast.address, 9), name="n8"),
+        ]
         for seed in range(4):
             instance = OutdatedInstance(*beats, seed=seed)
             await instance.receive_heartbeats(nursery, beats[0], 4)
@@ -137,12 +142,14 @@
 async def test_newer_table_reported_during_a_round_starts_another_round() -> None:
     """Guards against a table reported during the fetch of an older one waiting for a heartbeat."""
     async with trio.open_nursery() as nursery:
-        heartbeat = beat("127.0.0.1:9", 9)
+        heartbeat = make_heartbeat("127.0.0.1:9", 9)
         instance = OutdatedInstance(heartbeat)
-        instance.catch_up.note(heartbeat, nursery.start_soon)
+        instance.catch_up.handle_heartbeat(heartbeat, nursery.start_soon)
         await trio.sleep(0.1)
-        instance.catch_up.note(replace(heartbeat, table=11), nursery.start_soon)
-        instance.snapshots.append(Snapshot(table_of(9, 1), [], 0))
+        instance.catch_up.handle_heartbeat(
+            replace(heartbeat, table_revision=11), nursery.start_soon
+        )
+        instance.snapshots.append(Snapshot(make_route_table(9, 1), [], 0))
         await trio.sleep(3.0)
         nursery.cancel_scope.cancel()
     assert instance.reads
@@ -156,13 +163,15 @@
     slow = SlowPeer(_TABLE, parts=30, pause_s=0.9)
     async with trio.open_nursery() as nursery:
         await slow.start(nursery)
-        heartbeat = beat(slow.address, 9)
+        heartbeat = make_heartbeat(slow.address, 9)
         instance = OutdatedInstance(heartbeat)
-        instance.catch_up.note(heartbeat, nursery.start_soon)
+        instance.catch_up.handle_heartbeat(heartbeat, nursery.start_soon)
         await trio.sleep(1.2)
-        instance.snapshots.append(Snapshot(table_of(9, 1), [], 0))
+        instance.snapshots.append(Snapshot(make_route_table(9, 1), [], 0))
         reads = len(instance.reads)
-        await instance.receive_heartbeats(nursery, replace(heartbeat, name="n8", table=11), 4)
+        await instance.receive_heartbeats(
+            nursery, replace(heartbeat, name="n8", table_revision=11), 4
+        )
         slow.close()
         nursery.cancel_scope.cancel()
     assert len(instance.reads) > reads
--- a/cleatlink/relay/peers/datagrams.py
+++ b/cleatlink/relay/peers/datagrams.py
@@ -8,7 +8,7 @@
 import trio
 
 from cleatlink.core.address import Address
-from cleatlink.relay.logs import LineAllowance
+from cleatlink.relay.logs import LogRateLimit
 from cleatlink.relay.metrics import RelayMetrics
 from cleatlink.relay.peers.messages import Message, decode_datagram, encode
 from cleatlink.relay.sockets import bind
@@ -38,7 +38,7 @@
             ListenError: The address cannot be bound.
         """
         self._metrics = metrics
-        self._too_long_lines = LineAllowance(_TOO_LONG_LINES, _TOO_LONG_LINES_INTERVAL_S)
+        self._too_long_lines = LogRateLimit(_TOO_LONG_LINES, _TOO_LONG_LINES_INTERVAL_S)
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sock.setblocking(False)
         bind(sock, address.host, address.port)
@@ -63,14 +63,16 @@
                 # A full send buffer drops the datagram, just as the network may lose it.
                 send(data, _split_address(address))
             except OSError:
-                self._metrics.count_message("not_sent")
+                self._metrics.count_peer_message("not_sent")
 
     def _report_too_long(self, size: int, addresses: int) -> None:
         """Count a message that exceeds a datagram, and log it at a limited rate."""
-        self._metrics.count_message("too_long")
-        if self._too_long_lines.take(trio.current_time()):
+        self._metrics.count_peer_message("too_long")
+        if self._too_long_lines.allow(trio.current_time()):
             eliot.log_message(
-                message_type="peers: a message is too long", bytes=size, addresses=addresses
+                message_type="peers: message exceeds the datagram limit; not sent",
+                bytes=size,
+                addresses=addresses,
             )
 
     async def receive(self) -> list[Message | None]:
--- a/cleatlink/relay/peers/datagrams_test.py
+++ b/cleatlink/relay/peers/datagrams_test.py
@@ -5,7 +5,7 @@
 
 from cleatlink.relay.metrics import RelayMetrics
 from cleatlink.relay.peers.datagrams import DatagramSocket
-from cleatlink.relay.peers.messages import Spending, encode
+from cleatlink.relay.peers.messages import OrganisationUsage, encode
 from standins.relay.fleet import free_address
 
 pytestmark = pytest.mark.virtual_time
@@ -15,7 +15,7 @@
     """Guards against dropping a message unlogged, which hid what peers had missed."""
     lines: list[dict[str, object]] = []
     totals = {f"organisation-{number}": number for number in range(5_000)}
-    message = Spending("n1", 1, totals, {}, 1.0, 1)
+    message = OrganisationUsage("n1", 1, totals, {}, 1.0, 1)
     socket = DatagramSocket(free_address(), RelayMetrics())
     eliot.add_destinations(lines.append)
     try:
@@ -24,7 +24,11 @@
     finally:
         eliot.remove_destination(lines.append)
         socket.close()
-    reported = [line for line in lines if line["message_type"] == "peers: a message is too long"]
+    reported = [
+        line
+        for line in lines
+        if line["message_type"] == "peers: message exceeds the datagram limit; not sent"
+    ]
     assert 0 < len(reported) < 100
     assert reported[0]["bytes"] == len(encode(message))
     assert reported[0]["addresses"] == 2
--- a/cleatlink/relay/peers/deflate.py
+++ b/cleatlink/relay/peers/deflate.py
@@ -7,18 +7,18 @@
 from cleatlink.core.routes import Headers
 
 __all__ = [
-    "ACCEPT_DEFLATE",
-    "DEFLATE",
+    "ACCEPT_DEFLATE_HEADER",
+    "DEFLATE_CODING",
     "DEFLATE_HEADERS",
     "accepts_deflate",
     "compress",
     "decompress",
 ]
 
-DEFLATE = b"deflate"
+DEFLATE_CODING = b"deflate"
 # Request header that allows a compressed answer, and header of a compressed answer.
-ACCEPT_DEFLATE = (b"Accept-Encoding", DEFLATE)
-DEFLATE_HEADERS: Headers = ((b"Content-Encoding", DEFLATE),)
+ACCEPT_DEFLATE_HEADER = (b"Accept-Encoding", DEFLATE_CODING)
+DEFLATE_HEADERS: Headers = ((b"Content-Encoding", DEFLATE_CODING),)
 
 # A weight of zero, which excludes a coding.
 _ZERO_WEIGHT = re.compile(rb"q=0(\.0{0,3})?", re.IGNORECASE)
@@ -34,7 +34,7 @@
     """Check whether an item of ``Accept-Encoding`` names this coding and does not exclude it."""
     coding, _, weight = item.partition(b";")
     is_excluded = _ZERO_WEIGHT.fullmatch(weight.strip()) is not None
-    return coding.strip().lower() == DEFLATE and not is_excluded
+    return coding.strip().lower() == DEFLATE_CODING and not is_excluded
 
 
 def compress(data: bytes) -> bytes:
--- a/cleatlink/relay/peers/delivery.py
+++ b/cleatlink/relay/peers/delivery.py
@@ -10,15 +10,15 @@
 import eliot
 import trio
 
-from cleatlink.members.duplicates import Duplicates
-from cleatlink.members.reflectors import Candidate, ReflectorChoice
+from cleatlink.members.duplicates import DuplicateFilter
+from cleatlink.members.reflectors import ReflectorCandidate, ReflectorSelector
 from cleatlink.relay.metrics import RelayMetrics
 from cleatlink.relay.peers.datagrams import DatagramSocket
-from cleatlink.relay.peers.heard import HeardPeers
+from cleatlink.relay.peers.forwarding_queue import ForwardingQueue, split_items
+from cleatlink.relay.peers.live_peers import LivePeers
 from cleatlink.relay.peers.messages import Bundle, BundleItem, Message, encode
-from cleatlink.relay.peers.reflection import ForwardingQueue, split_items
 from cleatlink.relay.settings import RelaySettings
-from cleatlink.routing.fleet_sizes import FEW_PEERS
+from cleatlink.routing.fleet_sizes import MAX_DIRECT_PEERS
 from cleatlink.routing.mechanisms import Mechanism
 
 __all__ = ["Delivery"]
@@ -31,7 +31,7 @@
         self,
         settings: RelaySettings,
         incarnation: int,
-        peers: HeardPeers,
+        peers: LivePeers,
         socket: DatagramSocket,
         metrics: RelayMetrics,
     ) -> None:
@@ -52,28 +52,28 @@
         self._metrics = metrics
         self._is_enabled = Mechanism.REFLECTORS not in settings.without
         self._size = settings.size if self._is_enabled else 0.0
-        self._selector = ReflectorChoice(settings.data_centre)
+        self._selector = ReflectorSelector(settings.data_centre)
         self._forwarding = ForwardingQueue(settings.name, trio.current_time())
-        self._duplicates = Duplicates()
+        self._duplicates = DuplicateFilter()
         self._due_earlier = trio.Event()
         self._last_number = 0
 
     @property
-    def size(self) -> float:
+    def announced_size(self) -> float:
         """Size of this instance as announced to peers; 0 if it accepts no bundles."""
         return self._size
 
     @property
     def uses_reflectors(self) -> bool:
         """Whether the fleet is large enough to send messages through reflectors."""
-        return self._is_enabled and len(self._peers) > FEW_PEERS
+        return self._is_enabled and len(self._peers) > MAX_DIRECT_PEERS
 
     @property
-    def chosen(self) -> dict[str, list[str]]:
+    def reflectors(self) -> dict[str, list[str]]:
         """Names of the chosen reflectors by data centre."""
         return self._selector.chosen
 
-    def next_number(self) -> int:
+    def next_message_number(self) -> int:
         """Return the number of this instance's next message."""
         self._last_number += 1
         return self._last_number
@@ -81,51 +81,52 @@
     def tick(self, now: float) -> bool:
         """Update the choice of reflectors, every half second; return whether one is new."""
         self._forwarding.tick(now)
-        self._duplicates.keep(self._peers.names)
+        self._duplicates.retain_senders(self._peers.names)
         if not self.uses_reflectors:
             # Reflectors get no messages now, so a missing echo must not count against them.
-            self._selector = ReflectorChoice(self._data_centre)
+            self._selector = ReflectorSelector(self._data_centre)
             return False
-        self._selector.note_echo(self._name, now)
-        own = Candidate(self._name, self._data_centre, self._size, 0.0)
-        has_new = self._selector.choose([own, *self._peers.candidates(now)], now)
+        self._selector.record_echo(self._name, now)
+        own = ReflectorCandidate(self._name, self._data_centre, self._size, 0.0)
+        has_new = self._selector.choose([own, *self._peers.reflector_candidates(now)], now)
         if has_new:
             eliot.log_message(
-                message_type="peers: has other reflectors",
+                message_type="peers: chosen reflectors changed",
                 chosen=self._selector.chosen,
                 alive=len(self._peers) + 1,
             )
         return has_new
 
-    def tell(
+    def send(
         self,
         message: Message,
         data_centres: Collection[str] | None = None,
         *,
-        earlier: Message | None = None,
-        urgent: bool = True,
-        copies: int = 2,
+        legacy_message: Message | None = None,
+        is_urgent: bool = True,
+        reflectors_per_data_centre: int = 2,
     ) -> None:
         """Send a message to the peers of some or all data centres through reflectors.
 
         Args:
             message: The message.
             data_centres: Receiving data centres; None for all.
-            earlier: Message for peers of earlier builds, which accept no bundles; None to send
-                them nothing.
-            urgent: Whether reflectors forward the message after a shorter wait for others.
-            copies: Number of reflectors in each data centre that get the message.
+            legacy_message: Message for peers of earlier builds, which accept no bundles; None to
+                send them nothing.
+            is_urgent: Whether reflectors forward the message after a shorter wait for others.
+            reflectors_per_data_centre: Number of reflectors in each data centre that get the
+                message.
         """
         receiving = self._known_data_centres() if data_centres is None else set(data_centres)
         data = encode(message)
         now = trio.current_time()
-        item = self._bundle_item(data, urgent)
+        item = self._bundle_item(data, is_urgent)
         reflector_addresses: list[str] = []
         direct_addresses: list[str] = []
         for data_centre in receiving:
-            names = self._selector.chosen.get(data_centre, [])[:copies]
+            names = self._selector.chosen.get(data_centre, [])[:reflectors_per_data_centre]
             if not names:
-                direct_addresses += self._peers.bundle_addresses(data_centre)
+                direct_addresses += self._peers.addresses_with_bundle_support(data_centre)
             for name in names:
                 if name == self._name:
                     self._hold(item, now)
@@ -136,12 +137,16 @@
         if reflector_addresses:
             self._socket.send(Bundle(self._name, True, [item]), reflector_addresses)
         self._socket.send_bytes(data, direct_addresses)
-        if earlier is not None:
-            self._socket.send(earlier, self._peers.earlier_addresses(receiving))
+        if legacy_message is not None:
+            self._socket.send(
+                legacy_message, self._peers.addresses_without_bundle_support(receiving)
+            )
 
     def send_directly(self, messages: Iterable[Message], addresses: Collection[str]) -> None:
         """Send messages directly to some peers, in few datagrams to those that accept bundles."""
-        accepting = set(self._peers.bundle_addresses()) if self.uses_reflectors else set()
+        accepting = (
+            set(self._peers.addresses_with_bundle_support()) if self.uses_reflectors else set()
+        )
         bundled = [address for address in addresses if address in accepting]
         unbundled = [address for address in addresses if address not in accepting]
         outgoing = list(messages)
@@ -152,15 +157,15 @@
         for message in outgoing:
             self._socket.send(message, unbundled)
 
-    def note_echo(self, reflector: str, now: float) -> None:
+    def record_echo(self, reflector: str, now: float) -> None:
         """Record that a reflector returned a message of this instance."""
-        self._selector.note_echo(reflector, now)
+        self._selector.record_echo(reflector, now)
 
-    def take(self, item: BundleItem, forward: bool, now: float) -> bool:
+    def accept_item(self, item: BundleItem, forward: bool, now: float) -> bool:
         """Accept an item of a bundle and return whether it was not received before."""
         if forward:
             self._hold(item, now)
-        return self._duplicates.is_new(item.sender, item.incarnation, item.number)
+        return self._duplicates.record_if_new(item.origin, item.incarnation, item.number)
 
     async def run(self) -> None:
         """Forward queued items in bundles when they are due."""
@@ -170,7 +175,7 @@
             self._due_earlier = trio.Event()
             now = trio.current_time()
             if now >= self._forwarding.due_at:
-                addresses = self._peers.bundle_addresses(self._data_centre)
+                addresses = self._peers.addresses_with_bundle_support(self._data_centre)
                 for bundle in self._forwarding.take_bundles(now):
                     self._socket.send(bundle, addresses)
 
@@ -179,10 +184,12 @@
         if self._forwarding.add(item, now):
             self._due_earlier.set()
         if self._forwarding.dropped_count > dropped:
-            self._metrics.count_message("not_passed_on")
+            self._metrics.count_peer_message("not_passed_on")
 
     def _known_data_centres(self) -> set[str]:
         return {self._data_centre, *self._peers.addresses_by_data_centre()}
 
     def _bundle_item(self, data: bytes, urgent: bool) -> BundleItem:
-        return BundleItem(self._name, self._incarnation, self.next_number(), 0, urgent, data)
+        return BundleItem(
+            self._name, self._incarnation, self.next_message_number(), 0, urgent, data
+        )
--- a/cleatlink/relay/peers/delivery_test.py
+++ b/cleatlink/relay/peers/delivery_test.py
@@ -8,8 +8,15 @@
 from cleatlink.relay.metrics import RelayMetrics
 from cleatlink.relay.peers.datagrams import DatagramSocket
 from cleatlink.relay.peers.delivery import Delivery
-from cleatlink.relay.peers.heard import HeardPeers
-from cleatlink.relay.peers.messages import Beat, Bundle, Message, Spending, decode_datagram, encode
+from cleatlink.relay.peers.live_peers import LivePeers
+from cleatlink.relay.peers.messages import (
+    Bundle,
+    HeartbeatMessage,
+    Message,
+    OrganisationUsage,
+    decode_datagram,
+    encode,
+)
 from cleatlink.relay.settings import RelaySettings
 from standins.relay.fleet import free_address
 
@@ -40,17 +47,19 @@
         peers=(),
         store=free_address(),
     )
-    peers = HeardPeers("n0", (), 0.0)
+    peers = LivePeers("n0", (), 0.0)
     for number in range(1, FLEET_SIZE):
-        beat = Beat(f"n{number}", 1, "a", f"127.0.0.1:{number}", False, 0, 0, [], 0, {}, "", 1)
-        peers.note_beat(msgspec.structs.replace(beat, size=1.0), 0.0)
+        beat = HeartbeatMessage(
+            f"n{number}", 1, "a", f"127.0.0.1:{number}", False, 0, 0, [], 0, {}, "", 1
+        )
+        peers.record_heartbeat(msgspec.structs.replace(beat, size=1.0), 0.0)
     return Delivery(settings, 1, peers, socket, RelayMetrics())
 
 
-def usage_message(number: int, organisations: int) -> Spending:
+def usage_message(number: int, organisations: int) -> OrganisationUsage:
     """Create a message whose size grows with the number of organisations."""
     totals = {f"organisation-{number}-{item}": 1 for item in range(organisations)}
-    return Spending("n0", 1, totals, {}, 1.0, organisations)
+    return OrganisationUsage("n0", 1, totals, {}, 1.0, organisations)
 
 
 async def test_messages_that_exceed_one_datagram_are_split_into_several() -> None:
--- a/cleatlink/relay/peers/encoded_parts.py
+++ b/cleatlink/relay/peers/encoded_parts.py
@@ -6,7 +6,7 @@
 from cleatlink.core.routes import RouteTable
 from cleatlink.relay.peers.deflate import compress
 from cleatlink.relay.peers.messages import encode
-from cleatlink.relay.peers.snapshots import Part, Snapshot
+from cleatlink.relay.peers.snapshots import Snapshot, SnapshotPart
 from cleatlink.routing.fleet_records import EndpointRecord, FleetRecords
 
 __all__ = ["EncodedParts"]
@@ -33,7 +33,7 @@
         if contents == self._contents:
             return
         self._contents = contents
-        self._plain = encode(Snapshot.of(*contents))
+        self._plain = encode(Snapshot.from_records(*contents))
         self._compressed = b""
 
     @property
@@ -59,9 +59,9 @@
             records: Route table and endpoint records of the instance.
         """
         self._records = records
-        self._parts = {part: _EncodedPart() for part in Part}
+        self._parts = {part: _EncodedPart() for part in SnapshotPart}
 
-    def get(self, part: Part, *, is_compressed: bool) -> bytes:
+    def get(self, part: SnapshotPart, *, is_compressed: bool) -> bytes:
         """Return the current encoding of a part.
 
         Args:
@@ -72,9 +72,9 @@
         encoded.update(self._contents_of(part))
         return encoded.compressed if is_compressed else encoded.plain
 
-    def _contents_of(self, part: Part) -> _PartContents:
+    def _contents_of(self, part: SnapshotPart) -> _PartContents:
         fleet_records = self._records
-        if part is Part.TABLE:
+        if part is SnapshotPart.TABLE:
             return _PartContents(fleet_records.table, (), NO_REVISION)
-        table = fleet_records.table if part is Part.WHOLE else None
-        return _PartContents(table, fleet_records.records, fleet_records.revision)
+        table = fleet_records.table if part is SnapshotPart.WHOLE else None
+        return _PartContents(table, fleet_records.records, fleet_records.complete_revision)
--- a/cleatlink/relay/peers/hints.py
+++ b/cleatlink/relay/peers/endpoint_hints.py
@@ -5,9 +5,9 @@
 
 from cleatlink.relay.peers.messages import EndpointHint, HintKind
 from cleatlink.routing.capacity import Capacity
-from cleatlink.routing.shared_hints import SharedHints
+from cleatlink.routing.report_quorum import ReportQuorum
 
-__all__ = ["Hints"]
+__all__ = ["EndpointHints"]
 
 # Interval between announcements of the same endpoint and kind, in seconds.
 _ANNOUNCEMENT_INTERVAL_S = 0.4
@@ -23,14 +23,14 @@
     kind: HintKind
 
 
-class Hints:
+class EndpointHints:
     """Combines the reports of this instance and its peers on endpoints."""
 
     def __init__(self, capacity: Capacity) -> None:
         self._capacity = capacity
         self._hints = {
-            HintKind.UNREACHED: SharedHints(_UNREACHED_WINDOW_S),
-            HintKind.SLOW: SharedHints(_SLOW_WINDOW_S),
+            HintKind.UNREACHABLE: ReportQuorum(_UNREACHED_WINDOW_S),
+            HintKind.SLOW: ReportQuorum(_SLOW_WINDOW_S),
         }
         self._announced_at: dict[_Announcement, float] = {}
 
@@ -49,9 +49,9 @@
 
     def take(self, hint: EndpointHint, now: float) -> None:
         """Record a hint; once enough instances agree, pass it to the capacity model."""
-        if not self._hints[hint.kind].note(hint.endpoint, hint.name, now):
+        if not self._hints[hint.kind].add_report(hint.endpoint, hint.name, now):
             return
         if hint.kind is HintKind.SLOW:
-            self._capacity.note_slow(hint.endpoint, now)
+            self._capacity.note_reported_slow(hint.endpoint, now)
         else:
-            self._capacity.note_unreached_by_peers(hint.endpoint, now)
+            self._capacity.note_unreachable_from_peers(hint.endpoint, now)
--- a/cleatlink/relay/peers/endpoint_limit_news.py
+++ b/cleatlink/relay/peers/endpoint_limit_channel.py
@@ -4,11 +4,11 @@
 import trio
 
 from cleatlink.limits import PeerTotals
-from cleatlink.relay.peers.messages import EndpointSpending
-from cleatlink.relay.peers.news import NewsChannel
-from cleatlink.routing.endpoint_limits import EndpointLimits, LimitWord
+from cleatlink.relay.peers.messages import EndpointLimitUsage
+from cleatlink.relay.peers.update_channel import UpdateChannel
+from cleatlink.routing.endpoint_limits import AnnouncedLimit, EndpointLimits
 
-__all__ = ["EndpointLimitNews"]
+__all__ = ["EndpointLimitChannel"]
 
 # Delay within which placed calls are collected for one message, in seconds.
 _COALESCE_DELAY_S = 0.002
@@ -22,7 +22,7 @@
 _MAX_INCARNATIONS = 200
 
 
-class EndpointLimitNews(NewsChannel):
+class EndpointLimitChannel(UpdateChannel):
     """Channel for rate limits that endpoints report."""
 
     def __init__(self, name: str, incarnation: int, limits: EndpointLimits) -> None:
@@ -38,22 +38,22 @@
         self._limits = limits
         self._changed_incarnations: set[str] = set()
         self._has_changes = trio.Event()
-        limits.listen(self._note_usage)
+        limits.set_change_callback(self._note_usage)
 
     def _note_usage(self) -> None:
         self._has_changes.set()
 
-    def tell_word(self, incarnation: str) -> None:
+    def report_limit(self, incarnation: str) -> None:
         """Queue a report that an endpoint has changed its limit, or no longer reports one."""
         self._changed_incarnations.add(incarnation)
         self._has_changes.set()
 
     @property
-    def bears_delay(self) -> bool:
+    def tolerates_delay(self) -> bool:
         """False: calls of peers have to be counted before the next call is admitted."""
         return False
 
-    async def next(self) -> list[EndpointSpending]:
+    async def next_messages(self) -> list[EndpointLimitUsage]:
         """Wait for updates and return the messages to send to every peer."""
         await trio.sleep(_MIN_PAUSE_S)
         await self._has_changes.wait()
@@ -62,60 +62,62 @@
         now = trio.current_time()
         changed, self._changed_incarnations = sorted(self._changed_incarnations), set()
         return [
-            self._message([self._limits.word(incarnation, now) for incarnation in changed], now)
+            self._message(
+                [self._limits.announcement(incarnation, now) for incarnation in changed], now
+            )
         ]
 
-    def repeat(self) -> list[EndpointSpending]:
+    def repeated_messages(self) -> list[EndpointLimitUsage]:
         """Return the limits that endpoints reported to this instance, for a few peers."""
         now = trio.current_time()
-        reports = self._limits.words(now, _MAX_REPEATED)
+        reports = self._limits.announcements(now, _MAX_REPEATED)
         return [self._message(reports, now)] if reports else []
 
-    def introduction(self) -> list[EndpointSpending]:
+    def initial_messages(self) -> list[EndpointLimitUsage]:
         """Return all known limits, totals and levels, for a new peer."""
         now = trio.current_time()
-        reports = self._limits.words(now, _MAX_INCARNATIONS, all_known=True)
+        reports = self._limits.announcements(now, _MAX_INCARNATIONS, include_from_peers=True)
         return [self._message(reports, now, whole=True)] if reports else []
 
     def _message(
-        self, reports: list[LimitWord], now: float, *, whole: bool = False
-    ) -> EndpointSpending:
+        self, reports: list[AnnouncedLimit], now: float, *, whole: bool = False
+    ) -> EndpointLimitUsage:
         """Return a message with limits and this instance's totals: all, or the changed ones."""
         limits = self._limits
-        return EndpointSpending(
+        return EndpointLimitUsage(
             self._name,
             self._incarnation,
             [
-                (report.life, report.rate_per_s, report.age_s)
+                (report.incarnation, report.rate_per_s, report.age_s)
                 for report in reports[:_MAX_INCARNATIONS]
             ],
-            limits.totals(now, whole=whole),
-            limits.returned(now, whole=whole),
-            limits.spenders,
-            round(limits.age_s(now), 3),
+            limits.totals(now, include_unchanged=whole),
+            limits.returned(now, include_unchanged=whole),
+            limits.used_name_count,
+            round(limits.uptime_s(now), 3),
             limits.levels(now) if whole else {},
         )
 
-    def take(self, message: EndpointSpending) -> None:
+    def record_limits(self, message: EndpointLimitUsage) -> None:
         """Apply the message of a peer: first the limits, then the calls counted against them."""
         now = trio.current_time()
-        for report in map(LimitWord._make, message.words):
-            if self._limits.note_told(report, now):
+        for report in map(AnnouncedLimit._make, message.reported_limits):
+            if self._limits.note_peer_announcement(report, now):
                 eliot.log_message(
-                    message_type="endpoint: names a limit, as a peer tells",
-                    endpoint=report.life,
+                    message_type="endpoint: reported a rate limit to a peer; applying it",
+                    endpoint=report.incarnation,
                     per_s=report.rate_per_s or None,
                     age_s=report.age_s,
                     peer=message.name,
                 )
         if message.levels:
-            self._limits.adopt(message.levels, message.age_s, now)
+            self._limits.adopt_levels(message.levels, message.age_s, now)
         totals = PeerTotals(
             message.name,
             message.incarnation,
             message.totals,
-            message.spenders,
+            message.used_name_count,
             message.age_s,
-            message.returned,
+            message.returned_totals,
         )
         self._limits.take_totals(totals, now)
--- a/cleatlink/relay/peers/endpoint_messages.py
+++ b/cleatlink/relay/peers/endpoint_messages.py
@@ -11,14 +11,14 @@
 
 __all__ = [
     "CrashItem",
-    "CrashNews",
+    "CrashUpdate",
     "EndpointHint",
-    "EndpointPaceNews",
-    "EndpointSpending",
+    "EndpointSpeedUpdate",
+    "EndpointLimitUsage",
     "HintKind",
-    "NoticeNews",
-    "PaceItem",
-    "ShedNews",
+    "EndpointNoticeUpdate",
+    "SpeedMeasurement",
+    "OverloadUpdate",
 ]
 
 
@@ -26,35 +26,37 @@
     """A crash of an endpoint and the requests that were in progress there.
 
     Attributes:
-        life: Name of the endpoint incarnation that ended.
+        endpoint_incarnation: Name of the endpoint incarnation that ended.
         age_s: Seconds since the crash.
         suspects: Identities of the requests, with the seconds for which each had been in progress.
         cleared: Identities of requests that have been served since and are no longer suspects.
     """
 
-    life: str
+    endpoint_incarnation: str
     age_s: float
     suspects: list[tuple[bytes, float]]
     cleared: list[bytes]
 
     @classmethod
-    def of(cls, report: CrashReport) -> "CrashItem":
+    def from_report(cls, report: CrashReport) -> "CrashItem":
         """Build an item from a crash report."""
         suspects = sorted(
             (identity, round(seconds, 3)) for identity, seconds in report.suspects.items()
         )
-        return cls(report.life, round(report.age_s, 3), suspects, sorted(report.cleared))
+        return cls(report.incarnation, round(report.age_s, 3), suspects, sorted(report.cleared))
 
-    def report(self) -> CrashReport:
+    def to_report(self) -> CrashReport:
         """Return the item as a crash report.
 
         Negative ages, which a clock that runs backwards can produce, count as 0.
         """
         suspects = {identity: max(0.0, seconds) for identity, seconds in self.suspects}
-        return CrashReport(self.life, max(0.0, self.age_s), suspects, frozenset(self.cleared))
+        return CrashReport(
+            self.endpoint_incarnation, max(0.0, self.age_s), suspects, frozenset(self.cleared)
+        )
 
 
-class CrashNews(msgspec.Struct, array_like=True, frozen=True, tag="q"):
+class CrashUpdate(msgspec.Struct, array_like=True, frozen=True, tag="q"):
     """What the sender knows about requests that may crash endpoints.
 
     Attributes:
@@ -69,62 +71,63 @@
     trials: list[tuple[bytes, float]]
 
 
-class NoticeNews(msgspec.Struct, array_like=True, frozen=True, tag="n"):
+class EndpointNoticeUpdate(msgspec.Struct, array_like=True, frozen=True, tag="n"):
     """Notices that endpoints gave in answers to the sender or, earlier, to other instances.
 
     Attributes:
         name: Name of the sender.
         leaving: Endpoint incarnations that accept no new work.
-        rests: Endpoint incarnations that asked for a back-off, with its remaining seconds.
+        backoffs: Endpoint incarnations that asked for a back-off, with its remaining seconds.
     """
 
     name: str
     leaving: list[str]
-    rests: list[tuple[str, float]]
+    backoffs: list[tuple[str, float]]
 
 
-class EndpointSpending(msgspec.Struct, array_like=True, frozen=True, tag="l"):
+class EndpointLimitUsage(msgspec.Struct, array_like=True, frozen=True, tag="l"):
     """Rate limits that endpoints reported, and the calls that the sender counted against them.
 
     Attributes:
         name: Name of the sender.
         incarnation: Start number of the sender; it grows with each start.
-        words: Endpoint incarnations with the calls per second that each accepts from all
+        reported_limits: Endpoint incarnations with the calls per second that each accepts from all
             instances together, or 0 if it no longer reports a limit, and the seconds since
             its report.
         totals: Calls since the sender's start, by endpoint incarnation; all totals, or those that
             changed recently.
-        returned: The part of ``totals`` that was returned because the calls were not sent.
-        spenders: Number of endpoint incarnations from whose limits the sender has taken units.
+        returned_totals: The part of ``totals`` that was returned because the calls were not sent.
+        used_name_count: Number of endpoint incarnations from whose limits the sender has taken
+            units.
         age_s: Seconds for which the sender has counted calls.
         levels: Remaining units of each limit, for a peer that is starting; empty for others.
     """
 
     name: str
     incarnation: int
-    words: list[tuple[str, float, float]]
+    reported_limits: list[tuple[str, float, float]]
     totals: dict[str, int]
-    returned: dict[str, int]
-    spenders: int
+    returned_totals: dict[str, int]
+    used_name_count: int
     age_s: float
     levels: dict[str, float]
 
 
-class PaceItem(msgspec.Struct, array_like=True, frozen=True):
+class SpeedMeasurement(msgspec.Struct, array_like=True, frozen=True):
     """A speed measurement of an endpoint, quantised so that each field takes one byte.
 
     Attributes:
         kind: What was measured, a value of ``PaceKind``.
-        log: Logarithm of the ratio of measured to expected time, in steps of 1/32.
-        age: Time since the measurement, in steps of 0.5 s.
+        log_ratio_steps: Logarithm of the ratio of measured to expected time, in steps of 1/32.
+        age_steps: Time since the measurement, in steps of 0.5 s.
     """
 
     kind: int
-    log: int
-    age: int
+    log_ratio_steps: int
+    age_steps: int
 
 
-class EndpointPaceNews(msgspec.Struct, array_like=True, frozen=True, tag="e"):
+class EndpointSpeedUpdate(msgspec.Struct, array_like=True, frozen=True, tag="e"):
     """The sender's own recent speed measurements of some endpoints.
 
     For each endpoint they replace the measurements that the sender reported earlier.
@@ -133,31 +136,31 @@
         name: Name of the sender.
         incarnation: Start number of the sender; it grows with each start.
         number: Sequence number of the sender's messages of this type.
-        lives: The sender's newest measurements, by endpoint incarnation.
+        measurements: The sender's newest measurements, by endpoint incarnation.
     """
 
     name: str
     incarnation: int
     number: int
-    lives: dict[str, list[PaceItem]]
+    measurements: dict[str, list[SpeedMeasurement]]
 
 
-class ShedNews(msgspec.Struct, array_like=True, frozen=True, tag="o"):
+class OverloadUpdate(msgspec.Struct, array_like=True, frozen=True, tag="o"):
     """Decode endpoints that have just rejected a stream for lack of capacity.
 
     Attributes:
         name: Name of the sender.
-        refused: Names of the decode endpoints, with the size of the stream at its end in tokens.
+        rejections: Names of the decode endpoints, with the size of the stream at its end in tokens.
     """
 
     name: str
-    refused: list[tuple[str, int]]
+    rejections: list[tuple[str, int]]
 
 
 class HintKind(StrEnum):
     """Problem that a hint reports for an endpoint."""
 
-    UNREACHED = "unreached"
+    UNREACHABLE = "unreached"
     SLOW = "slow"
 
 
--- a/cleatlink/relay/peers/shared_notices.py
+++ b/cleatlink/relay/peers/endpoint_notice_channel.py
@@ -9,11 +9,11 @@
 import eliot
 import trio
 
-from cleatlink.relay.peers.messages import NoticeNews
-from cleatlink.relay.peers.news import NewsChannel
+from cleatlink.relay.peers.messages import EndpointNoticeUpdate
+from cleatlink.relay.peers.update_channel import UpdateChannel
 from cleatlink.routing.notices import EndpointNotices, NoticeSource
 
-__all__ = ["SharedNotices"]
+__all__ = ["EndpointNoticeChannel"]
 
 # Answers of one endpoint come close together; this delay combines them in one message.
 _GATHER_S = 0.005
@@ -29,7 +29,7 @@
 _MAX_RANDOM_SHARE = 0.5
 
 
-class SharedNotices(NewsChannel):
+class EndpointNoticeChannel(UpdateChannel):
     """Sends and receives the notices that endpoints gave of shutdown and back-off."""
 
     def __init__(self, name: str, notices: EndpointNotices, rng: random.Random) -> None:
@@ -48,21 +48,21 @@
         self._reported_until: dict[str, float] = {}
         self._wake = trio.Event()
 
-    def tell_leaving(self, incarnation: str) -> None:
+    def report_leaving(self, incarnation: str) -> None:
         """Queue an endpoint's notice that it is shutting down, to be sent to peers."""
         self._leaving.add(incarnation)
         self._wake.set()
 
-    def tell_rest(self, incarnation: str) -> None:
+    def report_backoff(self, incarnation: str) -> None:
         """Queue an endpoint's back-off for peers, unless they know one that lasts as long."""
-        until = self._notices.rests_until(incarnation)
+        until = self._notices.backoff_until(incarnation)
         if until - self._reported_until.get(incarnation, 0.0) < _MIN_EXTENSION_S:
             return
         self._mark_reported(incarnation, until, trio.current_time())
         self._in_backoff.add(incarnation)
         self._wake.set()
 
-    async def next(self) -> list[NoticeNews]:
+    async def next_messages(self) -> list[EndpointNoticeUpdate]:
         """Wait for pending notices and return the messages for all peers."""
         await self._wake.wait()
         await trio.sleep(_GATHER_S)
@@ -71,32 +71,33 @@
         in_backoff, self._in_backoff = sorted(self._in_backoff), set()
         return self._messages(leaving, in_backoff)
 
-    def repeat(self) -> list[NoticeNews]:
+    def repeated_messages(self) -> list[EndpointNoticeUpdate]:
         """Return the newest shutdown notices, which each heartbeat repeats to a few peers."""
         return self._messages(self._notices.newest_leaving(_MAX_REPEATED), [])
 
-    def introduction(self) -> list[NoticeNews]:
+    def initial_messages(self) -> list[EndpointNoticeUpdate]:
         """Return all current notices, for a new peer."""
         leaving = self._notices.newest_leaving(_MAX_INCARNATIONS)
         return self._messages(
-            leaving, self._notices.resting(trio.current_time())[:_MAX_INCARNATIONS]
+            leaving, self._notices.in_backoff(trio.current_time())[:_MAX_INCARNATIONS]
         )
 
-    def _messages(self, leaving: list[str], in_backoff: list[str]) -> list[NoticeNews]:
+    def _messages(self, leaving: list[str], in_backoff: list[str]) -> list[EndpointNoticeUpdate]:
         if not leaving and not in_backoff:
             return []
         now = trio.current_time()
         left_s = {
-            incarnation: self._notices.rests_until(incarnation) - now for incarnation in in_backoff
+            incarnation: self._notices.backoff_until(incarnation) - now
+            for incarnation in in_backoff
         }
         backoffs = [
             (incarnation, round(seconds, 3))
             for incarnation, seconds in left_s.items()
             if seconds > 0
         ]
-        return [NoticeNews(self._name, leaving[:_MAX_INCARNATIONS], backoffs)]
+        return [EndpointNoticeUpdate(self._name, leaving[:_MAX_INCARNATIONS], backoffs)]
 
-    def take(self, update: NoticeNews) -> list[str]:
+    def record_notices(self, update: EndpointNoticeUpdate) -> list[str]:
         """Record a peer's notices; return the incarnations not yet known to be shutting down."""
         now = trio.current_time()
         newly_leaving = [
@@ -106,11 +107,11 @@
         ]
         for incarnation in newly_leaving:
             eliot.log_message(
-                message_type="endpoint: leaves, as a peer tells",
+                message_type="endpoint: shutdown reported by a peer; sending no new work",
                 endpoint=incarnation,
                 peer=update.name,
             )
-        for incarnation, left_s in update.rests:
+        for incarnation, left_s in update.backoffs:
             if left_s > 0:
                 self._record_backoff(incarnation, now, left_s)
         return newly_leaving
@@ -126,4 +127,4 @@
             incarnation, max(self._reported_until.get(incarnation, 0.0), now + left_s), now
         )
         until = now + left_s * (1 + _MAX_RANDOM_SHARE * self._rng.random())
-        self._notices.note_told_rest(incarnation, until, now)
+        self._notices.note_peer_backoff(incarnation, until, now)
--- a/cleatlink/relay/peers/shared_notices_test.py
+++ b/cleatlink/relay/peers/endpoint_notice_channel_test.py
@@ -5,8 +5,8 @@
 import pytest
 import trio
 
-from cleatlink.relay.peers.messages import NoticeNews, decode_datagram, encode
-from cleatlink.relay.peers.shared_notices import SharedNotices
+from cleatlink.relay.peers.endpoint_notice_channel import EndpointNoticeChannel
+from cleatlink.relay.peers.messages import EndpointNoticeUpdate, decode_datagram, encode
 from cleatlink.routing.notices import EndpointNotices, NoticeSource
 from standins.relay import Worker
 from standins.relay.example import start
@@ -15,10 +15,10 @@
 pytestmark = pytest.mark.virtual_time
 
 
-def open_channel(name: str = "n1") -> tuple[SharedNotices, EndpointNotices]:
+def open_channel(name: str = "n1") -> tuple[EndpointNoticeChannel, EndpointNotices]:
     """Create the channel of one instance and its store of notices."""
     notices = EndpointNotices()
-    return SharedNotices(name, notices, random.Random(1)), notices
+    return EndpointNoticeChannel(name, notices, random.Random(1)), notices
 
 
 async def start_two_instances(fleet: Fleet, *workers: Worker) -> None:
@@ -26,13 +26,13 @@
     await start(fleet, *workers)
     fleet.start_instance()
     await fleet.ready()
-    await fleet.until(lambda: all(item._peers.alive == 2 for item in fleet.instances))
+    await fleet.until(lambda: all(item._peers.live_instances == 2 for item in fleet.instances))
 
 
 async def wait_until_reported(fleet: Fleet, worker: Worker) -> None:
     """Wait until the second instance knows that the endpoint asked the first to back off."""
     received = fleet.instances[1].capacity.notices
-    await fleet.until(lambda: received.is_told_to_rest(worker.name, trio.current_time()), 1.0)
+    await fleet.until(lambda: received.is_in_peer_backoff(worker.name, trio.current_time()), 1.0)
 
 
 async def test_shutdown_notice_is_shared_at_once_and_no_more_calls_are_sent() -> None:
@@ -90,10 +90,10 @@
     sender, recorded = open_channel()
     receiver, received = open_channel("n2")
     recorded.note_leaving("x", NoticeSource.ANSWER, trio.current_time())
-    for update in sender.repeat():
-        assert receiver.take(_encode_and_decode(update)) == ["x"]
+    for update in sender.repeated_messages():
+        assert receiver.record_notices(_encode_and_decode(update)) == ["x"]
         # A notice that is already known is not returned again.
-        assert receiver.take(_encode_and_decode(update)) == []
+        assert receiver.record_notices(_encode_and_decode(update)) == []
     assert received.is_leaving("x")
 
 
@@ -101,10 +101,10 @@
     sender, recorded = open_channel()
     messages = 0
     for _ in range(20):
-        recorded.note_rest("x", 3.0, trio.current_time())
-        sender.tell_rest("x")
+        recorded.note_backoff("x", 3.0, trio.current_time())
+        sender.report_backoff("x")
         with trio.move_on_after(0.02):
-            messages += len(await sender.next())
+            messages += len(await sender.next_messages())
     assert messages == 1
 
 
@@ -112,23 +112,23 @@
     ends = set()
     for seed in range(20):
         notices = EndpointNotices()
-        receiver = SharedNotices("n", notices, random.Random(seed))
-        receiver.take(NoticeNews("n1", [], [("x", 1.0), ("y", -1.0)]))
+        receiver = EndpointNoticeChannel("n", notices, random.Random(seed))
+        receiver.record_notices(EndpointNoticeUpdate("n1", [], [("x", 1.0), ("y", -1.0)]))
         now = trio.current_time()
-        assert notices.is_told_to_rest("x", now + 0.9)
-        assert not notices.is_told_to_rest("x", now + 1.6)
-        assert not notices.is_told_to_rest("y", now)
-        ends.add(notices.is_told_to_rest("x", now + 1.25))
+        assert notices.is_in_peer_backoff("x", now + 0.9)
+        assert not notices.is_in_peer_backoff("x", now + 1.6)
+        assert not notices.is_in_peer_backoff("y", now)
+        ends.add(notices.is_in_peer_backoff("x", now + 1.25))
     assert ends == {True, False}
 
 
 async def test_back_off_reported_by_a_peer_is_not_sent_on() -> None:
     receiver, notices = open_channel()
-    receiver.take(NoticeNews("n2", [], [("x", 3.0)]))
-    notices.note_rest("x", 3.0, trio.current_time())
-    receiver.tell_rest("x")
+    receiver.record_notices(EndpointNoticeUpdate("n2", [], [("x", 3.0)]))
+    notices.note_backoff("x", 3.0, trio.current_time())
+    receiver.report_backoff("x")
     with trio.move_on_after(0.05) as scope:
-        await receiver.next()
+        await receiver.next_messages()
     assert scope.cancelled_caught
 
 
@@ -137,11 +137,11 @@
     for number in range(2_000):
         incarnation = f"{number:04d}" + "x" * 196
         notices.note_leaving(incarnation, NoticeSource.ANSWER, float(number))
-    for update in [*sender.introduction(), *sender.repeat()]:
+    for update in [*sender.initial_messages(), *sender.repeated_messages()]:
         assert len(encode(update)) < 60_000
 
 
-def _encode_and_decode(update: NoticeNews) -> NoticeNews:
+def _encode_and_decode(update: EndpointNoticeUpdate) -> EndpointNoticeUpdate:
     message = decode_datagram(encode(update))
-    assert isinstance(message, NoticeNews)
+    assert isinstance(message, EndpointNoticeUpdate)
     return message
--- a/cleatlink/relay/peers/endpoint_pace_news.py
+++ b/cleatlink/relay/peers/endpoint_speed_channel.py
@@ -6,11 +6,11 @@
 import trio
 
 from cleatlink.relay.metrics import RelayMetrics
-from cleatlink.relay.peers.messages import EndpointPaceNews, PaceItem
-from cleatlink.relay.peers.news import NewsChannel
-from cleatlink.routing.endpoint_pace import EndpointPaces, PaceKind, PaceSample
+from cleatlink.relay.peers.messages import EndpointSpeedUpdate, SpeedMeasurement
+from cleatlink.relay.peers.update_channel import UpdateChannel
+from cleatlink.routing.endpoint_speeds import EndpointSpeeds, SpeedSample, SpeedSampleKind
 
-__all__ = ["EndpointPaceTeller"]
+__all__ = ["EndpointSpeedChannel"]
 
 # Minimum pause between two messages, in seconds: each busy endpoint is measured several times
 # within it.
@@ -25,18 +25,18 @@
 # Quantisation steps of logarithms and ages in messages: each value takes one byte.
 _LOG_STEP = 1 / 32
 _AGE_STEP_S = 0.5
-_KINDS = {kind.value: kind for kind in PaceKind}
+_KINDS = {kind.value: kind for kind in SpeedSampleKind}
 # Minimum factor by which a speed has to change to be logged again.
 _MIN_LOGGED_FACTOR = 1.25
 # Maximum number of log lines about changed speeds at a time.
 _MAX_LOG_LINES = 8
 
 
-class EndpointPaceTeller(NewsChannel):
+class EndpointSpeedChannel(UpdateChannel):
     """Channel for measurements of endpoints' speeds."""
 
     def __init__(
-        self, name: str, incarnation: int, paces: EndpointPaces, metrics: RelayMetrics
+        self, name: str, incarnation: int, paces: EndpointSpeeds, metrics: RelayMetrics
     ) -> None:
         """Initialise the channel without pending updates.
 
@@ -55,46 +55,50 @@
         self._newest_received: dict[str, tuple[int, int]] = {}
         self._logged_speeds: dict[str, float] = {}
         self._has_changes = trio.Event()
-        paces.listen(self._note_changed)
+        paces.set_listener(self._note_changed)
 
     def _note_changed(self) -> None:
         self._has_changes.set()
 
-    async def next(self) -> list[EndpointPaceNews]:
+    async def next_messages(self) -> list[EndpointSpeedUpdate]:
         """Wait for updates and return the messages to send to every peer."""
         await trio.sleep(_MIN_PAUSE_S)
         self._export_speeds()
         await self._has_changes.wait()
-        incarnations = self._paces.take_changed(_MAX_CHANGED)
+        incarnations = self._paces.pop_changed(_MAX_CHANGED)
         if len(incarnations) < _MAX_CHANGED:
             self._has_changes = trio.Event()
         return self._messages(incarnations)
 
-    def repeat(self) -> list[EndpointPaceNews]:
+    def repeated_messages(self) -> list[EndpointSpeedUpdate]:
         """Return the newest measurements of this instance, for a few peers."""
-        return self._messages(self._paces.own_lives(trio.current_time())[:_MAX_ENDPOINTS])
+        return self._messages(self._paces.own_incarnations(trio.current_time())[:_MAX_ENDPOINTS])
 
-    def introduction(self) -> list[EndpointPaceNews]:
+    def initial_messages(self) -> list[EndpointSpeedUpdate]:
         """Return the newest measurements of this instance, for a new peer."""
-        return self._messages(self._paces.own_lives(trio.current_time())[:_MAX_INITIAL])
+        return self._messages(self._paces.own_incarnations(trio.current_time())[:_MAX_INITIAL])
 
-    def _messages(self, incarnations: Sequence[str]) -> list[EndpointPaceNews]:
+    def _messages(self, incarnations: Sequence[str]) -> list[EndpointSpeedUpdate]:
         """Return the measurements of some endpoints, split into messages of bounded size."""
         return [
             self._message(incarnations[start : start + _MAX_ENDPOINTS])
             for start in range(0, len(incarnations), _MAX_ENDPOINTS)
         ]
 
-    def _message(self, incarnations: Sequence[str]) -> EndpointPaceNews:
+    def _message(self, incarnations: Sequence[str]) -> EndpointSpeedUpdate:
         now = trio.current_time()
         self._number += 1
         items_by_incarnation = {
-            incarnation: [_item(sample, now) for sample in self._paces.own(incarnation, now)]
+            incarnation: [
+                _item(sample, now) for sample in self._paces.own_samples(incarnation, now)
+            ]
             for incarnation in incarnations
         }
-        return EndpointPaceNews(self._name, self._incarnation, self._number, items_by_incarnation)
+        return EndpointSpeedUpdate(
+            self._name, self._incarnation, self._number, items_by_incarnation
+        )
 
-    def take(self, message: EndpointPaceNews) -> None:
+    def record_measurements(self, message: EndpointSpeedUpdate) -> None:
         """Record the measurements of a peer; ignore messages that are older than its newest one."""
         position = (message.incarnation, message.number)
         if message.name == self._name or position <= self._newest_received.get(
@@ -103,8 +107,10 @@
             return
         self._newest_received[message.name] = position
         now = trio.current_time()
-        for endpoint_incarnation, items in message.lives.items():
-            self._paces.take(message.name, endpoint_incarnation, _samples(items, now))
+        for endpoint_incarnation, items in message.measurements.items():
+            self._paces.replace_peer_samples(
+                message.name, endpoint_incarnation, _samples(items, now)
+            )
 
     def _export_speeds(self) -> None:
         """Export the speeds as metrics and log those that changed."""
@@ -122,12 +128,12 @@
         ]
         for incarnation in changed[:_MAX_LOG_LINES]:
             eliot.log_message(
-                message_type="endpoint: has another speed",
+                message_type="endpoint: measured speed changed",
                 endpoint=incarnation,
                 speed=round(speeds[incarnation], 2),
                 before=round(self._logged_speeds.get(incarnation, 1.0), 2),
-                samples=self._paces.count(incarnation),
-                newest_ago_s=self._paces.newest_ago_s(incarnation, trio.current_time()),
+                samples=self._paces.sample_count(incarnation),
+                newest_ago_s=self._paces.newest_sample_age_s(incarnation, trio.current_time()),
             )
             self._logged_speeds[incarnation] = speeds[incarnation]
 
@@ -136,16 +142,20 @@
         return max(speed / logged, logged / speed) > _MIN_LOGGED_FACTOR
 
 
-def _item(sample: PaceSample, now: float) -> PaceItem:
+def _item(sample: SpeedSample, now: float) -> SpeedMeasurement:
     """Build a message item from a measurement."""
-    age = max(0, round((now - sample.at) / _AGE_STEP_S))
-    return PaceItem(sample.kind.value, round(sample.log / _LOG_STEP), age)
+    age = max(0, round((now - sample.measured_at) / _AGE_STEP_S))
+    return SpeedMeasurement(sample.kind.value, round(sample.log_ratio / _LOG_STEP), age)
 
 
-def _samples(items: Sequence[PaceItem], now: float) -> list[PaceSample]:
+def _samples(items: Sequence[SpeedMeasurement], now: float) -> list[SpeedSample]:
     """Return the measurements of a peer; ignore unknown kinds."""
     return [
-        PaceSample(now - max(0, item.age) * _AGE_STEP_S, _KINDS[item.kind], item.log * _LOG_STEP)
+        SpeedSample(
+            now - max(0, item.age_steps) * _AGE_STEP_S,
+            _KINDS[item.kind],
+            item.log_ratio_steps * _LOG_STEP,
+        )
         for item in items
         if item.kind in _KINDS
     ]
--- a/cleatlink/relay/peers/reflection.py
+++ b/cleatlink/relay/peers/forwarding_queue.py
@@ -70,7 +70,7 @@
             self.dropped_count += 1
             return False
         self._queue.append(_QueuedItem(item, now - item.age_ms / 1000))
-        wait_s = _URGENT_WAIT_S if item.urgent else _MAX_WAIT_S
+        wait_s = _URGENT_WAIT_S if item.is_urgent else _MAX_WAIT_S
         due_at = max(now + wait_s, self._last_bundle_at + _MIN_INTERVAL_S)
         is_earlier = due_at < self._due_at
         self._due_at = min(due_at, self._due_at)
@@ -103,4 +103,4 @@
     """Return an item with its current age, rounded up to whole milliseconds."""
     item = queued.item
     age_ms = math.ceil(1000 * max(0.0, now - queued.sent_at))
-    return BundleItem(item.sender, item.incarnation, item.number, age_ms, item.urgent, item.data)
+    return BundleItem(item.origin, item.incarnation, item.number, age_ms, item.is_urgent, item.data)
--- a/cleatlink/relay/peers/reflection_test.py
+++ b/cleatlink/relay/peers/forwarding_queue_test.py
@@ -6,8 +6,8 @@
 
 import math
 
+from cleatlink.relay.peers.forwarding_queue import ForwardingQueue
 from cleatlink.relay.peers.messages import Bundle, BundleItem
-from cleatlink.relay.peers.reflection import ForwardingQueue
 
 
 def item(number: int, *, urgent: bool = False, age_ms: int = 0, size: int = 10) -> BundleItem:
@@ -24,7 +24,7 @@
     assert not queue.add(item(2, age_ms=40), 0.1)
     assert queue.due_at == 0.2
     (bundle,) = queue.take_bundles(0.2)
-    assert (bundle.name, bundle.pass_on) == ("r", False)
+    assert (bundle.name, bundle.forward) == ("r", False)
     assert [queued.age_ms for queued in bundle.items] == [200, 140]
     assert queue.due_at == math.inf
 
--- a/cleatlink/relay/peers/group.py
+++ b/cleatlink/relay/peers/group.py
@@ -20,7 +20,7 @@
 
 from cleatlink.core.address import Address
 from cleatlink.core.revisions import StoreRevision
-from cleatlink.members.leadership import Hearing
+from cleatlink.members.leadership import PeerReports
 from cleatlink.members.watchers import is_watcher
 from cleatlink.organisations import OrganisationLimits
 from cleatlink.relay.following.source import SourceChange
@@ -28,53 +28,53 @@
 from cleatlink.relay.peers.catch_up import CatchUp
 from cleatlink.relay.peers.datagrams import DatagramSocket
 from cleatlink.relay.peers.delivery import Delivery
-from cleatlink.relay.peers.endpoint_limit_news import EndpointLimitNews
-from cleatlink.relay.peers.endpoint_pace_news import EndpointPaceTeller
-from cleatlink.relay.peers.heard import HeardPeers
-from cleatlink.relay.peers.hints import Hints
+from cleatlink.relay.peers.endpoint_hints import EndpointHints
+from cleatlink.relay.peers.endpoint_limit_channel import EndpointLimitChannel
+from cleatlink.relay.peers.endpoint_notice_channel import EndpointNoticeChannel
+from cleatlink.relay.peers.endpoint_speed_channel import EndpointSpeedChannel
 from cleatlink.relay.peers.hooks import PeerHooks
-from cleatlink.relay.peers.limit_news import LimitNews
+from cleatlink.relay.peers.live_peers import LivePeers
 from cleatlink.relay.peers.messages import (
-    Beat,
     Bundle,
     BundleItem,
-    Changes,
-    CrashNews,
+    CrashUpdate,
     EndpointHint,
-    EndpointPaceNews,
-    EndpointSpending,
+    EndpointLimitUsage,
+    EndpointNoticeUpdate,
+    EndpointSpeedUpdate,
+    HeartbeatMessage,
     HintKind,
     Message,
-    NoticeNews,
-    PaceNews,
-    PlainCalls,
+    OrganisationUsage,
+    OverloadUpdate,
+    PlainCallTotals,
+    RegistrationUpdate,
     Roster,
-    ShedNews,
-    SourceNews,
-    Spending,
-    WaitNews,
+    ServiceTimeUpdate,
+    WaitQueueUpdate,
+    WorkChanges,
     WorkItem,
     WorkList,
     decode_datagram,
 )
-from cleatlink.relay.peers.news import NewsChannel
-from cleatlink.relay.peers.plain_news import PlainNews
-from cleatlink.relay.peers.shared_notices import SharedNotices
+from cleatlink.relay.peers.organisation_usage_channel import OrganisationUsageChannel
+from cleatlink.relay.peers.overload_channel import OverloadChannel
+from cleatlink.relay.peers.plain_call_channel import PlainCallChannel
+from cleatlink.relay.peers.registration_channel import RegistrationChannel
 from cleatlink.relay.peers.shared_quarantine import SharedQuarantine
-from cleatlink.relay.peers.shed_news import ShedNewsChannel
-from cleatlink.relay.peers.source_news import SourceNewsChannel
-from cleatlink.relay.peers.waiting_news import WaitingNews
-from cleatlink.relay.peers.work_news import WorkNews
+from cleatlink.relay.peers.update_channel import UpdateChannel
+from cleatlink.relay.peers.wait_queue_channel import WaitQueueChannel
+from cleatlink.relay.peers.work_updates import WorkUpdates
 from cleatlink.relay.settings import RelaySettings
 from cleatlink.routing.capacity import Capacity
-from cleatlink.routing.fleet_sizes import FEW_PEERS
+from cleatlink.routing.fleet_sizes import MAX_DIRECT_PEERS
 from cleatlink.routing.mechanisms import Mechanism
 from cleatlink.routing.reservation import Reservation
 
-__all__ = ["SILENCE_S", "PeerGroup"]
+__all__ = ["PEER_SILENCE_TIMEOUT_S", "PeerGroup"]
 
 # Time without a heartbeat after which leader election ignores a peer, in seconds.
-SILENCE_S = 2.5
+PEER_SILENCE_TIMEOUT_S = 2.5
 
 # Interval between heartbeats, in seconds. Two lost heartbeats in a row do not exceed the
 # silence after which leader election ignores a peer.
@@ -125,7 +125,7 @@
         limits: OrganisationLimits,
         *,
         quarantine: SharedQuarantine,
-        notices: SharedNotices,
+        notices: EndpointNoticeChannel,
         metrics: RelayMetrics,
         hooks: PeerHooks,
     ) -> None:
@@ -133,20 +133,24 @@
         self._incarnation = incarnation
         self._capacity = capacity
         self._limits = limits
-        self._limit_updates = LimitNews(settings.name, incarnation, limits, capacity.limits)
-        self._endpoint_limits = EndpointLimitNews(settings.name, incarnation, capacity.limits)
-        self._endpoint_paces = EndpointPaceTeller(
-            settings.name, incarnation, capacity.endpoint_paces, metrics
+        self._limit_updates = OrganisationUsageChannel(
+            settings.name, incarnation, limits, capacity.endpoint_limits
         )
-        self._waiting_updates = WaitingNews(
-            settings.name, incarnation, settings.data_centre, capacity.waiting
+        self._endpoint_limits = EndpointLimitChannel(
+            settings.name, incarnation, capacity.endpoint_limits
+        )
+        self._endpoint_paces = EndpointSpeedChannel(
+            settings.name, incarnation, capacity.endpoint_speeds, metrics
+        )
+        self._waiting_updates = WaitQueueChannel(
+            settings.name, incarnation, settings.data_centre, capacity.shared_wait_queues
         )
         self._quarantine = quarantine
         self._notices = notices
-        self._source_updates = SourceNewsChannel(settings.name)
-        self._shed_updates = ShedNewsChannel(settings.name)
-        self._plain_updates = PlainNews(settings.name, incarnation, capacity)
-        self._channels: tuple[NewsChannel, ...] = (
+        self._source_updates = RegistrationChannel(settings.name)
+        self._shed_updates = OverloadChannel(settings.name)
+        self._plain_updates = PlainCallChannel(settings.name, incarnation, capacity)
+        self._channels: tuple[UpdateChannel, ...] = (
             self._plain_updates,
             self._limit_updates,
             self._endpoint_limits,
@@ -161,11 +165,11 @@
         self._hooks = hooks
         self._address = str(settings.peer_listen)
         configured = (str(peer) for peer in settings.peers if str(peer) != self._address)
-        self._peers = HeardPeers(settings.name, configured, trio.current_time())
+        self._peers = LivePeers(settings.name, configured, trio.current_time())
         self._changed_work: set[str] = set()
-        self._work_updates = WorkNews(settings.name, incarnation, settings.data_centre, capacity)
+        self._work_updates = WorkUpdates(settings.name, incarnation, settings.data_centre, capacity)
         self._work_changed = trio.Event()
-        self._hints = Hints(capacity)
+        self._hints = EndpointHints(capacity)
         self._rng = random.Random(incarnation)
         self._catch_up = CatchUp(
             settings.data_centre,
@@ -187,7 +191,7 @@
         self._is_heartbeat_due = False
         self._announced_table = 0
         self._heartbeat_number = 0
-        self._last_heartbeat: Beat | None = None
+        self._last_heartbeat: HeartbeatMessage | None = None
         # The last encoded heartbeat by sender. Most heartbeats repeat the previous one and
         # need no decoding.
         self._encoded_heartbeats: dict[str, bytes] = {}
@@ -199,23 +203,23 @@
         """The address at which this instance receives datagrams from its peers."""
         return self._settings.peer_listen
 
-    def hearing(self) -> Hearing:
+    def leader_election_input(self) -> PeerReports:
         """Return what live peers reported for leader election: votes, members and departures."""
-        return self._peers.hearing(SILENCE_S, trio.current_time())
+        return self._peers.leader_election_input(PEER_SILENCE_TIMEOUT_S, trio.current_time())
 
-    def heard_within(self, seconds: float) -> set[str]:
+    def peers_seen_within(self, seconds: float) -> set[str]:
         """Return the names of the peers whose last heartbeat is at most this many seconds old."""
-        return self._peers.heard_within(seconds, trio.current_time())
+        return self._peers.seen_within(seconds, trio.current_time())
 
     @property
-    def alive(self) -> int:
+    def live_instances(self) -> int:
         """The number of live instances, including this one."""
         return len(self._peers) + 1
 
     @property
-    def most_members(self) -> int:
+    def peak_live_instances(self) -> int:
         """The highest number of simultaneously live instances, including this one."""
-        return self._peers.most_members
+        return self._peers.peak_live_instances
 
     def start(self, supervise: Callable[..., None], spawn: Callable[..., None]) -> None:
         """Start to send and receive.
@@ -225,36 +229,43 @@
             spawn: Runs a task once.
         """
         self._spawn = spawn
-        for task in (self._receive, self._send_heartbeats, self._tell_changes, self._delivery.run):
+        for task in (
+            self._receive,
+            self._send_heartbeats,
+            self._send_work_changes,
+            self._delivery.run,
+        ):
             supervise(task)
         for channel in self._channels:
-            supervise(partial(self._tell_news, channel))
+            supervise(partial(self._send_channel_updates, channel))
 
     @property
-    def shares_watch(self) -> bool:
+    def is_watch_shared(self) -> bool:
         """Whether some instances watch the configuration service on behalf of the others."""
-        is_large = len(self._peers) > FEW_PEERS
-        return is_large and self._capacity.switches.uses(Mechanism.SHARED_WATCH)
+        is_large = len(self._peers) > MAX_DIRECT_PEERS
+        return is_large and self._capacity.switches.is_enabled(Mechanism.SHARED_WATCH)
 
     def must_watch(self) -> bool:
         """Check whether this instance has to watch the configuration service itself."""
-        if not self.shares_watch or not self._hooks.state().finds_source:
+        if not self.is_watch_shared or not self._hooks.state().is_service_reachable:
             return True
         now = trio.current_time()
         data_centre = self._settings.data_centre
-        others = self._peers.watch_candidates(data_centre, SILENCE_S, now)
+        others = self._peers.watch_candidates(data_centre, PEER_SILENCE_TIMEOUT_S, now)
         return is_watcher(self._settings.name, others)
 
-    def tell_source(self, after: StoreRevision, change: SourceChange, found_ago_s: float) -> None:
+    def announce_registration(
+        self, after: StoreRevision, change: SourceChange, found_ago_s: float
+    ) -> None:
         """Send a change read from the configuration service to the peers of this data centre."""
-        if self.shares_watch:
-            self._source_updates.tell(after, change, found_ago_s)
+        if self.is_watch_shared:
+            self._source_updates.report_change(after, change, found_ago_s)
 
     def close(self) -> None:
         """Close the datagram socket."""
         self._socket.close()
 
-    def note_work(self, *keys: str) -> None:
+    def announce_work(self, *keys: str) -> None:
         """Announce changes of this instance's work to peers.
 
         Args:
@@ -263,31 +274,33 @@
         self._changed_work.update(keys)
         self._work_changed.set()
 
-    def note_spending(self) -> None:
+    def announce_usage(self) -> None:
         """Announce the admitted requests soon, since an organisation's limit is nearly used up."""
-        self._limit_updates.note_spending()
+        self._limit_updates.request_usage_report()
 
-    def tell_shed(self, endpoint: str, tokens: int) -> None:
+    def announce_rejection(self, endpoint: str, tokens: int) -> None:
         """Announce immediately that a decode endpoint shed a stream of this many tokens."""
-        self._shed_updates.tell(endpoint, tokens)
+        self._shed_updates.report_rejection(endpoint, tokens)
 
-    def tell_limit(self, endpoint_incarnation: str) -> None:
+    def announce_limit(self, endpoint_incarnation: str) -> None:
         """Announce immediately that an endpoint changed or removed its limit."""
-        self._endpoint_limits.tell_word(endpoint_incarnation)
+        self._endpoint_limits.report_limit(endpoint_incarnation)
 
-    async def _tell_news(self, channel: NewsChannel) -> None:
+    async def _send_channel_updates(self, channel: UpdateChannel) -> None:
         while True:
-            for news in await channel.next():
-                data_centres = [self._settings.data_centre] if channel.is_local else None
-                if self._delivery.uses_reflectors and channel.bears_delay:
-                    self._delivery.tell(news, data_centres, earlier=news)
-                elif channel.is_local:
+            for news in await channel.next_messages():
+                data_centres = (
+                    [self._settings.data_centre] if channel.is_data_centre_local else None
+                )
+                if self._delivery.uses_reflectors and channel.tolerates_delay:
+                    self._delivery.send(news, data_centres, legacy_message=news)
+                elif channel.is_data_centre_local:
                     by_data_centre = self._peers.addresses_by_data_centre()
                     self._socket.send(news, by_data_centre.get(self._settings.data_centre, []))
                 else:
                     self._socket.send(news, self._peers.addresses)
 
-    def send_beat(self) -> None:
+    def send_heartbeat(self) -> None:
         """Send a heartbeat to every known address.
 
         In a large fleet it is sent with the next tick, unless this instance is leaving or has a
@@ -302,11 +315,11 @@
 
     def _has_unannounced_table(self) -> bool:
         """Check whether this instance watches for others and has a table not yet announced."""
-        table = self._hooks.state().table
+        table = self._hooks.state().table_revision
         is_new, self._announced_table = table != self._announced_table, table
         return is_new and self.must_watch()
 
-    def _send_heartbeat_to_fleet(self, *, urgent: bool = False) -> Beat:
+    def _send_heartbeat_to_fleet(self, *, urgent: bool = False) -> HeartbeatMessage:
         """Send a heartbeat through reflectors.
 
         Peers of earlier builds, which take no bundles, receive it directly with all work in it.
@@ -314,15 +327,15 @@
         now = trio.current_time()
         beat = self._make_heartbeat(work_apart=True)
         earlier = None
-        if self._peers.earlier_addresses():
+        if self._peers.addresses_without_bundle_support():
             earlier = msgspec.structs.replace(
-                beat, work=self._work_updates.work(now), work_apart=False
+                beat, work=self._work_updates.work_items(now), work_apart=False
             )
         self._is_heartbeat_due = False
-        self._delivery.tell(beat, earlier=earlier, urgent=urgent)
+        self._delivery.send(beat, legacy_message=earlier, is_urgent=urgent)
         return beat
 
-    def _make_heartbeat(self, *, work_apart: bool = False) -> Beat:
+    def _make_heartbeat(self, *, work_apart: bool = False) -> HeartbeatMessage:
         """Return a heartbeat with the current state.
 
         Its number changes only when its content, apart from work, changes.
@@ -332,47 +345,52 @@
         """
         state = self._hooks.state()
         now = trio.current_time()
-        beat = Beat(
+        beat = HeartbeatMessage(
             self._settings.name,
             self._incarnation,
             self._settings.data_centre,
             self._address,
             state.leaving,
-            state.table,
-            state.newest.number,
+            state.table_revision,
+            state.newest_revision.number,
             [],
             self.fence,
-            {name: round(left, 2) for name, left in self._capacity.switching(now).items()},
+            {
+                name: round(left, 2)
+                for name, left in self._capacity.role_changes_left_s(now).items()
+            },
             self.vote,
             len(self.members),
             self._limits.totals(now),
-            self._limits.spenders,
-            min(int(self._limits.age_s(now)), _MAX_REPORTED_AGE_S),
-            state.newest.era,
-            self._capacity.limits.spenders,
-            state.finds_source,
-            self._delivery.size,
+            self._limits.used_name_count,
+            min(int(self._limits.uptime_s(now)), _MAX_REPORTED_AGE_S),
+            state.newest_revision.era,
+            self._capacity.endpoint_limits.used_name_count,
+            state.is_service_reachable,
+            self._delivery.announced_size,
             self._heartbeat_number,
             True,
         )
         if beat != self._last_heartbeat:
-            self._heartbeat_number = self._delivery.next_number()
+            self._heartbeat_number = self._delivery.next_message_number()
             beat = msgspec.structs.replace(beat, number=self._heartbeat_number)
             self._last_heartbeat = beat
         if work_apart:
             return beat
-        return msgspec.structs.replace(beat, work=self._work_updates.work(now), work_apart=False)
+        return msgspec.structs.replace(
+            beat, work=self._work_updates.work_items(now), work_apart=False
+        )
 
-    def _tell_few(self, *messages_before: Message) -> None:
+    def _send_to_random_peers(self, *messages_before: Message) -> None:
         """Send a roster, measured paces and repeated updates to a few randomly chosen peers."""
         addresses = self._peers.addresses
         chosen = self._rng.sample(addresses, min(_ROSTER_RECIPIENTS, len(addresses)))
         messages = [*messages_before, self._roster(_MAX_ROSTER_MEMBERS)]
-        paces = self._capacity.pace_summaries(trio.current_time())
+        paces = self._capacity.service_time_summaries(trio.current_time())
         if paces:
-            messages.append(PaceNews(self._settings.name, paces))
+            messages.append(ServiceTimeUpdate(self._settings.name, paces))
         for channel in self._channels:
-            messages += channel.repeat()
+            messages += channel.repeated_messages()
         self._delivery.send_directly(messages, chosen)
 
     def _roster(self, max_members: int | None = None) -> Roster:
@@ -384,11 +402,11 @@
         names = sorted(self.members | self._peers.names)
         if max_members is not None and len(names) > max_members:
             names = self._rng.sample(names, max_members)
-        return Roster(self._settings.name, [self._peers.member(name) for name in names])
+        return Roster(self._settings.name, [self._peers.roster_entry(name) for name in names])
 
     async def _send_heartbeats(self) -> None:
         while True:
-            self._forget_silent()
+            self._remove_silent_peers()
             if self._delivery.uses_reflectors:
                 self._tick(is_heartbeat_due=True)
                 await trio.sleep(_TICK_INTERVAL_S)
@@ -396,8 +414,8 @@
                 await trio.sleep(_HEARTBEAT_INTERVAL_S - _TICK_INTERVAL_S)
             else:
                 self._delivery.tick(trio.current_time())
-                self.send_beat()
-                self._tell_few()
+                self.send_heartbeat()
+                self._send_to_random_peers()
                 await trio.sleep(_HEARTBEAT_INTERVAL_S)
 
     def _tick(self, *, is_heartbeat_due: bool) -> None:
@@ -408,13 +426,18 @@
             return
         beat = self._send_heartbeat_to_fleet()
         if is_heartbeat_due:
-            self._socket.send(self._make_heartbeat(), self._peers.unheard_addresses())
-            self._tell_few(beat)
-        due = self._work_updates.due(self._peers.addresses_by_data_centre(), now)
+            self._socket.send(self._make_heartbeat(), self._peers.addresses_without_live_peer())
+            self._send_to_random_peers(beat)
+        due = self._work_updates.take_due_data_centres(self._peers.addresses_by_data_centre(), now)
         if due:
-            self._delivery.tell(self._work_updates.list_all(now), due, urgent=False, copies=1)
+            self._delivery.send(
+                self._work_updates.work_list(now),
+                due,
+                is_urgent=False,
+                reflectors_per_data_centre=1,
+            )
 
-    async def _tell_changes(self) -> None:
+    async def _send_work_changes(self) -> None:
         while True:
             await self._work_changed.wait()
             self._work_changed = trio.Event()
@@ -424,38 +447,42 @@
             changed, self._changed_work = self._changed_work, set()
             addresses = self._peers.addresses_by_data_centre()
             now = trio.current_time()
-            announced = self._work_updates.changes(changed, addresses, len(self._peers), now)
+            announced = self._work_updates.changes_by_data_centre(
+                changed, addresses, len(self._peers), now
+            )
             for data_centre, changes in announced.items():
                 if is_large:
-                    self._delivery.tell(changes, [data_centre], earlier=changes, copies=1)
+                    self._delivery.send(
+                        changes, [data_centre], legacy_message=changes, reflectors_per_data_centre=1
+                    )
                 else:
                     self._socket.send(changes, addresses[data_centre])
             if not is_large:
                 await trio.sleep(_BATCH_INTERVAL_S)
 
-    def _forget_silent(self) -> None:
+    def _remove_silent_peers(self) -> None:
         now = trio.current_time()
-        self._limit_updates.look(now)
+        self._limit_updates.update_reachable_share(now)
         self._capacity.expire_peers(now, _WORK_GRACE_S)
-        self._capacity.waiting.note_peers(len(self._peers))
-        self._capacity.spill_over.note_peers(len(self._peers))
-        for lost in self._peers.forget_silent(now):
-            self._capacity.forget_peer(lost.name)
+        self._capacity.shared_wait_queues.set_peer_count(len(self._peers))
+        self._capacity.spill_over.set_peer_count(len(self._peers))
+        for lost in self._peers.remove_expired(now):
+            self._capacity.remove_peer(lost.name)
             self._last_work_sequences.pop(lost.name, None)
-            self._capacity.waiting.forget(lost.name)
+            self._capacity.shared_wait_queues.remove_report(lost.name)
             self._encoded_heartbeats.pop(lost.name, None)
             eliot.log_message(
-                message_type="peers: lost a peer",
+                message_type="peers: removed a peer that sent no heartbeats",
                 peer=lost.name,
                 silent_s=round(lost.silent_s, 2),
-                alive=self.alive,
+                alive=self.live_instances,
             )
 
     async def _receive(self) -> None:
         while True:
             for message in await self._socket.receive():
-                self._take(message, 0.0)
-            self._look()
+                self._handle_message(message, 0.0)
+            self._check_heard_share()
             if self._has_peer_work_changed:
                 self._has_peer_work_changed = False
                 self._hooks.on_work_change()
@@ -463,150 +490,154 @@
     def _message_handlers(self) -> dict[type, Callable[[Any], None]]:
         """Return the handler of each message type."""
         return {
-            Bundle: self._take_bundle,
-            Changes: self._take_changes,
+            Bundle: self._handle_bundle,
+            WorkChanges: self._handle_work_changes,
             EndpointHint: self._handle_hint,
-            PlainCalls: self._take_plain_calls,
-            Roster: self._take_roster,
-            PaceNews: self._handle_paces,
-            CrashNews: self._handle_crashes,
-            NoticeNews: self._handle_notices,
-            EndpointPaceNews: self._take_endpoint_paces,
-            EndpointSpending: self._handle_endpoint_spending,
-            ShedNews: self._handle_shed_update,
-            SourceNews: self._handle_source_update,
-            Spending: self._handle_spending,
-            WorkList: self._take_list,
-            WaitNews: self._take_wait_news,
+            PlainCallTotals: self._handle_plain_calls,
+            Roster: self._handle_roster,
+            ServiceTimeUpdate: self._handle_paces,
+            CrashUpdate: self._handle_crashes,
+            EndpointNoticeUpdate: self._handle_notices,
+            EndpointSpeedUpdate: self._handle_endpoint_speeds,
+            EndpointLimitUsage: self._handle_endpoint_spending,
+            OverloadUpdate: self._handle_shed_update,
+            RegistrationUpdate: self._handle_source_update,
+            OrganisationUsage: self._handle_spending,
+            WorkList: self._handle_work_list,
+            WaitQueueUpdate: self._handle_waiting_update,
         }
 
-    def _take_plain_calls(self, news: PlainCalls) -> None:
-        self._metrics.count_message("plain_calls")
-        self._plain_updates.take(news)
+    def _handle_plain_calls(self, news: PlainCallTotals) -> None:
+        self._metrics.count_peer_message("plain_calls")
+        self._plain_updates.record_totals(news)
 
     def _handle_hint(self, hint: EndpointHint) -> None:
-        self._metrics.count_message(hint.kind.value)
+        self._metrics.count_peer_message(hint.kind.value)
         self._hints.take(hint, trio.current_time())
 
-    def _take_roster(self, roster: Roster) -> None:
-        self._metrics.count_message("roster")
-        found = self._peers.note_roster(roster, trio.current_time())
-        if found and len(self._peers) + len(found) > FEW_PEERS:
+    def _handle_roster(self, roster: Roster) -> None:
+        self._metrics.count_peer_message("roster")
+        found = self._peers.record_roster(roster, trio.current_time())
+        if found and len(self._peers) + len(found) > MAX_DIRECT_PEERS:
             # An instance that joins a large fleet and its peers then discover each other one
             # heartbeat earlier.
             self._socket.send(self._make_heartbeat(), found)
 
-    def _handle_crashes(self, news: CrashNews) -> None:
-        self._metrics.count_message("crashes")
-        self._quarantine.take(news)
+    def _handle_crashes(self, news: CrashUpdate) -> None:
+        self._metrics.count_peer_message("crashes")
+        self._quarantine.record_update(news)
 
-    def _handle_notices(self, news: NoticeNews) -> None:
-        self._metrics.count_message("notices")
-        for endpoint_incarnation in self._notices.take(news):
+    def _handle_notices(self, news: EndpointNoticeUpdate) -> None:
+        self._metrics.count_peer_message("notices")
+        for endpoint_incarnation in self._notices.record_notices(news):
             self._hooks.on_endpoint_leaving(endpoint_incarnation)
 
-    def _handle_endpoint_spending(self, news: EndpointSpending) -> None:
-        self._metrics.count_message("endpoint_limits")
-        self._endpoint_limits.take(news)
+    def _handle_endpoint_spending(self, news: EndpointLimitUsage) -> None:
+        self._metrics.count_peer_message("endpoint_limits")
+        self._endpoint_limits.record_limits(news)
 
-    def _take_endpoint_paces(self, news: EndpointPaceNews) -> None:
-        self._metrics.count_message("endpoint_paces")
-        self._endpoint_paces.take(news)
+    def _handle_endpoint_speeds(self, news: EndpointSpeedUpdate) -> None:
+        self._metrics.count_peer_message("endpoint_paces")
+        self._endpoint_paces.record_measurements(news)
 
-    def _handle_shed_update(self, news: ShedNews) -> None:
-        self._metrics.count_message("shed")
+    def _handle_shed_update(self, news: OverloadUpdate) -> None:
+        self._metrics.count_peer_message("shed")
         now = trio.current_time()
-        for endpoint, tokens in news.refused:
-            self._capacity.note_shed(endpoint, tokens, now)
+        for endpoint, tokens in news.rejections:
+            self._capacity.note_memory_refusal(endpoint, tokens, now)
 
-    def _handle_source_update(self, news: SourceNews) -> None:
-        self._metrics.count_message("source")
+    def _handle_source_update(self, news: RegistrationUpdate) -> None:
+        self._metrics.count_peer_message("source")
         self._hooks.on_source_update(news)
 
-    def _take_wait_news(self, news: WaitNews) -> None:
-        self._metrics.count_message("waiting")
-        self._waiting_updates.take(news)
+    def _handle_waiting_update(self, news: WaitQueueUpdate) -> None:
+        self._metrics.count_peer_message("waiting")
+        self._waiting_updates.record_queue(news)
 
-    def _handle_spending(self, news: Spending) -> None:
-        self._metrics.count_message("spending")
-        self._limit_updates.take_spending(news, trio.current_time())
+    def _handle_spending(self, news: OrganisationUsage) -> None:
+        self._metrics.count_peer_message("spending")
+        self._limit_updates.record_usage(news, trio.current_time())
 
-    def _look(self) -> None:
+    def _check_heard_share(self) -> None:
         """Periodically adjust the limits to the share of instances that send heartbeats."""
         now = trio.current_time()
         if now - self._heard_share_checked_at >= _HEARD_SHARE_CHECK_INTERVAL_S:
             self._heard_share_checked_at = now
-            self._limit_updates.look(now)
+            self._limit_updates.update_reachable_share(now)
 
-    def _take(self, message: Message | None, age_s: float) -> None:
+    def _handle_message(self, message: Message | None, age_s: float) -> None:
         """Process a message.
 
         Args:
             message: The message; None if it could not be decoded.
             age_s: Seconds since it was sent.
         """
-        if isinstance(message, Beat):
-            self._take_beat(message, age_s)
+        if isinstance(message, HeartbeatMessage):
+            self._handle_heartbeat(message, age_s)
             return
         handler = self._handlers.get(type(message))
         if handler is None:
-            self._metrics.count_message("not_understood")
+            self._metrics.count_peer_message("not_understood")
         else:
             handler(message)
 
-    def _take_bundle(self, bundle: Bundle) -> None:
+    def _handle_bundle(self, bundle: Bundle) -> None:
         """Process the messages of a bundle, each only once even if it is received repeatedly."""
-        self._metrics.count_message("bundle")
+        self._metrics.count_peer_message("bundle")
         now = trio.current_time()
         for item in bundle.items:
-            is_new = self._delivery.take(item, bundle.pass_on, now)
-            if item.sender == self._settings.name:
-                self._delivery.note_echo(bundle.name, now)
+            is_new = self._delivery.accept_item(item, bundle.forward, now)
+            if item.origin == self._settings.name:
+                self._delivery.record_echo(bundle.name, now)
             elif is_new:
                 self._handle_bundle_item(item, now)
 
     def _handle_bundle_item(self, item: BundleItem, now: float) -> None:
         """Process one message of a bundle; a repeated heartbeat is not decoded again."""
         age_s = max(0, item.age_ms) / _MS_PER_S
-        if self._encoded_heartbeats.get(item.sender) == item.data:
-            beat = self._peers.note_again(item.sender, now - age_s)
-            if beat is not None and self._limit_updates.note_again(item.sender, now - age_s, now):
-                self._catch_up.note(beat, self._spawn)
+        if self._encoded_heartbeats.get(item.origin) == item.data:
+            beat = self._peers.record_repeated_heartbeat(item.origin, now - age_s)
+            if beat is not None and self._limit_updates.record_repeated_heartbeat(
+                item.origin, now - age_s, now
+            ):
+                self._catch_up.handle_heartbeat(beat, self._spawn)
                 return
         message = decode_datagram(item.data)
         # Instances never nest bundles; a nested bundle would be forwarded endlessly.
-        self._take(None if isinstance(message, Bundle) else message, age_s)
-        if isinstance(message, Beat) and self._peers.is_last(message):
+        self._handle_message(None if isinstance(message, Bundle) else message, age_s)
+        if isinstance(message, HeartbeatMessage) and self._peers.is_latest(message):
             self._encoded_heartbeats[message.name] = item.data
 
-    def _take_beat(self, beat: Beat, age_s: float) -> None:
-        if beat.name == self._settings.name or self._peers.is_old(beat):
+    def _handle_heartbeat(self, beat: HeartbeatMessage, age_s: float) -> None:
+        if beat.name == self._settings.name or self._peers.is_outdated(beat):
             return
-        self._metrics.count_message("beat")
+        self._metrics.count_peer_message("beat")
         self._encoded_heartbeats.pop(beat.name, None)
         if self._peers.incarnation(beat.name) not in (None, beat.incarnation):
             # The peer restarted: its earlier work has ended.
-            self._capacity.forget_peer(beat.name)
+            self._capacity.remove_peer(beat.name)
             self._has_peer_work_changed = True
         now = trio.current_time()
-        if self._peers.note_beat(beat, now - age_s):
-            eliot.log_message(message_type="peers: heard a peer", peer=beat.name, alive=self.alive)
+        if self._peers.record_heartbeat(beat, now - age_s):
+            eliot.log_message(
+                message_type="peers: discovered a peer", peer=beat.name, alive=self.live_instances
+            )
             self._send_introduction(beat)
-        self._limit_updates.take_beat(beat, now - age_s, now)
-        self.fence = max(self.fence, beat.fence)
-        for endpoint, left_s in beat.switching.items():
-            self._capacity.note_switching(endpoint, now - age_s + left_s)
-        if not beat.work_apart and (beat.work or self._capacity.has_work_of(beat.name)):
+        self._limit_updates.record_heartbeat(beat, now - age_s, now)
+        self.fence = max(self.fence, beat.highest_fence)
+        for endpoint, left_s in beat.switching_endpoints.items():
+            self._capacity.note_role_change(endpoint, now - age_s + left_s)
+        if not beat.work_apart and (beat.work or self._capacity.has_reservations(beat.name)):
             self._replace_peer_work(beat.name, beat.work, now)
-        self._catch_up.note(beat, self._spawn)
+        self._catch_up.handle_heartbeat(beat, self._spawn)
 
-    def _take_list(self, work_list: WorkList) -> None:
+    def _handle_work_list(self, work_list: WorkList) -> None:
         """Process a list of all work of a peer that is sent separately from its heartbeat."""
-        self._metrics.count_message("work")
+        self._metrics.count_peer_message("work")
         if self._is_newer(work_list):
             self._replace_peer_work(work_list.name, work_list.work, trio.current_time())
 
-    def _is_newer(self, announcement: Changes | WorkList) -> bool:
+    def _is_newer(self, announcement: WorkChanges | WorkList) -> bool:
         """Check whether a work announcement is newer than the last one of its sender."""
         if self._peers.incarnation(announcement.name) != announcement.incarnation:
             return False
@@ -619,40 +650,40 @@
 
     def _replace_peer_work(self, peer: str, items: list[WorkItem], now: float) -> None:
         """Replace all known work of a peer; in a large fleet, most instances have none."""
-        work = {item.key: item.reservation(now) for item in items}
+        work = {item.key: item.to_reservation(now) for item in items}
         for key, item in work.items():
             self._report_new_placement(peer, key, item)
         self._capacity.peer_replace(peer, work)
         self._has_peer_work_changed = True
 
-    def _send_introduction(self, beat: Beat) -> None:
+    def _send_introduction(self, beat: HeartbeatMessage) -> None:
         """Send a new peer the roster, the measured paces and the full state of all channels."""
         messages: list[Message] = []
         known = len(self.members | self._peers.names)
-        if not self._delivery.uses_reflectors or beat.members < known:
+        if not self._delivery.uses_reflectors or beat.member_count < known:
             messages.append(self._roster())
-        paces = self._capacity.pace_summaries(trio.current_time())
+        paces = self._capacity.service_time_summaries(trio.current_time())
         if paces:
-            messages.append(PaceNews(self._settings.name, paces))
+            messages.append(ServiceTimeUpdate(self._settings.name, paces))
         for channel in self._channels:
-            messages += channel.introduction()
+            messages += channel.initial_messages()
         if (
             self._delivery.uses_reflectors
             and beat.size
-            and self._work_updates.work(trio.current_time())
+            and self._work_updates.work_items(trio.current_time())
         ):
-            messages.append(self._work_updates.list_all(trio.current_time()))
+            messages.append(self._work_updates.work_list(trio.current_time()))
         if messages:
             self._delivery.send_directly(messages, [beat.address])
 
-    def _handle_paces(self, news: PaceNews) -> None:
+    def _handle_paces(self, news: ServiceTimeUpdate) -> None:
         """Adopt a peer's measured paces for services that this instance has not measured."""
-        self._metrics.count_message("paces")
+        self._metrics.count_peer_message("paces")
         now = trio.current_time()
-        for service, (summary, age_s) in news.paces.items():
-            self._capacity.pace(service).adopt(summary, age_s, now)
+        for service, (summary, age_s) in news.service_times.items():
+            self._capacity.service_times(service).adopt_peer_summary(summary, age_s, now)
 
-    def tell_hint(self, endpoint: str, kind: HintKind) -> None:
+    def announce_hint(self, endpoint: str, kind: HintKind) -> None:
         """Announce an endpoint that was slow or could not be reached.
 
         Unreachable endpoints are announced only in this data centre.
@@ -665,27 +696,27 @@
         addresses = self._peers.addresses if kind is HintKind.SLOW else local_addresses
         hint = EndpointHint(self._settings.name, endpoint, kind)
         if self._delivery.uses_reflectors:
-            self._delivery.tell(
-                hint, None if kind is HintKind.SLOW else [own_data_centre], earlier=hint
+            self._delivery.send(
+                hint, None if kind is HintKind.SLOW else [own_data_centre], legacy_message=hint
             )
         else:
             self._socket.send(hint, addresses)
         self._hints.take(hint, now)
 
-    def _take_changes(self, changes: Changes) -> None:
+    def _handle_work_changes(self, changes: WorkChanges) -> None:
         if not self._is_newer(changes):
             return
         now = trio.current_time()
         for item in changes.placed:
-            work = item.reservation(now)
+            work = item.to_reservation(now)
             self._report_new_placement(changes.name, item.key, work)
             self._capacity.peer_reserve(changes.name, item.key, work)
-        for key in changes.over:
+        for key in changes.ended:
             self._capacity.peer_release(changes.name, key)
-        self._has_peer_work_changed = self._has_peer_work_changed or bool(changes.over)
+        self._has_peer_work_changed = self._has_peer_work_changed or bool(changes.ended)
 
     def _report_new_placement(self, peer: str, key: str, item: Reservation) -> None:
-        if not self._capacity.knows(peer, key):
+        if not self._capacity.has_reservation(peer, key):
             self._hooks.on_placement(item)
 
 
--- a/cleatlink/relay/peers/group_test.py
+++ b/cleatlink/relay/peers/group_test.py
@@ -11,12 +11,13 @@
 from cleatlink.core.revisions import NO_REVISION
 from cleatlink.organisations import OrganisationLimits
 from cleatlink.relay.metrics import RelayMetrics
+from cleatlink.relay.peers.advertised_state import AdvertisedState
+from cleatlink.relay.peers.endpoint_notice_channel import EndpointNoticeChannel
 from cleatlink.relay.peers.group import PeerGroup
 from cleatlink.relay.peers.hooks import PeerHooks
-from cleatlink.relay.peers.known_state import KnownState
 from cleatlink.relay.peers.messages import (
-    Beat,
     EndpointHint,
+    HeartbeatMessage,
     HintKind,
     Member,
     Message,
@@ -25,7 +26,6 @@
     decode_datagram,
     encode,
 )
-from cleatlink.relay.peers.shared_notices import SharedNotices
 from cleatlink.relay.peers.shared_quarantine import SharedQuarantine
 from cleatlink.relay.settings import RelaySettings
 from cleatlink.relay.tasks import Task
@@ -41,7 +41,7 @@
 
     def __init__(self) -> None:
         self._socket = trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM)
-        self.sizes: dict[type[Message], list[int]] = {Beat: [], Roster: []}
+        self.sizes: dict[type[Message], list[int]] = {HeartbeatMessage: [], Roster: []}
         self.rosters: list[Roster] = []
         self.address = ""
 
@@ -83,8 +83,8 @@
 
 def beat(
     name: str, address: str, *, leaving: bool = False, members: int = 1, data_centre: str = "a"
-) -> Beat:
-    return Beat(name, 1, data_centre, address, leaving, 0, 0, [], 0, {}, "", members)
+) -> HeartbeatMessage:
+    return HeartbeatMessage(name, 1, data_centre, address, leaving, 0, 0, [], 0, {}, "", members)
 
 
 @asynccontextmanager
@@ -100,7 +100,7 @@
         store=free_address(),
     )
     hooks = PeerHooks(
-        lambda: KnownState(False, 0, NO_REVISION),
+        lambda: AdvertisedState(False, 0, NO_REVISION),
         lambda: None,
         lambda snapshot: None,
         lambda: None,
@@ -115,7 +115,7 @@
         Capacity(),
         limits,
         quarantine=SharedQuarantine(settings.name, random.Random(1)),
-        notices=SharedNotices(settings.name, EndpointNotices(), random.Random(1)),
+        notices=EndpointNoticeChannel(settings.name, EndpointNotices(), random.Random(1)),
         metrics=RelayMetrics(),
         hooks=hooks,
     )
@@ -138,8 +138,8 @@
                 name = f"front-data-centre-{number + 2}"
                 await listener.send(group.listen, beat(name, listener.address))
             await trio.sleep(2.2)
-            assert len(group.hearing().votes) == PEER_COUNT
-            assert max(listener.sizes[Beat]) < 150
+            assert len(group.leader_election_input().votes) == PEER_COUNT
+            assert max(listener.sizes[HeartbeatMessage]) < 150
             # Each new peer gets a roster, and each heartbeat sends one to 3 more peers.
             assert PEER_COUNT <= len(listener.rosters) <= PEER_COUNT + 3 * 3
             complete = {member.name for member in listener.rosters[PEER_COUNT - 1].members}
@@ -166,7 +166,7 @@
                 await listener.send(group.listen, message)
                 await trio.sleep(0.05)
             assert len(work_changes) == 2
-            assert not group._capacity.has_work_of("n2")
+            assert not group._capacity.has_reservations("n2")
             nursery.cancel_scope.cancel()
 
 
@@ -178,7 +178,9 @@
             open_group(nursery, "n2", address) as third,
         ):
             with trio.fail_after(2.5):
-                while not all(len(item.hearing().votes) == 2 for item in (first, second, third)):
+                while not all(
+                    len(item.leader_election_input().votes) == 2 for item in (first, second, third)
+                ):
                     await trio.sleep(0.02)
             nursery.cancel_scope.cancel()
 
@@ -192,11 +194,11 @@
             await listener.send(group.listen, beat("n3", listener.address, leaving=True))
             await listener.send(group.listen, Roster("n2", [Member("n3", ""), Member("n4", "")]))
             await trio.sleep(0.1)
-            hearing = group.hearing()
-            assert (set(hearing.known), set(hearing.left)) == ({"n4"}, {"n3"})
+            hearing = group.leader_election_input()
+            assert (set(hearing.known_names), set(hearing.departed)) == ({"n4"}, {"n3"})
             await listener.send(group.listen, beat("n3", listener.address))
             await trio.sleep(0.1)
-            assert not group.hearing().left
+            assert not group.leader_election_input().departed
             nursery.cancel_scope.cancel()
 
 
@@ -207,7 +209,7 @@
             await listener.send(group.listen, beat("n2", listener.address, members=7))
             await listener.send(group.listen, beat("n3", listener.address, members=5))
             await trio.sleep(0.1)
-            assert group.hearing().members == 7
+            assert group.leader_election_input().known_count == 7
             nursery.cancel_scope.cancel()
 
 
@@ -219,11 +221,11 @@
             await remote.send(group.listen, beat("n3", remote.address, data_centre="b"))
             await trio.sleep(0.1)
             for _ in range(5):
-                group.tell_hint("e1", HintKind.UNREACHED)
+                group.announce_hint("e1", HintKind.UNREACHABLE)
             await trio.sleep(0.1)
             assert len(local.sizes[EndpointHint]) == 1
             assert EndpointHint not in remote.sizes
-            group.tell_hint("e1", HintKind.SLOW)
+            group.announce_hint("e1", HintKind.SLOW)
             await trio.sleep(0.1)
             assert (len(local.sizes[EndpointHint]), len(remote.sizes[EndpointHint])) == (2, 1)
             nursery.cancel_scope.cancel()
--- a/cleatlink/relay/peers/hooks.py
+++ b/cleatlink/relay/peers/hooks.py
@@ -5,8 +5,8 @@
 
 import trio
 
-from cleatlink.relay.peers.known_state import KnownState
-from cleatlink.relay.peers.messages import SourceNews
+from cleatlink.relay.peers.advertised_state import AdvertisedState
+from cleatlink.relay.peers.messages import RegistrationUpdate
 from cleatlink.relay.peers.snapshots import Snapshot
 from cleatlink.routing.reservation import Reservation
 
@@ -29,12 +29,12 @@
         read_table: Read only the route table from the configuration service.
     """
 
-    state: Callable[[], KnownState]
+    state: Callable[[], AdvertisedState]
     poll_service: Callable[[], None]
     on_snapshot: Callable[[Snapshot], None]
     on_work_change: Callable[[], None]
     on_placement: Callable[[Reservation], None]
     on_endpoint_leaving: Callable[[str], None]
-    on_source_update: Callable[[SourceNews], None]
+    on_source_update: Callable[[RegistrationUpdate], None]
     on_table_revision: Callable[[int, str, bool], None] = lambda *_: None
     read_table: Callable[[], Awaitable[None]] = trio.lowlevel.checkpoint
--- a/cleatlink/relay/peers/large_fleet_test.py
+++ b/cleatlink/relay/peers/large_fleet_test.py
@@ -23,22 +23,22 @@
 from cleatlink.organisations import OrganisationLimits
 from cleatlink.relay.metrics import RelayMetrics
 from cleatlink.relay.peers import group as group_module
-from cleatlink.relay.peers.group import SILENCE_S, PeerGroup
+from cleatlink.relay.peers.advertised_state import AdvertisedState
+from cleatlink.relay.peers.endpoint_notice_channel import EndpointNoticeChannel
+from cleatlink.relay.peers.group import PEER_SILENCE_TIMEOUT_S, PeerGroup
 from cleatlink.relay.peers.hooks import PeerHooks
-from cleatlink.relay.peers.known_state import KnownState
 from cleatlink.relay.peers.messages import (
-    Beat,
     Bundle,
     BundleItem,
-    Changes,
     EndpointHint,
+    HeartbeatMessage,
     HintKind,
     Message,
+    WorkChanges,
     WorkItem,
     decode_datagram,
     encode,
 )
-from cleatlink.relay.peers.shared_notices import SharedNotices
 from cleatlink.relay.peers.shared_quarantine import SharedQuarantine
 from cleatlink.relay.settings import RelaySettings
 from cleatlink.routing.capacity import Capacity
@@ -175,7 +175,10 @@
     def all_connected(instances: list[Instance]) -> bool:
         """Check whether these instances receive heartbeats from each other."""
         names = {item.name for item in instances}
-        return all(names - {item.name} <= item.group.heard_within(SILENCE_S) for item in instances)
+        return all(
+            names - {item.name} <= item.group.peers_seen_within(PEER_SILENCE_TIMEOUT_S)
+            for item in instances
+        )
 
     async def check_connected(self, instances: list[Instance], for_s: float) -> None:
         """Assert for ``for_s`` seconds that these instances receive heartbeats from each other."""
@@ -192,14 +195,16 @@
         ends_at = trio.current_time() + for_s
         while trio.current_time() < ends_at:
             for item in instances:
-                silent += len(names - {item.name} - item.group.heard_within(SILENCE_S))
+                silent += len(
+                    names - {item.name} - item.group.peers_seen_within(PEER_SILENCE_TIMEOUT_S)
+                )
                 checks += len(names) - 1
             await trio.sleep(0.1)
         return silent / checks
 
     def first_reflector(self, data_centre: str) -> Instance:
         """Return the first reflector of a data centre, as the last instance has chosen it."""
-        name = self.instances[-1].group._delivery.chosen[data_centre][0]
+        name = self.instances[-1].group._delivery.reflectors[data_centre][0]
         return next(item for item in self.instances if item.name == name)
 
     def all_except(self, *excluded: Instance) -> list[Instance]:
@@ -209,7 +214,7 @@
 
 def _group(settings: RelaySettings, capacity: Capacity) -> PeerGroup:
     hooks = PeerHooks(
-        lambda: KnownState(False, 0, NO_REVISION),
+        lambda: AdvertisedState(False, 0, NO_REVISION),
         lambda: None,
         lambda snapshot: None,
         lambda: None,
@@ -223,7 +228,7 @@
         capacity,
         OrganisationLimits(settings.limit_tolerance, 0.0),
         quarantine=SharedQuarantine(settings.name, random.Random(1)),
-        notices=SharedNotices(settings.name, EndpointNotices(), random.Random(1)),
+        notices=EndpointNoticeChannel(settings.name, EndpointNotices(), random.Random(1)),
         metrics=RelayMetrics(),
         hooks=hooks,
     )
@@ -279,7 +284,9 @@
             stopped = fleet.first_reflector("a")
             stopped.scope.cancel()
             await fleet.check_connected(fleet.all_except(stopped), 10.0)
-            assert stopped.name not in fleet.instances[-1].group.heard_within(SILENCE_S)
+            assert stopped.name not in fleet.instances[-1].group.peers_seen_within(
+                PEER_SILENCE_TIMEOUT_S
+            )
 
     async def test_death_of_both_reflectors_of_a_data_centre_silences_no_live_peer(
         self, monkeypatch: pytest.MonkeyPatch, autojump_clock: MockClock
@@ -287,7 +294,7 @@
         async with open_fleet(monkeypatch) as fleet:
             await fleet.start(FLEET_SIZE)
             stopped = []
-            for name in fleet.instances[-1].group._delivery.chosen["a"]:
+            for name in fleet.instances[-1].group._delivery.reflectors["a"]:
                 stopped += [item for item in fleet.instances if item.name == name]
             for item in stopped:
                 item.scope.cancel()
@@ -339,7 +346,7 @@
             await fleet.start(FLEET_SIZE)
             reserve_work(fleet.instances[1], "k", "e-b")
             await trio.sleep(1.1)
-            assert old.capacity.knows(fleet.instances[1].name, "k")
+            assert old.capacity.has_reservation(fleet.instances[1].name, "k")
             assert not old.group._delivery.uses_reflectors
             await fleet.check_connected(fleet.instances, 10.0)
 
@@ -355,7 +362,7 @@
             await trio.sleep(1.5)
             assert data_centres_that_know(fleet, origin, "k") == {"a", "b", "c"}
             origin.capacity.release("k")
-            origin.group.note_work("k")
+            origin.group.announce_work("k")
             await trio.sleep(0.2)
             assert data_centres_that_know(fleet, origin, "k") <= {"a"}
             for _ in range(40):
@@ -384,10 +391,10 @@
             await fleet.start(FLEET_SIZE)
             origin, recipient = fleet.instances[1], fleet.instances[4]
             work = Reservation("e-b", Role.DECODE, 10, trio.current_time() + 3, 3.0)
-            item = WorkItem.of("k", work, trio.current_time())
-            recipient.group._take(Changes(origin.name, 1, [], ["k"], 1_000), 0.0)
-            recipient.group._take(Changes(origin.name, 1, [item], [], 999), 0.0)
-            assert not recipient.capacity.knows(origin.name, "k")
+            item = WorkItem.from_reservation("k", work, trio.current_time())
+            recipient.group._handle_message(WorkChanges(origin.name, 1, [], ["k"], 1_000), 0.0)
+            recipient.group._handle_message(WorkChanges(origin.name, 1, [item], [], 999), 0.0)
+            assert not recipient.capacity.has_reservation(origin.name, "k")
 
     async def test_messages_of_a_restarted_instance_are_accepted_at_once(
         self, monkeypatch: pytest.MonkeyPatch, autojump_clock: MockClock
@@ -401,16 +408,16 @@
             await fleet.start(FLEET_SIZE)
             origin, recipient = fleet.instances[1], fleet.instances[4]
             work = Reservation("e-b", Role.DECODE, 10, trio.current_time() + 3, 3.0)
-            before = WorkItem.of("before", work, trio.current_time())
-            after = WorkItem.of("after", work, trio.current_time())
-            recipient.group._take(Changes(origin.name, 1, [before], [], 1_000), 0.0)
-            beat = Beat(
+            before = WorkItem.from_reservation("before", work, trio.current_time())
+            after = WorkItem.from_reservation("after", work, trio.current_time())
+            recipient.group._handle_message(WorkChanges(origin.name, 1, [before], [], 1_000), 0.0)
+            beat = HeartbeatMessage(
                 origin.name, 2, "b", origin.address, False, 0, 0, [], 0, {}, "", 1, work_apart=True
             )
-            recipient.group._take(beat, 0.0)
-            recipient.group._take(Changes(origin.name, 2, [after], [], 1), 0.0)
-            assert not recipient.capacity.knows(origin.name, "before")
-            assert recipient.capacity.knows(origin.name, "after")
+            recipient.group._handle_message(beat, 0.0)
+            recipient.group._handle_message(WorkChanges(origin.name, 2, [after], [], 1), 0.0)
+            assert not recipient.capacity.has_reservation(origin.name, "before")
+            assert recipient.capacity.has_reservation(origin.name, "after")
 
     async def test_hint_about_a_data_centre_is_not_sent_to_others(
         self, monkeypatch: pytest.MonkeyPatch, autojump_clock: MockClock
@@ -432,7 +439,7 @@
                     original(hint, now)
 
                 monkeypatch.setattr(item.group._hints, "take", take)
-            fleet.instances[1].group.tell_hint("e-b", HintKind.UNREACHED)
+            fleet.instances[1].group.announce_hint("e-b", HintKind.UNREACHABLE)
             await trio.sleep(0.3)
             assert receiving == ["b"] * (FLEET_SIZE // len(DATA_CENTRES))
 
@@ -442,10 +449,12 @@
         async with open_fleet(monkeypatch) as fleet:
             await fleet.start(FLEET_SIZE)
             recipient = fleet.instances[4]
-            beat = Beat("x", 1, "a", "10.9.9.9:1", False, 0, 0, [], 0, {}, "", 1)
+            beat = HeartbeatMessage("x", 1, "a", "10.9.9.9:1", False, 0, 0, [], 0, {}, "", 1)
             inner = Bundle("x", False, [item_of("x", 1, encode(beat))])
-            recipient.group._take(Bundle("x", True, [item_of("x", 2, encode(inner))]), 0.0)
-            assert "x" not in recipient.group.heard_within(SILENCE_S)
+            recipient.group._handle_message(
+                Bundle("x", True, [item_of("x", 2, encode(inner))]), 0.0
+            )
+            assert "x" not in recipient.group.peers_seen_within(PEER_SILENCE_TIMEOUT_S)
 
 
 def item_of(sender: str, number: int, data: bytes) -> BundleItem:
@@ -455,14 +464,14 @@
 def reserve_work(origin: Instance, key: str, endpoint: str) -> None:
     ends_at = trio.current_time() + 8.0
     origin.capacity.reserve(key, Reservation(endpoint, Role.DECODE, 100, ends_at, 8.0))
-    origin.group.note_work(key)
+    origin.group.announce_work(key)
 
 
 def data_centres_that_know(fleet: Fleet, origin: Instance, key: str) -> set[str]:
     """Return the data centres in which all instances but the origin know some work."""
     known = {item.data_centre for item in fleet.all_except(origin)}
     for item in fleet.all_except(origin):
-        if not item.capacity.knows(origin.name, key):
+        if not item.capacity.has_reservation(origin.name, key):
             known.discard(item.data_centre)
     return known
 
@@ -478,13 +487,13 @@
         await trio.sleep(10.0)
         processed: list[str] = []
         recipient = fleet.instances[4].group
-        original = recipient._take_beat
+        original = recipient._handle_heartbeat
 
-        def take(beat: Beat, age_s: float) -> None:
+        def take(beat: HeartbeatMessage, age_s: float) -> None:
             processed.append(beat.name)
             original(beat, age_s)
 
-        monkeypatch.setattr(recipient, "_take_beat", take)
+        monkeypatch.setattr(recipient, "_handle_heartbeat", take)
         await fleet.check_connected(fleet.instances, 5.0)
         # Only the few that are sent directly.
         assert len(processed) < 5 * 8
--- a/cleatlink/relay/peers/heard.py
+++ b/cleatlink/relay/peers/live_peers.py
@@ -4,11 +4,11 @@
 from collections.abc import Iterable, Set
 from typing import NamedTuple
 
-from cleatlink.members.leadership import Hearing
-from cleatlink.members.reflectors import Candidate
-from cleatlink.relay.peers.messages import Beat, Member, Roster
+from cleatlink.members.leadership import PeerReports
+from cleatlink.members.reflectors import ReflectorCandidate
+from cleatlink.relay.peers.messages import HeartbeatMessage, Member, Roster
 
-__all__ = ["HeardPeers", "LostPeer"]
+__all__ = ["LivePeers", "RemovedPeer"]
 
 # Time without a heartbeat after which a peer and its work are removed, in seconds.
 _PEER_EXPIRY_S = 4.0
@@ -18,7 +18,7 @@
 _LEFT_RETENTION_S = 60.0
 
 
-class LostPeer(NamedTuple):
+class RemovedPeer(NamedTuple):
     """A removed peer, and the seconds since its last heartbeat."""
 
     name: str
@@ -28,11 +28,11 @@
 class _LivePeer(NamedTuple):
     """The last heartbeat of a peer, and when it was sent."""
 
-    beat: Beat
+    beat: HeartbeatMessage
     heard_at: float
 
 
-class HeardPeers:
+class LivePeers:
     """Tracks the peers of one instance; methods that depend on the time take it as an argument.
 
     A peer is live from its first heartbeat until it has been silent for ``_PEER_EXPIRY_S``.
@@ -50,7 +50,7 @@
         self._configured_addresses = frozenset(configured)
         self._peers: dict[str, _LivePeer] = {}
         self._addresses = dict.fromkeys(self._configured_addresses, now)
-        self._most_members = 1
+        self._peak_live_instances = 1
         # Instances listed in rosters, and when instances announced that they leave.
         self._reported: set[str] = set()
         self._left_at: dict[str, float] = {}
@@ -64,14 +64,14 @@
         return set(self._peers)
 
     @property
-    def beats(self) -> list[Beat]:
+    def heartbeats(self) -> list[HeartbeatMessage]:
         """The last heartbeats of the live peers."""
         return [peer.beat for peer in self._peers.values()]
 
     @property
-    def most_members(self) -> int:
+    def peak_live_instances(self) -> int:
         """The highest number of simultaneously live instances, including this one."""
-        return self._most_members
+        return self._peak_live_instances
 
     @property
     def known_addresses(self) -> list[str]:
@@ -90,11 +90,11 @@
             addresses[peer.beat.data_centre].append(peer.beat.address)
         return addresses
 
-    def unheard_addresses(self) -> list[str]:
+    def addresses_without_live_peer(self) -> list[str]:
         """Return the known addresses without a live peer."""
         return list(self._addresses.keys() - set(self.addresses))
 
-    def earlier_addresses(self, data_centres: Set[str] | None = None) -> list[str]:
+    def addresses_without_bundle_support(self, data_centres: Set[str] | None = None) -> list[str]:
         """Return the addresses of live peers whose builds do not support bundles.
 
         Args:
@@ -107,7 +107,7 @@
             if not beat.size and (data_centres is None or beat.data_centre in data_centres)
         ]
 
-    def bundle_addresses(self, data_centre: str | None = None) -> list[str]:
+    def addresses_with_bundle_support(self, data_centre: str | None = None) -> list[str]:
         """Return the addresses of live peers that support bundles.
 
         Args:
@@ -125,10 +125,10 @@
         peer = self._peers.get(name)
         return None if peer is None else peer.beat.address
 
-    def candidates(self, now: float) -> list[Candidate]:
+    def reflector_candidates(self, now: float) -> list[ReflectorCandidate]:
         """Return the peers that may act as reflectors."""
         return [
-            Candidate(name, peer.beat.data_centre, peer.beat.size, now - peer.heard_at)
+            ReflectorCandidate(name, peer.beat.data_centre, peer.beat.size, now - peer.heard_at)
             for name, peer in self._peers.items()
             if not peer.beat.leaving
         ]
@@ -138,7 +138,7 @@
         peer = self._peers.get(name)
         return None if peer is None else peer.beat.incarnation
 
-    def heard_within(self, seconds: float, now: float) -> set[str]:
+    def seen_within(self, seconds: float, now: float) -> set[str]:
         """Return the peers whose last heartbeat is at most this many seconds old."""
         return {name for name, peer in self._peers.items() if now - peer.heard_at <= seconds}
 
@@ -147,23 +147,23 @@
         return [
             name
             for name, peer in self._peers.items()
-            if peer.beat.finds_source
+            if peer.beat.source_is_reachable
             and peer.beat.data_centre == data_centre
             and not peer.beat.leaving
             and now - peer.heard_at <= silence_s
         ]
 
-    def hearing(self, silence_s: float, now: float) -> Hearing:
+    def leader_election_input(self, silence_s: float, now: float) -> PeerReports:
         """Return what recently seen peers reported for leader election."""
-        beats = {name: self._peers[name].beat for name in self.heard_within(silence_s, now)}
-        return Hearing(
-            {name: beat.vote for name, beat in beats.items()},
+        beats = {name: self._peers[name].beat for name in self.seen_within(silence_s, now)}
+        return PeerReports(
+            {name: beat.leader_vote for name, beat in beats.items()},
             set(self._reported),
-            max((beat.members for beat in beats.values()), default=0),
+            max((beat.member_count for beat in beats.values()), default=0),
             set(self._left_at),
         )
 
-    def is_old(self, beat: Beat) -> bool:
+    def is_outdated(self, beat: HeartbeatMessage) -> bool:
         """Check whether a later heartbeat of the same sender was already received."""
         peer = self._peers.get(beat.name)
         if peer is None:
@@ -173,12 +173,12 @@
             return beat.incarnation < last.incarnation
         return 0 < beat.number < last.number
 
-    def is_last(self, beat: Beat) -> bool:
+    def is_latest(self, beat: HeartbeatMessage) -> bool:
         """Check whether this is the heartbeat recorded for its sender."""
         peer = self._peers.get(beat.name)
         return peer is not None and peer.beat is beat
 
-    def note_again(self, name: str, now: float) -> Beat | None:
+    def record_repeated_heartbeat(self, name: str, now: float) -> HeartbeatMessage | None:
         """Record a repetition of a peer's last heartbeat.
 
         Args:
@@ -196,7 +196,7 @@
         self._addresses[peer.beat.address] = now
         return peer.beat
 
-    def note_beat(self, beat: Beat, now: float) -> bool:
+    def record_heartbeat(self, beat: HeartbeatMessage, now: float) -> bool:
         """Record a heartbeat and return whether its sender is new.
 
         Args:
@@ -207,7 +207,7 @@
         is_new = previous is None
         heard_at = now if previous is None else max(now, previous.heard_at)
         self._peers[beat.name] = _LivePeer(beat, heard_at)
-        self._most_members = max(self._most_members, len(self._peers) + 1)
+        self._peak_live_instances = max(self._peak_live_instances, len(self._peers) + 1)
         self._addresses[beat.address] = now
         if beat.leaving:
             self._left_at[beat.name] = now
@@ -216,7 +216,7 @@
             self._left_at.pop(beat.name, None)
         return is_new
 
-    def note_roster(self, roster: Roster, now: float) -> list[str]:
+    def record_roster(self, roster: Roster, now: float) -> list[str]:
         """Record the instances that a peer knows and return the addresses that are new."""
         new_addresses = []
         for member in roster.members:
@@ -228,15 +228,15 @@
                 new_addresses.append(member.address)
         return new_addresses
 
-    def member(self, name: str) -> Member:
+    def roster_entry(self, name: str) -> Member:
         """Return the roster entry of an instance; without an address if it is not live."""
         peer = self._peers.get(name)
         return Member(name, "" if peer is None else peer.beat.address)
 
-    def forget_silent(self, now: float) -> list[LostPeer]:
+    def remove_expired(self, now: float) -> list[RemovedPeer]:
         """Remove expired peers, addresses and departures, and return the removed peers."""
         lost = [
-            LostPeer(name, now - peer.heard_at)
+            RemovedPeer(name, now - peer.heard_at)
             for name, peer in self._peers.items()
             if now - peer.heard_at > _PEER_EXPIRY_S
         ]
