--- a/cleatlink/relay/peers/messages.py
+++ b/cleatlink/relay/peers/messages.py
@@ -5,44 +5,48 @@
 from cleatlink.core.revisions import StoreRevision
 from cleatlink.relay.peers.endpoint_messages import (
     CrashItem,
-    CrashNews,
+    CrashUpdate,
     EndpointHint,
-    EndpointPaceNews,
-    EndpointSpending,
+    EndpointLimitUsage,
+    EndpointNoticeUpdate,
+    EndpointSpeedUpdate,
     HintKind,
-    NoticeNews,
-    PaceItem,
-    ShedNews,
+    OverloadUpdate,
+    SpeedMeasurement,
 )
-from cleatlink.relay.peers.snapshots import RecordItem, Snapshot
-from cleatlink.relay.peers.waiting_messages import PlainCalls, WaitItem, WaitNews
-from cleatlink.relay.peers.work_messages import Changes, WorkItem, WorkList
+from cleatlink.relay.peers.snapshots import RegistrationRecord, Snapshot
+from cleatlink.relay.peers.wait_queue_messages import (
+    PlainCallTotals,
+    WaitQueueItem,
+    WaitQueueUpdate,
+)
+from cleatlink.relay.peers.work_messages import WorkChanges, WorkItem, WorkList
 from cleatlink.routing.fleet_records import EndpointRecord
-from cleatlink.routing.pace import PaceSummary
+from cleatlink.routing.service_times import ServiceTimeSummary
 
 __all__ = [
-    "Beat",
+    "HeartbeatMessage",
     "Bundle",
     "BundleItem",
-    "Changes",
+    "WorkChanges",
     "CrashItem",
-    "CrashNews",
+    "CrashUpdate",
     "EndpointHint",
-    "EndpointPaceNews",
-    "EndpointSpending",
+    "EndpointSpeedUpdate",
+    "EndpointLimitUsage",
     "HintKind",
     "Member",
     "Message",
-    "NoticeNews",
-    "PaceItem",
-    "PaceNews",
-    "PlainCalls",
+    "EndpointNoticeUpdate",
+    "SpeedMeasurement",
+    "ServiceTimeUpdate",
+    "PlainCallTotals",
     "Roster",
-    "ShedNews",
-    "SourceNews",
-    "Spending",
-    "WaitItem",
-    "WaitNews",
+    "OverloadUpdate",
+    "RegistrationUpdate",
+    "OrganisationUsage",
+    "WaitQueueItem",
+    "WaitQueueUpdate",
     "WorkItem",
     "WorkList",
     "decode_datagram",
@@ -50,7 +54,7 @@
 ]
 
 
-class Beat(msgspec.Struct, array_like=True, frozen=True, tag="b"):
+class HeartbeatMessage(msgspec.Struct, array_like=True, frozen=True, tag="b"):
     """Heartbeat of an instance; it is sent to every peer and has to stay small.
 
     Attributes:
@@ -59,21 +63,21 @@
         data_centre: Data centre of the sender.
         address: Address at which the sender receives messages from peers.
         leaving: Whether the sender is stopping.
-        table: Revision of the route table that the sender uses.
-        newest: Revision number of the newest registration that the sender knows.
+        table_revision: Revision of the route table that the sender uses.
+        newest_registration: Revision number of the newest registration that the sender knows.
         work: All work that the sender has placed and that has not ended.
-        fence: Highest fencing token of any order that the sender knows of.
-        switching: Endpoints that are changing their role, with the remaining seconds.
-        vote: Instance that the sender considers the leader; empty for none.
-        members: Number of instances that the sender has ever known.
+        highest_fence: Highest fencing token of any order that the sender knows of.
+        switching_endpoints: Endpoints that are changing their role, with the remaining seconds.
+        leader_vote: Instance that the sender considers the leader; empty for none.
+        member_count: Number of instances that the sender has ever known.
         totals: Units that the sender has admitted since its start, by organisation; only the
             organisations whose total changed recently.
-        spenders: Number of organisations for which the sender has admitted units.
+        used_name_count: Number of organisations for which the sender has admitted units.
         age_s: Whole seconds since the sender's start.
         era: Era of the store revision that ``newest`` belongs to.
-        limited_endpoints: Number of endpoints from whose limits the sender has taken units.
-        finds_source: Whether the sender's last call to the configuration service was answered,
-            so that the sender can watch the service for other instances.
+        limited_endpoint_count: Number of endpoints from whose limits the sender has taken units.
+        source_is_reachable: Whether the sender's last call to the configuration service was
+            answered, so that the sender can watch the service for other instances.
         size: CPU capacity of the sender, in cores; 0 if the sender does not accept bundles.
         number: Sequence number of the message; 0 if the sender does not number its messages.
         work_apart: Whether the sender's work is sent in separate messages and ``work`` is empty.
@@ -84,27 +88,27 @@
     data_centre: str
     address: str
     leaving: bool
-    table: int
-    newest: int
+    table_revision: int
+    newest_registration: int
     work: list[WorkItem]
-    fence: int
-    switching: dict[str, float]
-    vote: str
-    members: int
+    highest_fence: int
+    switching_endpoints: dict[str, float]
+    leader_vote: str
+    member_count: int
     totals: dict[str, int] = {}
-    spenders: int = 0
+    used_name_count: int = 0
     age_s: int = 0
     era: int = 0
-    limited_endpoints: int = 0
-    finds_source: bool = False
+    limited_endpoint_count: int = 0
+    source_is_reachable: bool = False
     size: float = 0.0
     number: int = 0
     work_apart: bool = False
 
     @property
-    def newest_revision(self) -> StoreRevision:
+    def newest_registration_revision(self) -> StoreRevision:
         """Store revision of the newest registration that the sender knows."""
-        return StoreRevision(self.era, self.newest)
+        return StoreRevision(self.era, self.newest_registration)
 
 
 class Member(msgspec.Struct, array_like=True, frozen=True):
@@ -121,19 +125,19 @@
     members: list[Member]
 
 
-class PaceNews(msgspec.Struct, array_like=True, frozen=True, tag="p"):
+class ServiceTimeUpdate(msgspec.Struct, array_like=True, frozen=True, tag="p"):
     """Service rates that the sender knows; the message is sent to a few peers at a time.
 
     Attributes:
         name: Name of the sender.
-        paces: Measured rates by service name, with the age of each measurement in seconds.
+        service_times: Measured rates by service name, with the age of each measurement in seconds.
     """
 
     name: str
-    paces: dict[str, tuple[PaceSummary, float]]
+    service_times: dict[str, tuple[ServiceTimeSummary, float]]
 
 
-class Spending(msgspec.Struct, array_like=True, frozen=True, tag="s"):
+class OrganisationUsage(msgspec.Struct, array_like=True, frozen=True, tag="s"):
     """Units that the sender has admitted for organisations, sent without waiting for a heartbeat.
 
     Attributes:
@@ -142,7 +146,7 @@
         totals: Units admitted since the sender's start, by organisation.
         levels: Remaining units of each limit, for a peer that is starting; empty for others.
         age_s: Seconds for which the sender has counted admitted units.
-        spenders: Number of organisations for which the sender has admitted units.
+        used_name_count: Number of organisations for which the sender has admitted units.
     """
 
     name: str
@@ -150,26 +154,26 @@
     totals: dict[str, int]
     levels: dict[str, float]
     age_s: float
-    spenders: int
+    used_name_count: int
 
 
 class BundleItem(msgspec.Struct, array_like=True, frozen=True):
     """An encoded message of one instance in a bundle.
 
     Attributes:
-        sender: Instance that created the message.
+        origin: Instance that created the message.
         incarnation: Start number of that instance; it grows with each start.
         number: Sequence number of the message at that instance.
         age_ms: Total time for which the message was held on its way, in milliseconds.
-        urgent: Whether the message is forwarded at once instead of with the next bundle.
+        is_urgent: Whether the message is forwarded at once instead of with the next bundle.
         data: The encoded message.
     """
 
-    sender: str
+    origin: str
     incarnation: int
     number: int
     age_ms: int
-    urgent: bool
+    is_urgent: bool
     data: bytes
 
 
@@ -178,36 +182,37 @@
 
     Attributes:
         name: Name of the instance that sent the bundle.
-        pass_on: Whether the receiver forwards the items to the instances of its data centre.
+        forward: Whether the receiver forwards the items to the instances of its data centre.
         items: The messages in the bundle.
     """
 
     name: str
-    pass_on: bool
+    forward: bool
     items: list[BundleItem]
 
 
-class SourceNews(msgspec.Struct, array_like=True, frozen=True, tag="g"):
+class RegistrationUpdate(msgspec.Struct, array_like=True, frozen=True, tag="g"):
     """Changed registrations, sent by an instance that watches the service for its data centre.
 
     Attributes:
         name: Name of the sender.
         era: Era of the store revisions.
-        after: Revision number that the changes follow: a receiver that knows all changes up to
-            it knows all changes up to ``revision`` after applying this message.
+        base_revision: Revision number that the changes follow: a receiver that knows all changes up
+            to it knows all changes up to ``revision`` after applying this message.
         revision: Revision number up to which the message has all changes.
         records: The changed registrations.
-        found_ago_s: Seconds since the configuration service became reachable for the sender again.
+        reachable_for_s: Seconds since the configuration service became reachable for the sender
+            again.
     """
 
     name: str
     era: int
-    after: int
+    base_revision: int
     revision: int
-    records: list[RecordItem]
-    found_ago_s: float
+    records: list[RegistrationRecord]
+    reachable_for_s: float
 
-    def changes(self) -> list[EndpointRecord]:
+    def endpoint_records(self) -> list[EndpointRecord]:
         """Return the changed registrations as endpoint records."""
         return [
             EndpointRecord(
@@ -218,22 +223,22 @@
 
 
 Message = (
-    Beat
-    | Changes
+    HeartbeatMessage
+    | WorkChanges
     | Roster
-    | PaceNews
+    | ServiceTimeUpdate
     | EndpointHint
-    | Spending
-    | CrashNews
-    | NoticeNews
-    | EndpointSpending
-    | EndpointPaceNews
-    | ShedNews
-    | SourceNews
+    | OrganisationUsage
+    | CrashUpdate
+    | EndpointNoticeUpdate
+    | EndpointLimitUsage
+    | EndpointSpeedUpdate
+    | OverloadUpdate
+    | RegistrationUpdate
     | WorkList
     | Bundle
-    | WaitNews
-    | PlainCalls
+    | WaitQueueUpdate
+    | PlainCallTotals
 )
 _DECODER = msgspec.msgpack.Decoder(Message)
 
--- a/cleatlink/relay/peers/limit_news.py
+++ b/cleatlink/relay/peers/organisation_usage_channel.py
@@ -2,13 +2,13 @@
 
 import trio
 
-from cleatlink.limits import HEARD_S, PeerTotals, SharedLimits
-from cleatlink.members.presence import Presence
+from cleatlink.limits import PEER_TIMEOUT_S, PeerTotals, SharedLimits
+from cleatlink.members.presence import InstancePresence
 from cleatlink.organisations import OrganisationLimits
-from cleatlink.relay.peers.messages import Beat, Spending
-from cleatlink.relay.peers.news import NewsChannel
+from cleatlink.relay.peers.messages import HeartbeatMessage, OrganisationUsage
+from cleatlink.relay.peers.update_channel import UpdateChannel
 
-__all__ = ["LimitNews"]
+__all__ = ["OrganisationUsageChannel"]
 
 # Interval between messages while little of a limit remains, in seconds. In a simulation, an
 # organisation at eight times its limit fills its fullest window to 0.83 of the admissible units.
@@ -17,7 +17,7 @@
 _MAX_ORGANISATIONS = 200
 
 
-class LimitNews(NewsChannel):
+class OrganisationUsageChannel(UpdateChannel):
     """Channel for the usage of limits that hold over all instances together."""
 
     def __init__(
@@ -40,14 +40,14 @@
         self._name = name
         self._incarnation = incarnation
         self._limits = limits
-        self._presence = Presence()
+        self._presence = InstancePresence()
         self._has_urgent_usage = trio.Event()
 
-    def note_spending(self) -> None:
+    def request_usage_report(self) -> None:
         """Request a message to peers soon, because little of an organisation's limit remains."""
         self._has_urgent_usage.set()
 
-    async def next(self) -> list[Spending]:
+    async def next_messages(self) -> list[OrganisationUsage]:
         """Wait until usage has to be reported at once and return the message to every peer."""
         await trio.sleep(_USAGE_INTERVAL_S)
         await self._has_urgent_usage.wait()
@@ -55,15 +55,15 @@
         now = trio.current_time()
         return [self._message(self._limits.totals(now), {}, now)]
 
-    def repeat(self) -> list[Spending]:
+    def repeated_messages(self) -> list[OrganisationUsage]:
         """Return no messages: heartbeats include the admitted units."""
         return []
 
-    def introduction(self) -> list[Spending]:
+    def initial_messages(self) -> list[OrganisationUsage]:
         """Return all totals and levels for a new peer, split into messages of bounded size."""
         now = trio.current_time()
         limits = self._limits
-        totals, levels = limits.totals(now, whole=True), limits.levels(now)
+        totals, levels = limits.totals(now, include_unchanged=True), limits.levels(now)
         names = list(levels)
         parts = [
             names[start : start + _MAX_ORGANISATIONS]
@@ -78,31 +78,36 @@
             for part in parts
         ]
 
-    def _message(self, totals: dict[str, int], levels: dict[str, float], now: float) -> Spending:
+    def _message(
+        self, totals: dict[str, int], levels: dict[str, float], now: float
+    ) -> OrganisationUsage:
         limits = self._limits
-        age_s = round(limits.age_s(now), 3)
-        return Spending(self._name, self._incarnation, totals, levels, age_s, limits.spenders)
+        age_s = round(limits.uptime_s(now), 3)
+        return OrganisationUsage(
+            self._name, self._incarnation, totals, levels, age_s, limits.used_name_count
+        )
 
-    def take_spending(self, usage: Spending, now: float) -> None:
+    def record_usage(self, usage: OrganisationUsage, now: float) -> None:
         """Record the units that a peer admitted, and its levels if it has counted for longer."""
         if usage.levels:
-            self._limits.adopt(usage.levels, usage.age_s, now)
+            self._limits.adopt_levels(usage.levels, usage.age_s, now)
         self._take_totals(usage, now)
 
-    def note_again(self, name: str, sent_at: float, now: float) -> bool:
+    def record_repeated_heartbeat(self, name: str, sent_at: float, now: float) -> bool:
         """Record a heartbeat that equals the previous one of the peer.
 
         Returns:
             False if the heartbeat has to be decoded and recorded in full instead.
         """
-        self._presence.note_heard(name, sent_at)
+        self._presence.record_heartbeat(name, sent_at)
         # The list makes both calls run, even if the first one returns False.
         were_known = [
-            limits.note_again(name, now) for limits in (self._limits, self._endpoint_limits)
+            limits.note_unchanged_report(name, now)
+            for limits in (self._limits, self._endpoint_limits)
         ]
         return all(were_known)
 
-    def take_beat(self, heartbeat: Beat, sent_at: float, now: float) -> None:
+    def record_heartbeat(self, heartbeat: HeartbeatMessage, sent_at: float, now: float) -> None:
         """Record from a heartbeat the units that a peer admitted, and whether the peer is leaving.
 
         The share of reachable instances is updated separately, after some heartbeats.
@@ -113,25 +118,33 @@
             now: Current time.
         """
         if heartbeat.leaving:
-            self._presence.note_leaving(heartbeat.name)
+            self._presence.record_leaving(heartbeat.name)
         else:
-            self._presence.note_heard(heartbeat.name, sent_at)
+            self._presence.record_heartbeat(heartbeat.name, sent_at)
         self._take_totals(heartbeat, now)
         # The peer reports units of endpoints' limits when it takes them. Its heartbeats show that
         # it took no others.
         endpoint_totals = PeerTotals(
-            heartbeat.name, heartbeat.incarnation, {}, heartbeat.limited_endpoints, heartbeat.age_s
+            heartbeat.name,
+            heartbeat.incarnation,
+            {},
+            heartbeat.limited_endpoint_count,
+            heartbeat.age_s,
         )
         self._endpoint_limits.take_totals(endpoint_totals, now)
 
-    def _take_totals(self, message: Beat | Spending, now: float) -> None:
+    def _take_totals(self, message: HeartbeatMessage | OrganisationUsage, now: float) -> None:
         totals = PeerTotals(
-            message.name, message.incarnation, message.totals, message.spenders, message.age_s
+            message.name,
+            message.incarnation,
+            message.totals,
+            message.used_name_count,
+            message.age_s,
         )
         self._limits.take_totals(totals, now)
 
-    def look(self, now: float) -> None:
+    def update_reachable_share(self, now: float) -> None:
         """Update the share of instances that are reachable now, on which the limits depend."""
-        share = self._presence.heard_share(HEARD_S, now)
-        self._limits.note_heard(share, now)
-        self._endpoint_limits.note_heard(share, now)
+        share = self._presence.live_share(PEER_TIMEOUT_S, now)
+        self._limits.set_reachable_share(share, now)
+        self._endpoint_limits.set_reachable_share(share, now)
--- a/cleatlink/relay/peers/limit_news_test.py
+++ b/cleatlink/relay/peers/organisation_usage_channel_test.py
@@ -3,17 +3,17 @@
 import pytest
 import trio
 
-from cleatlink.core.organisations import Organisation, TokenLimit
+from cleatlink.core.organisations import Organisation, UsageLimit
 from cleatlink.organisations import LimitTolerance, OrganisationLimits
-from cleatlink.relay.peers.limit_news import LimitNews
 from cleatlink.relay.peers.messages import encode
+from cleatlink.relay.peers.organisation_usage_channel import OrganisationUsageChannel
 from cleatlink.routing.endpoint_limits import EndpointLimits
 
 pytestmark = pytest.mark.virtual_time
 
 DATAGRAM_BYTES = 60_000
 EXACT = LimitTolerance(0.0, 0.0, 8.0)
-LIMIT = TokenLimit(1.0, 100.0, counts_tokens=True)
+LIMIT = UsageLimit(1.0, 100.0, counts_tokens=True)
 ORGANISATIONS = [Organisation(f"organisation-{n}", (), None, LIMIT) for n in range(3_000)]
 
 
@@ -29,11 +29,11 @@
     now = trio.current_time()
     limits, new_limits = create_limits(now - 500.0), create_limits(now)
     for organisation in ORGANISATIONS:
-        assert limits.ask(organisation, 90, now).granted
-    messages = LimitNews("n1", 1, limits, EndpointLimits(now)).introduction()
+        assert limits.admit(organisation, 90, now).granted
+    messages = OrganisationUsageChannel("n1", 1, limits, EndpointLimits(now)).initial_messages()
     assert max(len(encode(message)) for message in messages) < DATAGRAM_BYTES / 2
-    new = LimitNews("n2", 1, new_limits, EndpointLimits(now))
+    new = OrganisationUsageChannel("n2", 1, new_limits, EndpointLimits(now))
     for message in messages:
-        new.take_spending(message, now)
+        new.record_usage(message, now)
     assert set(new_limits.levels(now).values()) == {10.0}
     assert sum(len(message.totals) for message in messages) == len(ORGANISATIONS)
--- a/cleatlink/relay/peers/shed_news.py
+++ b/cleatlink/relay/peers/overload_channel.py
@@ -2,10 +2,10 @@
 
 import trio
 
-from cleatlink.relay.peers.messages import ShedNews
-from cleatlink.relay.peers.news import NewsChannel
+from cleatlink.relay.peers.messages import OverloadUpdate
+from cleatlink.relay.peers.update_channel import UpdateChannel
 
-__all__ = ["ShedNewsChannel"]
+__all__ = ["OverloadChannel"]
 
 # Delay within which rejections are collected for one message, in seconds.
 _COALESCE_DELAY_S = 0.005
@@ -13,7 +13,7 @@
 _MAX_ENDPOINTS = 16
 
 
-class ShedNewsChannel(NewsChannel):
+class OverloadChannel(UpdateChannel):
     """Channel for rejections for overload; a lost message costs a peer one rejected call."""
 
     def __init__(self, name: str) -> None:
@@ -21,7 +21,7 @@
         self._refused: dict[str, int] = {}
         self._changed = trio.Event()
 
-    def tell(self, endpoint: str, tokens: int) -> None:
+    def report_rejection(self, endpoint: str, tokens: int) -> None:
         """Queue a report of a decode endpoint that rejected a stream.
 
         Args:
@@ -31,18 +31,18 @@
         self._refused[endpoint] = min(tokens, self._refused.get(endpoint, tokens))
         self._changed.set()
 
-    async def next(self) -> list[ShedNews]:
+    async def next_messages(self) -> list[OverloadUpdate]:
         """Wait for updates and return the messages to send to every peer."""
         await self._changed.wait()
         await trio.sleep(_COALESCE_DELAY_S)
         self._changed = trio.Event()
         refused, self._refused = self._refused, {}
-        return [ShedNews(self._name, sorted(refused.items())[:_MAX_ENDPOINTS])]
+        return [OverloadUpdate(self._name, sorted(refused.items())[:_MAX_ENDPOINTS])]
 
-    def repeat(self) -> list[ShedNews]:
+    def repeated_messages(self) -> list[OverloadUpdate]:
         """Return no messages: a rejection is out of date within a second."""
         return []
 
-    def introduction(self) -> list[ShedNews]:
+    def initial_messages(self) -> list[OverloadUpdate]:
         """Return no messages: a rejection is out of date within a second."""
         return []
--- a/cleatlink/relay/peers/peer_copier.py
+++ b/cleatlink/relay/peers/peer_copier.py
@@ -8,11 +8,11 @@
 
 from cleatlink.core.errors import PeerError
 from cleatlink.relay.metrics import RelayMetrics
-from cleatlink.relay.peers.heard import HeardPeers
 from cleatlink.relay.peers.hooks import PeerHooks
-from cleatlink.relay.peers.messages import Beat
+from cleatlink.relay.peers.live_peers import LivePeers
+from cleatlink.relay.peers.messages import HeartbeatMessage
 from cleatlink.relay.peers.peer_copy import fetch_snapshot
-from cleatlink.relay.peers.snapshots import Part
+from cleatlink.relay.peers.snapshots import SnapshotPart
 
 __all__ = ["PeerCopier"]
 
@@ -27,7 +27,7 @@
         self,
         data_centre: str,
         hooks: PeerHooks,
-        live_peers: HeardPeers,
+        live_peers: LivePeers,
         metrics: RelayMetrics,
         rng: random.Random,
     ) -> None:
@@ -46,7 +46,7 @@
         self._metrics = metrics
         self._rng = rng
 
-    def peers_with(self, has_missing: Callable[[Beat], bool]) -> list[Beat]:
+    def peers_with(self, has_missing: Callable[[HeartbeatMessage], bool]) -> list[HeartbeatMessage]:
         """Return the heartbeats of peers that have the missing state, in order of preference.
 
         Peers of this data centre come first and leaving peers last.
@@ -54,22 +54,22 @@
         Args:
             has_missing: Return whether a peer has the missing state, judged by its heartbeat.
         """
-        found = [beat for beat in self._live_peers.beats if has_missing(beat)]
+        found = [beat for beat in self._live_peers.heartbeats if has_missing(beat)]
         self._rng.shuffle(found)
         return sorted(found, key=lambda beat: (beat.leaving, not self.is_local(beat)))
 
-    def is_local(self, beat: Beat) -> bool:
+    def is_local(self, beat: HeartbeatMessage) -> bool:
         """Check whether a peer is in this data centre."""
         return beat.data_centre == self._data_centre
 
-    async def copy(self, beat: Beat, part: Part) -> None:
+    async def copy(self, beat: HeartbeatMessage, part: SnapshotPart) -> None:
         """Copy a part of a peer's state; a failure is logged."""
         started_at = trio.current_time()
         try:
             copy = await fetch_snapshot(beat.address, part)
         except PeerError as error:
             eliot.log_message(
-                message_type="peers: can't fetch",
+                message_type="peers: failed to copy state from a peer",
                 peer=beat.name,
                 part=part.name.lower(),
                 error=repr(error),
@@ -77,13 +77,13 @@
             )
             return
         self._hooks.on_snapshot(copy.snapshot)
-        self._metrics.count_message("snapshot")
+        self._metrics.count_peer_message("snapshot")
         eliot.log_message(
-            message_type="peers: took what a peer knows",
+            message_type="peers: copied state from a peer",
             peer=beat.name,
             part=part.name.lower(),
-            table=beat.table,
-            newest=beat.newest,
+            table=beat.table_revision,
+            newest=beat.newest_registration,
             era=beat.era,
             bytes=copy.transferred_bytes,
             took_ms=_ms_since(started_at),
--- a/cleatlink/relay/peers/peer_copy.py
+++ b/cleatlink/relay/peers/peer_copy.py
@@ -7,11 +7,11 @@
 
 from cleatlink.core.errors import EndpointError, PeerError
 from cleatlink.relay.endpoints.connection import EndpointConnection
-from cleatlink.relay.endpoints.protocol import OutgoingRequest, ReplyHead
-from cleatlink.relay.peers.deflate import ACCEPT_DEFLATE, DEFLATE, decompress
-from cleatlink.relay.peers.snapshots import Part, Snapshot, decode_snapshot
+from cleatlink.relay.endpoints.protocol import OutgoingRequest, ResponseHead
+from cleatlink.relay.peers.deflate import ACCEPT_DEFLATE_HEADER, DEFLATE_CODING, decompress
+from cleatlink.relay.peers.snapshots import Snapshot, SnapshotPart, decode_snapshot
 
-__all__ = ["Part", "PeerCopy", "fetch_snapshot"]
+__all__ = ["SnapshotPart", "PeerCopy", "fetch_snapshot"]
 
 # Timeout for the connection, and for the head of the response, in seconds.
 _HEAD_TIMEOUT_S = 1.0
@@ -37,11 +37,11 @@
 
 
 class _Response(NamedTuple):
-    head: ReplyHead
+    head: ResponseHead
     body: bytes
 
 
-async def fetch_snapshot(address: str, part: Part) -> PeerCopy:
+async def fetch_snapshot(address: str, part: SnapshotPart) -> PeerCopy:
     """Fetch a part of a peer's state.
 
     Args:
@@ -59,13 +59,13 @@
         raise PeerError(f"{address}{part.value.decode()}: {error!r}") from error
 
 
-async def _request(address: str, part: Part) -> _Response:
+async def _request(address: str, part: SnapshotPart) -> _Response:
     connection = await EndpointConnection.open(address, _IDLE_TIMEOUT_S, _HEAD_TIMEOUT_S)
     try:
-        headers = ((b"Host", address.encode()), ACCEPT_DEFLATE)
+        headers = ((b"Host", address.encode()), ACCEPT_DEFLATE_HEADER)
         with trio.fail_after(_HEAD_TIMEOUT_S):
             head = await connection.exchange(OutgoingRequest(b"GET", part.value, headers, b""))
-        body = await connection.read_body(_MAX_BODY_BYTES, silence_s=_IDLE_TIMEOUT_S)
+        body = await connection.read_body(_MAX_BODY_BYTES, silence_timeout_s=_IDLE_TIMEOUT_S)
         return _Response(head, body)
     finally:
         connection.close()
@@ -82,6 +82,6 @@
     coding = response.head.get(b"content-encoding")
     if coding is None:
         return response.body
-    if coding.lower() != DEFLATE:
+    if coding.lower() != DEFLATE_CODING:
         raise PeerError(f"unsupported content coding {coding!r}")
     return decompress(response.body, _MAX_BODY_BYTES)
--- a/cleatlink/relay/peers/peer_copy_test.py
+++ b/cleatlink/relay/peers/peer_copy_test.py
@@ -12,8 +12,8 @@
 from cleatlink.core.routes import CallerLimits, RouteTable
 from cleatlink.relay.peers import peer_copy
 from cleatlink.relay.peers.messages import encode
-from cleatlink.relay.peers.peer_copy import Part, fetch_snapshot
-from cleatlink.relay.peers.snapshots import RecordItem, Snapshot, decode_snapshot
+from cleatlink.relay.peers.peer_copy import SnapshotPart, fetch_snapshot
+from cleatlink.relay.peers.snapshots import RegistrationRecord, Snapshot, decode_snapshot
 from standins.relay import RawCall, RawServer, Worker
 from standins.relay.client import Caller
 from standins.relay.example import start
@@ -22,7 +22,7 @@
 
 pytestmark = pytest.mark.virtual_time
 
-SNAPSHOT = Snapshot(RouteTable(9, (), {}, CallerLimits()), [RecordItem("one", 7, None)], 8)
+SNAPSHOT = Snapshot(RouteTable(9, (), {}, CallerLimits()), [RegistrationRecord("one", 7, None)], 8)
 ENCODED = encode(SNAPSHOT)
 DEFLATE_HEADERS = {"Content-Encoding": "deflate"}
 COMPRESSED_ZEROS = zlib.compress(b"\x00" * 100_000)
@@ -73,13 +73,15 @@
         yield fleet
 
 
-@pytest.mark.parametrize("part", Part)
-async def test_instance_sends_only_the_requested_part_compressed(part: Part) -> None:
+@pytest.mark.parametrize("part", SnapshotPart)
+async def test_instance_sends_only_the_requested_part_compressed(part: SnapshotPart) -> None:
     async with fleet_of_one() as fleet:
         records = fleet.instances[0].records
         copy = await fetch_snapshot(fleet.peer_address(), part)
-        assert copy.snapshot.table == (None if part is Part.REGISTRATIONS else records.table)
-        expected = [] if part is Part.TABLE else list(records.records)
+        assert copy.snapshot.table == (
+            None if part is SnapshotPart.REGISTRATIONS else records.table
+        )
+        expected = [] if part is SnapshotPart.TABLE else list(records.records)
         assert copy.snapshot.endpoint_records() == expected
         assert copy.transferred_bytes < len(encode(copy.snapshot))
 
@@ -94,12 +96,16 @@
         reply = await caller.ask(path)
         assert reply.status == 200
         assert "content-encoding" not in reply.headers
-        assert reply.body == encode(Snapshot.of(records.table, records.records, records.revision))
+        assert reply.body == encode(
+            Snapshot.from_records(records.table, records.records, records.complete_revision)
+        )
         assert decode_snapshot(reply.body).table == records.table
 
 
-@pytest.mark.parametrize("part", Part)
-async def test_uncompressed_whole_snapshot_of_an_earlier_build_is_accepted(part: Part) -> None:
+@pytest.mark.parametrize("part", SnapshotPart)
+async def test_uncompressed_whole_snapshot_of_an_earlier_build_is_accepted(
+    part: SnapshotPart,
+) -> None:
     async with running(FixedResponsePeer(answer(200, {}, ENCODED))) as peer:
         copy = await fetch_snapshot(peer.address, part)
         assert copy.snapshot == SNAPSHOT
@@ -110,11 +116,11 @@
 
 async def test_slow_fetch_is_not_aborted_while_bytes_arrive() -> None:
     names = [hashlib.sha256(b"%d" % number).hexdigest() for number in range(100)]
-    large = Snapshot(SNAPSHOT.table, [RecordItem(name, 7, None) for name in names], 8)
+    large = Snapshot(SNAPSHOT.table, [RegistrationRecord(name, 7, None) for name in names], 8)
     data = answer(200, DEFLATE_HEADERS, zlib.compress(encode(large)))
     async with running(FixedResponsePeer(data, parts=12, pause_s=0.5)) as peer:
         started_at = trio.current_time()
-        copy = await fetch_snapshot(peer.address, Part.TABLE)
+        copy = await fetch_snapshot(peer.address, SnapshotPart.TABLE)
         assert copy.snapshot == large
         assert trio.current_time() - started_at > 5.0
 
@@ -134,7 +140,7 @@
     async with running(FixedResponsePeer(data, 1000, pause_s, head_delay_s=head_delay_s)) as peer:
         started_at = trio.current_time()
         with pytest.raises(PeerError, match=error):
-            await fetch_snapshot(peer.address, Part.TABLE)
+            await fetch_snapshot(peer.address, SnapshotPart.TABLE)
         assert trio.current_time() - started_at == pytest.approx(expected_s, abs=0.1)
 
 
@@ -153,12 +159,12 @@
 async def test_invalid_response_raises_peer_error(data: bytes) -> None:
     async with running(FixedResponsePeer(data)) as peer:
         with pytest.raises(PeerError):
-            await fetch_snapshot(peer.address, Part.TABLE)
+            await fetch_snapshot(peer.address, SnapshotPart.TABLE)
 
 
 async def test_refused_connection_raises_peer_error() -> None:
     with pytest.raises(PeerError):
-        await fetch_snapshot(str(free_address()), Part.TABLE)
+        await fetch_snapshot(str(free_address()), SnapshotPart.TABLE)
 
 
 @pytest.mark.parametrize(
@@ -174,4 +180,4 @@
     monkeypatch.setattr(peer_copy, "_MAX_BODY_BYTES", 10_000)
     async with running(FixedResponsePeer(data)) as peer:
         with pytest.raises(PeerError, match="too long|more than 10000 bytes"):
-            await fetch_snapshot(peer.address, Part.WHOLE)
+            await fetch_snapshot(peer.address, SnapshotPart.WHOLE)
--- a/cleatlink/relay/peers/plain_news.py
+++ b/cleatlink/relay/peers/plain_call_channel.py
@@ -4,13 +4,13 @@
 
 import trio
 
-from cleatlink.relay.peers.messages import PlainCalls
-from cleatlink.relay.peers.news import NewsChannel
+from cleatlink.relay.peers.messages import PlainCallTotals
+from cleatlink.relay.peers.update_channel import UpdateChannel
 from cleatlink.routing.capacity import Capacity
 from cleatlink.routing.mechanisms import Mechanism
-from cleatlink.routing.plain_load import CallTotals, Demand, EndpointTotals
+from cleatlink.routing.plain_load import DemandKey, EndpointTotals, PeerCallTotals
 
-__all__ = ["PlainNews"]
+__all__ = ["PlainCallChannel"]
 
 # Pause between two messages while a service is nearly full, in seconds: peers learn of a burst
 # about as soon as an endpoint's queue can grow.
@@ -28,7 +28,7 @@
 _MAX_RETURNS = 6
 
 
-class PlainNews(NewsChannel):
+class PlainCallChannel(UpdateChannel):
     """Channel for the totals of plain calls of the instances."""
 
     def __init__(self, name: str, incarnation: int, capacity: Capacity) -> None:
@@ -42,31 +42,31 @@
         self._name = name
         self._incarnation = incarnation
         self._capacity = capacity
-        self._load = capacity.plain
+        self._load = capacity.plain_load
         self._rng = random.Random(incarnation)
-        self._reported_arrivals: dict[Demand, int] = {}
+        self._reported_arrivals: dict[DemandKey, int] = {}
         self._reported_endpoints: dict[str, EndpointTotals] = {}
         self._reported_at = trio.current_time()
 
-    async def next(self) -> list[PlainCalls]:
+    async def next_messages(self) -> list[PlainCallTotals]:
         """Wait for updates and return the messages to send to every peer."""
-        if not self._capacity.switches.uses(Mechanism.PLAIN_ADMISSION):
+        if not self._capacity.switches.is_enabled(Mechanism.PLAIN_ADMISSION):
             await trio.sleep_forever()
         while True:
             await trio.sleep(_BUSY_PAUSE_S * (1 + _JITTER_SHARE * self._rng.random()))
             now = trio.current_time()
-            if not self._load.is_busy(now) and now - self._reported_at < _IDLE_INTERVAL_S:
+            if not self._load.is_nearly_full(now) and now - self._reported_at < _IDLE_INTERVAL_S:
                 continue
             message = self._changes(now)
             if message is not None:
                 self._reported_at = now
                 return [message]
 
-    def repeat(self) -> list[PlainCalls]:
+    def repeated_messages(self) -> list[PlainCallTotals]:
         """Return no messages: the totals in the next message make up for a lost one."""
         return []
 
-    def introduction(self) -> list[PlainCalls]:
+    def initial_messages(self) -> list[PlainCallTotals]:
         """Return the totals, as a base from which a new peer computes later increases."""
         arrived = dict(list(self._reported_arrivals.items())[:_MAX_DEMANDS])
         endpoints = dict(list(self._reported_endpoints.items())[:_MAX_ENDPOINTS])
@@ -74,14 +74,14 @@
             return []
         return [self._message(arrived, endpoints, [], trio.current_time())]
 
-    def _changes(self, now: float) -> PlainCalls | None:
+    def _changes(self, now: float) -> PlainCallTotals | None:
         """Return the changes since the last messages, or None if there are none."""
         arrived = {
             key: count
-            for key, count in self._load.arrivals.items()
+            for key, count in self._load.arrival_totals.items()
             if self._reported_arrivals.get(key) != count
         }
-        totals = self._load.totals(now)
+        totals = self._load.endpoint_totals(now)
         reported = {
             incarnation: item
             for incarnation, item in self._reported_endpoints.items()
@@ -93,7 +93,7 @@
             for incarnation, item in totals.items()
             if reported.get(incarnation) != item
         }
-        returns = self._capacity.plain_returns.untold(_MAX_RETURNS, now)
+        returns = self._capacity.expected_plain_retries.take_unannounced(_MAX_RETURNS, now)
         if not arrived and not endpoints and not returns:
             return None
         arrived = dict(list(arrived.items())[:_MAX_DEMANDS])
@@ -109,15 +109,15 @@
 
     def _message(
         self,
-        arrived: dict[Demand, int],
+        arrived: dict[DemandKey, int],
         endpoints: dict[str, EndpointTotals],
         returns: list[tuple[bytes, float]],
         now: float,
-    ) -> PlainCalls:
-        return PlainCalls(
+    ) -> PlainCallTotals:
+        return PlainCallTotals(
             self._name,
             self._incarnation,
-            round(self._load.age_s(now), 3),
+            round(self._load.uptime_s(now), 3),
             [(key.service, key.rank, count) for key, count in arrived.items()],
             [
                 (incarnation, totals.ended, int(1000 * totals.busy_s), totals.refused)
@@ -126,16 +126,16 @@
             [(identity, round(left_s, 2)) for identity, left_s in returns],
         )
 
-    def take(self, calls: PlainCalls) -> None:
+    def record_totals(self, calls: PlainCallTotals) -> None:
         """Record the totals and the refused requests of a peer."""
         now = trio.current_time()
-        arrived = {Demand(service, rank): count for service, rank, count in calls.arrived}
+        arrived = {DemandKey(service, rank): count for service, rank, count in calls.arrivals}
         endpoints = {
             endpoint_incarnation: EndpointTotals(ended, busy_ms / 1000, refused)
-            for endpoint_incarnation, ended, busy_ms, refused in calls.endpoints
+            for endpoint_incarnation, ended, busy_ms, refused in calls.endpoint_totals
         }
-        self._load.take(
-            CallTotals(calls.name, calls.incarnation, calls.age_s, arrived, endpoints), now
+        self._load.update_peer(
+            PeerCallTotals(calls.name, calls.incarnation, calls.age_s, arrived, endpoints), now
         )
-        for identity, left_s in calls.returns:
-            self._capacity.plain_returns.expect_told(identity, now + left_s)
+        for identity, left_s in calls.expected_retries:
+            self._capacity.expected_plain_retries.note_refusal(identity, now + left_s)
--- a/cleatlink/relay/peers/registration_catch_up.py
+++ b/cleatlink/relay/peers/registration_catch_up.py
@@ -12,9 +12,9 @@
 from cleatlink.core.revisions import StoreRevision
 from cleatlink.relay.peers.catch_up_rounds import CatchUpRounds
 from cleatlink.relay.peers.hooks import PeerHooks
-from cleatlink.relay.peers.messages import Beat
+from cleatlink.relay.peers.messages import HeartbeatMessage
 from cleatlink.relay.peers.peer_copier import PeerCopier
-from cleatlink.relay.peers.snapshots import Part
+from cleatlink.relay.peers.snapshots import SnapshotPart
 
 __all__ = ["RegistrationCatchUp"]
 
@@ -39,19 +39,19 @@
         self._copier = copier
         self._rng = rng
 
-    def revision_of(self, beat: Beat) -> StoreRevision:
+    def revision_of(self, beat: HeartbeatMessage) -> StoreRevision:
         """Return the newest registration revision that a peer knows."""
-        return beat.newest_revision
+        return beat.newest_registration_revision
 
     def local_revision(self) -> StoreRevision:
         """Return the newest registration revision that this instance knows."""
-        return self._hooks.state().newest
+        return self._hooks.state().newest_revision
 
     def is_later(self, revision: StoreRevision, than: StoreRevision) -> bool:
         """Check whether a revision is later than another one."""
         return revision > than
 
-    async def fetch(self, beat: Beat) -> None:
+    async def fetch(self, beat: HeartbeatMessage) -> None:
         """Query the configuration service again; if that does not help, copy from a peer."""
         self._hooks.poll_service()
         await trio.sleep(_SERVICE_WAIT_S * (1 + self._rng.random()))
@@ -59,4 +59,4 @@
             return
         peers = self._copier.peers_with(self.is_behind)
         if peers:
-            await self._copier.copy(peers[0], Part.REGISTRATIONS)
+            await self._copier.copy(peers[0], SnapshotPart.REGISTRATIONS)
--- a/cleatlink/relay/peers/source_news.py
+++ b/cleatlink/relay/peers/registration_channel.py
@@ -8,18 +8,18 @@
 
 from cleatlink.core.revisions import StoreRevision
 from cleatlink.relay.following.source import SourceChange
-from cleatlink.relay.peers.messages import SourceNews
-from cleatlink.relay.peers.news import NewsChannel
-from cleatlink.relay.peers.snapshots import RecordItem
+from cleatlink.relay.peers.messages import RegistrationUpdate
+from cleatlink.relay.peers.snapshots import RegistrationRecord
+from cleatlink.relay.peers.update_channel import UpdateChannel
 
-__all__ = ["SourceNewsChannel"]
+__all__ = ["RegistrationChannel"]
 
 # Maximum size of the records in one message, in bytes; it is below the capacity of a bundle.
 _MAX_RECORDS_BYTES = 16_000
 _ENCODER = msgspec.msgpack.Encoder()
 
 
-class SourceNewsChannel(NewsChannel):
+class RegistrationChannel(UpdateChannel):
     """Channel for registration changes.
 
     Instances that watch the configuration service report changes at once. An instance that misses
@@ -28,15 +28,15 @@
 
     def __init__(self, name: str) -> None:
         self._name = name
-        self._pending: list[SourceNews] = []
+        self._pending: list[RegistrationUpdate] = []
         self._has_pending = trio.Event()
 
     @property
-    def is_local(self) -> bool:
+    def is_data_centre_local(self) -> bool:
         """True: each data centre has its own instances that watch the service."""
         return True
 
-    def tell(self, after: StoreRevision, change: SourceChange, found_ago_s: float) -> None:
+    def report_change(self, after: StoreRevision, change: SourceChange, found_ago_s: float) -> None:
         """Queue messages about a change.
 
         Args:
@@ -45,11 +45,11 @@
             found_ago_s: Seconds since the configuration service became reachable again.
         """
         revision = change.revision
-        is_next = not change.whole and revision.era == after.era and revision > after
+        is_next = not change.is_full and revision.era == after.era and revision > after
         if not is_next:
             return
         records = [
-            RecordItem(item.name, item.revision.number, item.endpoint, item.fault)
+            RegistrationRecord(item.name, item.revision.number, item.endpoint, item.fault)
             for item in change.records
         ]
         *earlier_parts, last_part = _split(records)
@@ -61,35 +61,42 @@
         self._has_pending.set()
 
     def _add(
-        self, era: int, after: int, revision: int, records: list[RecordItem], found_ago_s: float
+        self,
+        era: int,
+        after: int,
+        revision: int,
+        records: list[RegistrationRecord],
+        found_ago_s: float,
     ) -> None:
-        message = SourceNews(self._name, era, after, revision, records, round(found_ago_s, 3))
+        message = RegistrationUpdate(
+            self._name, era, after, revision, records, round(found_ago_s, 3)
+        )
         self._pending.append(message)
 
-    async def next(self) -> list[SourceNews]:
+    async def next_messages(self) -> list[RegistrationUpdate]:
         """Wait for changes and return the messages to send to the peers of this data centre."""
         await self._has_pending.wait()
         self._has_pending = trio.Event()
         messages, self._pending = self._pending, []
         return messages
 
-    def repeat(self) -> list[SourceNews]:
+    def repeated_messages(self) -> list[RegistrationUpdate]:
         """Return no messages: a peer sees a missed revision in heartbeats and requests it."""
         return []
 
-    def introduction(self) -> list[SourceNews]:
+    def initial_messages(self) -> list[RegistrationUpdate]:
         """Return no messages: a new peer reads all registrations itself."""
         return []
 
 
-def _split(records: list[RecordItem]) -> list[list[RecordItem]]:
+def _split(records: list[RegistrationRecord]) -> list[list[RegistrationRecord]]:
     """Split records, in the order of their revisions, into parts that fit a message each.
 
     Records of one revision stay together, because a receiver of a part regards all revisions of
     the part as known.
     """
     by_revision = attrgetter("revision")
-    parts: list[list[RecordItem]] = [[]]
+    parts: list[list[RegistrationRecord]] = [[]]
     size = 0
     for _, group in groupby(sorted(records, key=by_revision), by_revision):
         items = list(group)
--- a/cleatlink/relay/peers/source_news_test.py
+++ b/cleatlink/relay/peers/registration_channel_test.py
@@ -5,13 +5,13 @@
 import trio.testing
 
 from cleatlink.core.data import Role
-from cleatlink.core.decoding import FaultKind, ReadFault
+from cleatlink.core.decoding import ReadFault, ReadFaultKind
 from cleatlink.core.revisions import StoreRevision
 from cleatlink.core.routes import RoutedEndpoint
-from cleatlink.relay.following.follower_test import Fleet
+from cleatlink.relay.following.follower_test import FollowerFleet
 from cleatlink.relay.following.source import SourceChange
-from cleatlink.relay.peers.messages import SourceNews, encode
-from cleatlink.relay.peers.source_news import SourceNewsChannel
+from cleatlink.relay.peers.messages import RegistrationUpdate, encode
+from cleatlink.relay.peers.registration_channel import RegistrationChannel
 from cleatlink.routing.fleet_records import EndpointRecord
 
 pytestmark = pytest.mark.virtual_time
@@ -29,15 +29,15 @@
 
 def create_change(records: list[EndpointRecord], revision: int) -> SourceChange:
     """Create a change that is not a whole list."""
-    return SourceChange(None, records, StoreRevision(1, revision), whole=False)
+    return SourceChange(None, records, StoreRevision(1, revision), is_full=False)
 
 
-async def report_change(change: SourceChange) -> list[SourceNews]:
+async def report_change(change: SourceChange) -> list[RegistrationUpdate]:
     """Return the messages that report a change."""
-    channel = SourceNewsChannel("n1")
-    channel.tell(StoreRevision(1, FIRST_REVISION), change, 60.0)
+    channel = RegistrationChannel("n1")
+    channel.report_change(StoreRevision(1, FIRST_REVISION), change, 60.0)
     with trio.move_on_after(1.0):
-        return await channel.next()
+        return await channel.next_messages()
     return []
 
 
@@ -48,12 +48,12 @@
     last = FIRST_REVISION + count + 3
     messages = await report_change(create_change(records[::-1], last))
     assert max(len(encode(message)) for message in messages) < DATAGRAM_BYTES / 2
-    assert [message.after for message in messages] == [
+    assert [message.base_revision for message in messages] == [
         FIRST_REVISION,
         *(message.revision for message in messages[:-1]),
     ]
     assert messages[-1].revision == last
-    assert [item for message in messages for item in message.changes()] == records
+    assert [item for message in messages for item in message.endpoint_records()] == records
 
 
 async def test_records_of_one_revision_are_in_one_message() -> None:
@@ -67,11 +67,11 @@
 
 
 async def test_change_without_records_or_with_unreadable_record_is_reported() -> None:
-    fault = ReadFault(FaultKind.JSON, "no JSON")
+    fault = ReadFault(ReadFaultKind.JSON, "no JSON")
     unreadable = EndpointRecord("e", StoreRevision(1, FIRST_REVISION + 1), None, fault)
     for records in ([], [unreadable]):
         (message,) = await report_change(create_change(records, FIRST_REVISION + 1))
-        assert (message.after, message.revision, message.changes()) == (
+        assert (message.base_revision, message.revision, message.endpoint_records()) == (
             FIRST_REVISION,
             FIRST_REVISION + 1,
             records,
@@ -83,14 +83,14 @@
     members: int, autojump_clock: trio.testing.MockClock
 ) -> None:
     """Guards against a call of every instance at once after a change with over 150 records."""
-    fleet = Fleet(members, 2)
+    fleet = FollowerFleet(members, 2)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(fleet.run)
         await trio.sleep(30.0)
         before = fleet.source.calls
         fleet.source.revision += 1_000
-        fleet.source.change()
+        fleet.source.change_registration()
         await trio.sleep(1.0)
-        assert fleet.complete() == members
+        assert fleet.count_up_to_date() == members
         assert fleet.source.calls - before <= 4
         nursery.cancel_scope.cancel()
--- a/cleatlink/relay/peers/shared_quarantine.py
+++ b/cleatlink/relay/peers/shared_quarantine.py
@@ -12,10 +12,16 @@
 import trio
 
 from cleatlink.core.routes import RoutedEndpoint
-from cleatlink.quarantine import CRASHES_TO_HOLD, CrashReport, Quarantine, Trial, Verdict
-from cleatlink.relay.peers.messages import CrashItem, CrashNews
-from cleatlink.relay.peers.news import NewsChannel
-from cleatlink.relay.status import HeldRequest
+from cleatlink.quarantine import (
+    CRASHES_TO_QUARANTINE,
+    CrashReport,
+    Quarantine,
+    QuarantineDecision,
+    Trial,
+)
+from cleatlink.relay.peers.messages import CrashItem, CrashUpdate
+from cleatlink.relay.peers.update_channel import UpdateChannel
+from cleatlink.relay.status import QuarantinedRequest
 
 __all__ = ["SharedQuarantine"]
 
@@ -29,7 +35,7 @@
 _OTHERS_REPEATED = 4
 
 
-class SharedQuarantine(NewsChannel):
+class SharedQuarantine(UpdateChannel):
     """The quarantine of this instance, shared with its peers."""
 
     def __init__(self, name: str, rng: random.Random) -> None:
@@ -51,32 +57,32 @@
         return self._quarantine.is_empty
 
     @property
-    def held(self) -> int:
+    def quarantined_count(self) -> int:
         """Number of requests that are in quarantine now."""
-        return len(self.held_requests())
+        return len(self.quarantined_requests())
 
-    def held_requests(self) -> list[HeldRequest]:
+    def quarantined_requests(self) -> list[QuarantinedRequest]:
         """Return the requests that are in quarantine now, with the evidence against them."""
         now = trio.current_time()
         held_requests = []
-        for identity, blame in self._quarantine.evidence.blames().items():
-            verdict = self._quarantine.judge(identity, now)
-            if verdict.is_held:
+        for identity, blame in self._quarantine.evidence.attributions().items():
+            verdict = self._quarantine.decide(identity, now)
+            if verdict.is_quarantined:
                 held_requests.append(
-                    HeldRequest(
+                    QuarantinedRequest(
                         asks=identity.hex(),
-                        endpoints=list(blame.lives),
-                        last_ago_s=round(now - blame.last_at, 1),
+                        endpoints=list(blame.incarnations),
+                        last_ago_s=round(now - blame.last_crash_at, 1),
                         for_s=round(verdict.retry_after_s, 1),
                     )
                 )
         return held_requests
 
-    def judge(self, identity: bytes) -> Verdict:
+    def decide(self, identity: bytes) -> QuarantineDecision:
         """Decide whether a request may run."""
-        return self._quarantine.judge(identity, trio.current_time())
+        return self._quarantine.decide(identity, trio.current_time())
 
-    def note_crash(self, endpoint: RoutedEndpoint, suspects: Mapping[bytes, float]) -> None:
+    def record_crash(self, endpoint: RoutedEndpoint, suspects: Mapping[bytes, float]) -> None:
         """Record the crash of an endpoint with requests of this instance in progress.
 
         Args:
@@ -86,13 +92,13 @@
         if self._add_report(CrashReport(endpoint.name, 0.0, suspects)):
             self._queue_update(endpoint.name)
 
-    def note_served(self, identity: bytes) -> None:
+    def record_completed(self, identity: bytes) -> None:
         """Record that a request completed, which clears it of the crashes so far."""
         if not self._quarantine.evidence.suspicion(identity):
             return
-        incarnations = self._quarantine.evidence.clear(identity)
+        incarnations = self._quarantine.evidence.clear_request(identity)
         eliot.log_message(
-            message_type="quarantine: clears a request",
+            message_type="quarantine: request completed; clearing it of earlier crashes",
             asks=identity.hex(),
             crashes=len(incarnations),
         )
@@ -101,25 +107,27 @@
     def begin_trial(self, identity: bytes) -> None:
         """Record the start of the single trial of a request whose quarantine is over."""
         self._quarantine.begin_trial(identity, trio.current_time())
-        eliot.log_message(message_type="quarantine: tries a request", asks=identity.hex())
+        eliot.log_message(
+            message_type="quarantine: starting the trial of a request", asks=identity.hex()
+        )
         self._queue_update()
 
     def _add_report(self, report: CrashReport) -> bool:
         """Add a crash report to the evidence; return whether it contained anything new."""
         now = trio.current_time()
-        before = self._quarantine.evidence.blames()
-        if not self._quarantine.take_report(report, now):
+        before = self._quarantine.evidence.attributions()
+        if not self._quarantine.add_report(report, now):
             return False
-        for identity, blame in self._quarantine.evidence.blames().items():
+        for identity, blame in self._quarantine.evidence.attributions().items():
             known = before.get(identity)
-            is_new = known is None or known.crashes < blame.crashes
-            if is_new and blame.crashes >= CRASHES_TO_HOLD:
+            is_new = known is None or known.independent_crashes < blame.independent_crashes
+            if is_new and blame.independent_crashes >= CRASHES_TO_QUARANTINE:
                 eliot.log_message(
-                    message_type="quarantine: holds a request back",
+                    message_type="quarantine: request held back after repeated crashes",
                     asks=identity.hex(),
-                    crashes=blame.crashes,
-                    endpoints=blame.lives,
-                    for_s=round(self._quarantine.judge(identity, now).retry_after_s, 1),
+                    crashes=blame.independent_crashes,
+                    endpoints=blame.incarnations,
+                    for_s=round(self._quarantine.decide(identity, now).retry_after_s, 1),
                 )
         return True
 
@@ -127,7 +135,7 @@
         self._changed.update(incarnations)
         self._wake.set()
 
-    async def next(self) -> list[CrashNews]:
+    async def next_messages(self) -> list[CrashUpdate]:
         """Wait for new evidence and return the messages for all peers."""
         await self._wake.wait()
         await trio.sleep(_GATHER_S)
@@ -135,37 +143,41 @@
         changed, self._changed = self._changed, set()
         return self._messages(sorted(changed))
 
-    def repeat(self) -> list[CrashNews]:
+    def repeated_messages(self) -> list[CrashUpdate]:
         """Return the evidence that a heartbeat repeats to a few peers."""
-        incarnations = self._quarantine.evidence.lives()
+        incarnations = self._quarantine.evidence.crashed_incarnations()
         newest, others = incarnations[:_NEWEST_REPEATED], incarnations[_NEWEST_REPEATED:]
         chosen = self._rng.sample(others, min(_OTHERS_REPEATED, len(others)))
         return self._messages(newest + chosen) if incarnations else []
 
-    def introduction(self) -> list[CrashNews]:
+    def initial_messages(self) -> list[CrashUpdate]:
         """Return all evidence, for a new peer."""
-        return [] if self.is_empty else self._messages(self._quarantine.evidence.lives())
+        return (
+            []
+            if self.is_empty
+            else self._messages(self._quarantine.evidence.crashed_incarnations())
+        )
 
-    def _messages(self, incarnations: list[str]) -> list[CrashNews]:
+    def _messages(self, incarnations: list[str]) -> list[CrashUpdate]:
         now = trio.current_time()
         reports = [
-            self._quarantine.evidence.report(incarnation, now) for incarnation in incarnations
+            self._quarantine.evidence.crash_report(incarnation, now) for incarnation in incarnations
         ]
-        items = [CrashItem.of(report) for report in reports if report is not None]
-        trials = [(trial.identity, trial.age_s) for trial in self._quarantine.trials(now)]
+        items = [CrashItem.from_report(report) for report in reports if report is not None]
+        trials = [(trial.identity, trial.age_s) for trial in self._quarantine.active_trials(now)]
         parts = list(_split(items)) or ([[]] if trials else [])
-        return [CrashNews(self._name, part, trials) for part in parts]
+        return [CrashUpdate(self._name, part, trials) for part in parts]
 
-    def take(self, update: CrashNews) -> None:
+    def record_update(self, update: CrashUpdate) -> None:
         """Add the evidence and the trials that a peer reported."""
         for item in update.crashes:
-            self._add_report(item.report())
+            self._add_report(item.to_report())
         trials = (Trial(identity, age_s) for identity, age_s in update.trials)
-        self._quarantine.take_trials(trials, trio.current_time())
+        self._quarantine.add_peer_trials(trials, trio.current_time())
 
-    def keep_house(self) -> None:
+    def remove_expired(self) -> None:
         """Forget expired evidence and trials."""
-        self._quarantine.forget(trio.current_time())
+        self._quarantine.remove_expired(trio.current_time())
 
 
 def _split(items: list[CrashItem]) -> Iterator[list[CrashItem]]:
--- a/cleatlink/relay/peers/snapshots.py
+++ b/cleatlink/relay/peers/snapshots.py
@@ -10,10 +10,10 @@
 from cleatlink.core.routes import RoutedEndpoint, RouteTable
 from cleatlink.routing.fleet_records import EndpointRecord
 
-__all__ = ["Part", "RecordItem", "Snapshot", "decode_snapshot"]
+__all__ = ["SnapshotPart", "RegistrationRecord", "Snapshot", "decode_snapshot"]
 
 
-class Part(Enum):
+class SnapshotPart(Enum):
     """A part of an instance's state; the value is the request path."""
 
     TABLE = b"/table"
@@ -21,13 +21,13 @@
     WHOLE = b"/snapshot"
 
     @classmethod
-    def of_target(cls, target: bytes) -> "Part":
+    def from_path(cls, target: bytes) -> "SnapshotPart":
         """Return the part that a request path selects; unknown paths select the whole state."""
         path = target.partition(b"?")[0]
         return next((part for part in cls if part.value == path), cls.WHOLE)
 
 
-class RecordItem(msgspec.Struct, array_like=True, frozen=True):
+class RegistrationRecord(msgspec.Struct, array_like=True, frozen=True):
     """A registration at a revision; the snapshot holds the era of the revision separately.
 
     No fields can be added: earlier builds decode it as a tuple of these four.
@@ -57,13 +57,13 @@
     """
 
     table: RouteTable | None
-    records: list[RecordItem]
+    records: list[RegistrationRecord]
     revision: int
     era: int = 0
     eras: list[int] = []
 
     @classmethod
-    def of(
+    def from_records(
         cls, table: RouteTable | None, records: Iterable[EndpointRecord], revision: StoreRevision
     ) -> "Snapshot":
         """Build a snapshot.
@@ -75,7 +75,7 @@
         """
         record_list = list(records)
         items = [
-            RecordItem(item.name, item.revision.number, item.endpoint, item.fault)
+            RegistrationRecord(item.name, item.revision.number, item.endpoint, item.fault)
             for item in record_list
         ]
         eras = [item.revision.era for item in record_list]
--- a/cleatlink/relay/peers/news.py
+++ b/cleatlink/relay/peers/update_channel.py
@@ -5,10 +5,10 @@
 
 from cleatlink.relay.peers.messages import Message
 
-__all__ = ["NewsChannel"]
+__all__ = ["UpdateChannel"]
 
 
-class NewsChannel(ABC):
+class UpdateChannel(ABC):
     """Source of one kind of update for peers.
 
     Datagrams can be lost, and instances can restart or be disconnected. Each heartbeat therefore
@@ -16,23 +16,23 @@
     """
 
     @property
-    def is_local(self) -> bool:
+    def is_data_centre_local(self) -> bool:
         """Whether updates go only to peers of this instance's data centre."""
         return False
 
     @property
-    def bears_delay(self) -> bool:
+    def tolerates_delay(self) -> bool:
         """Whether updates may be delayed by some tens of milliseconds to be sent in bundles."""
         return True
 
     @abstractmethod
-    async def next(self) -> Sequence[Message]:
+    async def next_messages(self) -> Sequence[Message]:
         """Wait for updates and return the messages to send to every peer."""
 
     @abstractmethod
-    def repeat(self) -> Sequence[Message]:
+    def repeated_messages(self) -> Sequence[Message]:
         """Return the messages that are repeated to a few peers with each heartbeat."""
 
     @abstractmethod
-    def introduction(self) -> Sequence[Message]:
+    def initial_messages(self) -> Sequence[Message]:
         """Return messages with the complete state, for a new peer."""
--- a/cleatlink/relay/peers/waiting_news.py
+++ b/cleatlink/relay/peers/wait_queue_channel.py
@@ -2,11 +2,11 @@
 
 import trio
 
-from cleatlink.relay.peers.messages import WaitItem, WaitNews
-from cleatlink.relay.peers.news import NewsChannel
-from cleatlink.routing.shared_waiting import SharedWaiting, WaitingReport
+from cleatlink.relay.peers.messages import WaitQueueItem, WaitQueueUpdate
+from cleatlink.relay.peers.update_channel import UpdateChannel
+from cleatlink.routing.shared_wait_queues import SharedWaitQueues, WaitQueueReport
 
-__all__ = ["WaitingNews"]
+__all__ = ["WaitQueueChannel"]
 
 # Delay before an update, in seconds; streams that get capacity within it are not reported.
 _COALESCE_DELAY_S = 0.1
@@ -19,11 +19,11 @@
 _MAX_GROUPS = 8
 
 
-class WaitingNews(NewsChannel):
+class WaitQueueChannel(UpdateChannel):
     """Channel for the streams that are queued for capacity at the instances."""
 
     def __init__(
-        self, name: str, incarnation: int, data_centre: str, waiting: SharedWaiting
+        self, name: str, incarnation: int, data_centre: str, waiting: SharedWaitQueues
     ) -> None:
         """Initialise the channel without pending updates.
 
@@ -40,12 +40,12 @@
         self._number = 0
         self._has_reported_streams = False
         self._changed = trio.Event()
-        waiting.listen(self._note_changed)
+        waiting.set_change_listener(self._note_changed)
 
     def _note_changed(self) -> None:
         self._changed.set()
 
-    async def next(self) -> list[WaitNews]:
+    async def next_messages(self) -> list[WaitQueueUpdate]:
         """Wait for updates and return the messages to send to every peer."""
         await trio.sleep(_MIN_PAUSE_S)
         with trio.move_on_after(
@@ -57,30 +57,34 @@
         if not self._waiting.is_in_use:
             return []
         message = self._message()
-        if not message.items and not self._has_reported_streams:
+        if not message.groups and not self._has_reported_streams:
             return []
-        self._has_reported_streams = bool(message.items)
+        self._has_reported_streams = bool(message.groups)
         return [message]
 
-    def repeat(self) -> list[WaitNews]:
+    def repeated_messages(self) -> list[WaitQueueUpdate]:
         """Return no messages: queued streams are reported to all peers repeatedly."""
         return []
 
-    def introduction(self) -> list[WaitNews]:
+    def initial_messages(self) -> list[WaitQueueUpdate]:
         """Return the queued streams of this instance, for a new peer."""
         return [self._message()] if self._has_reported_streams else []
 
-    def _message(self) -> WaitNews:
+    def _message(self) -> WaitQueueUpdate:
         self._number += 1
-        items = [WaitItem.of(group) for group in self._waiting.own()[:_MAX_GROUPS]]
-        return WaitNews(self._name, self._incarnation, self._number, self._data_centre, items)
+        items = [
+            WaitQueueItem.from_group(group) for group in self._waiting.local_groups()[:_MAX_GROUPS]
+        ]
+        return WaitQueueUpdate(
+            self._name, self._incarnation, self._number, self._data_centre, items
+        )
 
-    def take(self, message: WaitNews) -> None:
+    def record_queue(self, message: WaitQueueUpdate) -> None:
         """Record the queued streams of a peer."""
         if message.name == self._name:
             return
-        groups = tuple(item.group() for item in message.items)
-        report = WaitingReport(
+        groups = tuple(item.to_group() for item in message.groups)
+        report = WaitQueueReport(
             message.name, message.incarnation, message.number, message.data_centre, groups
         )
-        self._waiting.note(report, trio.current_time())
+        self._waiting.add_report(report, trio.current_time())
--- a/cleatlink/relay/peers/waiting_messages.py
+++ b/cleatlink/relay/peers/wait_queue_messages.py
@@ -2,19 +2,19 @@
 
 import msgspec
 
-from cleatlink.routing.shared_waiting import WaitingGroup
+from cleatlink.routing.shared_wait_queues import WaitingGroup
 
 __all__ = [
-    "PlainCalls",
-    "WaitItem",
-    "WaitNews",
+    "PlainCallTotals",
+    "WaitQueueItem",
+    "WaitQueueUpdate",
 ]
 
 # Upper bound of the slack in a message, in seconds; it is longer than any stream waits.
 _MAX_SLACK_S = 3600.0
 
 
-class WaitItem(msgspec.Struct, array_like=True, frozen=True):
+class WaitQueueItem(msgspec.Struct, array_like=True, frozen=True):
     """Streams of one service and urgency that are queued for capacity at the sender.
 
     Attributes:
@@ -24,7 +24,7 @@
         streams: Number of queued streams.
         tokens: Memory that the streams hold at their ends, in total.
         oldest_s: Seconds since the oldest of the streams arrived.
-        spare_s: Slack: seconds that one of the streams can still wait and meet its target.
+        slack_s: Slack: seconds that one of the streams can still wait and meet its target.
     """
 
     service: str
@@ -33,21 +33,21 @@
     streams: int
     tokens: int
     oldest_s: float
-    spare_s: float
+    slack_s: float
 
     @classmethod
-    def of(cls, group: WaitingGroup) -> "WaitItem":
+    def from_group(cls, group: WaitingGroup) -> "WaitQueueItem":
         """Build an item from a group of queued streams."""
-        spare_s = round(min(_MAX_SLACK_S, group.spare_s), 2)
+        spare_s = round(min(_MAX_SLACK_S, group.slack_s), 2)
         oldest_s = round(group.oldest_s, 2)
-        return cls(*group._replace(oldest_s=oldest_s, spare_s=spare_s))
+        return cls(*group._replace(oldest_s=oldest_s, slack_s=spare_s))
 
-    def group(self) -> WaitingGroup:
+    def to_group(self) -> WaitingGroup:
         """Return the item as a group of queued streams."""
         return WaitingGroup(*msgspec.structs.astuple(self))
 
 
-class WaitNews(msgspec.Struct, array_like=True, frozen=True, tag="w"):
+class WaitQueueUpdate(msgspec.Struct, array_like=True, frozen=True, tag="w"):
     """All streams that are queued for capacity at the sender.
 
     A message replaces the earlier ones of the same sender.
@@ -57,17 +57,17 @@
         incarnation: Start number of the sender; it grows with each start.
         number: Sequence number of the sender's messages of this type.
         data_centre: Data centre of the sender.
-        items: Groups of queued streams, the most urgent first; their number is bounded.
+        groups: Groups of queued streams, the most urgent first; their number is bounded.
     """
 
     name: str
     incarnation: int
     number: int
     data_centre: str
-    items: list[WaitItem]
+    groups: list[WaitQueueItem]
 
 
-class PlainCalls(msgspec.Struct, array_like=True, frozen=True, tag="f"):
+class PlainCallTotals(msgspec.Struct, array_like=True, frozen=True, tag="f"):
     """Totals of the sender's plain calls since its start.
 
     A message has all totals, or those that changed recently.
@@ -76,17 +76,17 @@
         name: Name of the sender.
         incarnation: Start number of the sender; it grows with each start.
         age_s: Seconds since the start of the sender.
-        arrived: Services, each with a rank and the number of calls of that rank from callers.
-        endpoints: Endpoint incarnations, each with the number of calls that it completed, the
+        arrivals: Services, each with a rank and the number of calls of that rank from callers.
+        endpoint_totals: Endpoint incarnations, each with the number of calls that it completed, the
             milliseconds for which calls were in progress there, summed over the calls, and
             the number of calls that it refused.
-        returns: Identities of requests that have just been refused, with the seconds until their
-            callers may retry.
+        expected_retries: Identities of requests that have just been refused, with the seconds until
+            their callers may retry.
     """
 
     name: str
     incarnation: int
     age_s: float
-    arrived: list[tuple[str, int, int]]
-    endpoints: list[tuple[str, int, int, int]]
-    returns: list[tuple[bytes, float]]
+    arrivals: list[tuple[str, int, int]]
+    endpoint_totals: list[tuple[str, int, int, int]]
+    expected_retries: list[tuple[bytes, float]]
--- a/cleatlink/relay/peers/work_messages.py
+++ b/cleatlink/relay/peers/work_messages.py
@@ -6,7 +6,7 @@
 from cleatlink.routing.reservation import Reservation
 
 __all__ = [
-    "Changes",
+    "WorkChanges",
     "WorkItem",
     "WorkList",
 ]
@@ -22,9 +22,9 @@
         endpoint: Name of the endpoint.
         role: Role in which the endpoint does the work.
         tokens: Prompt tokens of a prefill; memory of a decode at its end, in tokens.
-        left_s: Seconds until the expected end of the work.
+        remaining_s: Seconds until the expected end of the work.
         duration_s: Expected total duration of the work, in seconds.
-        grows: The part of ``tokens`` that is added while the work runs.
+        growth_tokens: The part of ``tokens`` that is added while the work runs.
         suspicion: Number of endpoint crashes during which the request was in progress.
     """
 
@@ -32,13 +32,13 @@
     endpoint: str
     role: str
     tokens: int
-    left_s: float
+    remaining_s: float
     duration_s: float
-    grows: int
+    growth_tokens: int
     suspicion: int = 0
 
     @classmethod
-    def of(cls, key: str, work: Reservation, now: float) -> "WorkItem":
+    def from_reservation(cls, key: str, work: Reservation, now: float) -> "WorkItem":
         """Build an item from a reservation."""
         left_s = round(work.ends_at - now, 3)
         duration_s = round(work.duration_s, 3)
@@ -49,38 +49,38 @@
             work.tokens,
             left_s,
             duration_s,
-            work.grows,
+            work.growth_tokens,
             work.suspicion,
         )
 
-    def reservation(self, now: float) -> Reservation:
+    def to_reservation(self, now: float) -> Reservation:
         """Return the item as a reservation; an unknown role counts as plain."""
         return Reservation(
             self.endpoint,
             _ROLES.get(self.role, Role.PLAIN),
             self.tokens,
-            now + self.left_s,
+            now + self.remaining_s,
             self.duration_s,
-            self.grows,
+            self.growth_tokens,
             self.suspicion,
         )
 
 
-class Changes(msgspec.Struct, array_like=True, frozen=True, tag="c"):
+class WorkChanges(msgspec.Struct, array_like=True, frozen=True, tag="c"):
     """Work that the sender has just placed, and the keys of work that has ended.
 
     Attributes:
         name: Name of the sender.
         incarnation: Start number of the sender; it grows with each start.
         placed: Work that has been placed.
-        over: Keys of the work that has ended.
+        ended: Keys of the work that has ended.
         number: Sequence number of the sender's work messages; 0 if it does not number them.
     """
 
     name: str
     incarnation: int
     placed: list[WorkItem]
-    over: list[str]
+    ended: list[str]
     number: int = 0
 
 
--- a/cleatlink/relay/peers/work_news.py
+++ b/cleatlink/relay/peers/work_updates.py
@@ -11,19 +11,19 @@
 from collections.abc import Collection, Iterable
 
 from cleatlink.core.data import Role
-from cleatlink.relay.peers.messages import Changes, WorkItem, WorkList
+from cleatlink.relay.peers.messages import WorkChanges, WorkItem, WorkList
 from cleatlink.routing.capacity import Capacity
-from cleatlink.routing.fleet_sizes import FEW_PEERS
+from cleatlink.routing.fleet_sizes import MAX_DIRECT_PEERS
 from cleatlink.routing.reservation import Reservation
 
-__all__ = ["WorkNews"]
+__all__ = ["WorkUpdates"]
 
 
 # Interval between lists of all work, in seconds; a list corrects changes that were lost.
 _LIST_INTERVAL_S = 3.0
 
 
-class WorkNews:
+class WorkUpdates:
     """Tracks which work has been reported to the peers of each data centre."""
 
     def __init__(self, name: str, incarnation: int, data_centre: str, capacity: Capacity) -> None:
@@ -40,9 +40,9 @@
         self._listed_empty: set[str] = set()
         self._number = 0
 
-    def changes(
+    def changes_by_data_centre(
         self, changed: Iterable[str], data_centres: Collection[str], peers: int, now: float
-    ) -> dict[str, Changes]:
+    ) -> dict[str, WorkChanges]:
         """Return the changes that peers receive at once, by the data centre of the peers.
 
         Args:
@@ -51,7 +51,7 @@
             peers: Number of peers.
             now: Current time.
         """
-        own = self._capacity.own
+        own = self._capacity.own_reservations
         keys = sorted(changed)
         for key in keys:
             if key in own:
@@ -59,11 +59,15 @@
         messages = {}
         for data_centre in data_centres:
             immediate = [key for key in keys if self._is_immediate(key, data_centre, peers)]
-            placed = [WorkItem.of(key, own[key], now) for key in immediate if key in own]
+            placed = [
+                WorkItem.from_reservation(key, own[key], now) for key in immediate if key in own
+            ]
             over = [key for key in immediate if key not in own]
             if immediate:
                 number = self._next_number()
-                messages[data_centre] = Changes(self._name, self._incarnation, placed, over, number)
+                messages[data_centre] = WorkChanges(
+                    self._name, self._incarnation, placed, over, number
+                )
                 self._listed_empty.discard(data_centre)
             if len(immediate) < len(keys):
                 self._incomplete.add(data_centre)
@@ -72,23 +76,29 @@
                 self._work_data_centres.pop(key, None)
         return messages
 
-    def work(self, now: float) -> list[WorkItem]:
+    def work_items(self, now: float) -> list[WorkItem]:
         """Return all work of this instance that is reported to peers; plain calls are not."""
-        own = self._capacity.own.items()
-        return [WorkItem.of(key, item, now) for key, item in own if item.role is not Role.PLAIN]
-
-    def list_all(self, now: float) -> WorkList:
+        own = self._capacity.own_reservations.items()
+        return [
+            WorkItem.from_reservation(key, item, now)
+            for key, item in own
+            if item.role is not Role.PLAIN
+        ]
+
+    def work_list(self, now: float) -> WorkList:
         """Return a message with all work of this instance that is reported to peers."""
-        return WorkList(self._name, self._incarnation, self.work(now), self._next_number())
+        return WorkList(self._name, self._incarnation, self.work_items(now), self._next_number())
 
-    def due(self, data_centres: Collection[str], now: float) -> set[str]:
+    def take_due_data_centres(self, data_centres: Collection[str], now: float) -> set[str]:
         """Return the data centres that are due for a list of all work, and mark it as sent.
 
         Data centres that do not receive all changes at once get a list with each heartbeat
         after a change. The others get one at longer intervals, to correct lost changes.
         """
         due = {data_centre for data_centre in data_centres if self._is_due(data_centre, now)}
-        has_work = any(item.role is not Role.PLAIN for item in self._capacity.own.values())
+        has_work = any(
+            item.role is not Role.PLAIN for item in self._capacity.own_reservations.values()
+        )
         for data_centre in due:
             self._incomplete.discard(data_centre)
             self._listed_at[data_centre] = now
@@ -109,7 +119,7 @@
         return self._number
 
     def _is_immediate(self, key: str, data_centre: str, peers: int) -> bool:
-        if peers <= FEW_PEERS or data_centre == self._data_centre:
+        if peers <= MAX_DIRECT_PEERS or data_centre == self._data_centre:
             return True
         return self._work_data_centres.get(key) == data_centre
 
--- a/cleatlink/relay/peers/work_news_test.py
+++ b/cleatlink/relay/peers/work_updates_test.py
@@ -2,7 +2,7 @@
 
 from cleatlink.core.data import Role
 from cleatlink.core.routes import RoutedEndpoint
-from cleatlink.relay.peers.work_news import WorkNews
+from cleatlink.relay.peers.work_updates import WorkUpdates
 from cleatlink.routing.capacity import Capacity
 from cleatlink.routing.reservation import Reservation
 
@@ -25,17 +25,17 @@
 
 def test_all_peers_receive_all_changes_in_a_small_group() -> None:
     capacity = create_capacity()
-    updates = WorkNews("n", 1, "a", capacity)
+    updates = WorkUpdates("n", 1, "a", capacity)
     capacity.reserve("k", decode_work("e-a"))
-    assert set(updates.changes(["k"], DATA_CENTRES, 6, 0.0)) == set(DATA_CENTRES)
+    assert set(updates.changes_by_data_centre(["k"], DATA_CENTRES, 6, 0.0)) == set(DATA_CENTRES)
 
 
 def test_large_group_reports_changes_to_data_centres_of_endpoint_and_instance() -> None:
     capacity = create_capacity()
-    updates = WorkNews("n", 1, "a", capacity)
+    updates = WorkUpdates("n", 1, "a", capacity)
     capacity.reserve("here", decode_work("e-a"))
     capacity.reserve("there", decode_work("e-b"))
-    sent = updates.changes(["here", "there"], DATA_CENTRES, 57, 0.0)
+    sent = updates.changes_by_data_centre(["here", "there"], DATA_CENTRES, 57, 0.0)
     assert {
         data_centre: [item.key for item in changes.placed] for data_centre, changes in sent.items()
     } == {
@@ -44,8 +44,8 @@
     }
     capacity.release("here")
     capacity.release("there")
-    sent = updates.changes(["here", "there"], DATA_CENTRES, 57, 1.0)
-    assert {data_centre: changes.over for data_centre, changes in sent.items()} == {
+    sent = updates.changes_by_data_centre(["here", "there"], DATA_CENTRES, 57, 1.0)
+    assert {data_centre: changes.ended for data_centre, changes in sent.items()} == {
         "a": ["here", "there"],
         "b": ["there"],
     }
@@ -54,8 +54,15 @@
 def test_work_without_known_endpoint_is_reported_in_own_data_centre() -> None:
     capacity = create_capacity()
     capacity.reserve("k", decode_work("returns to s"))
-    assert set(WorkNews("n", 1, "a", capacity).changes(["k"], DATA_CENTRES, 57, 0.0)) == {"a"}
+    assert set(
+        WorkUpdates("n", 1, "a", capacity).changes_by_data_centre(["k"], DATA_CENTRES, 57, 0.0)
+    ) == {"a"}
 
 
 def test_no_message_without_changes() -> None:
-    assert WorkNews("n", 1, "a", create_capacity()).changes([], DATA_CENTRES, 57, 0.0) == {}
+    assert (
+        WorkUpdates("n", 1, "a", create_capacity()).changes_by_data_centre(
+            [], DATA_CENTRES, 57, 0.0
+        )
+        == {}
+    )
--- a/cleatlink/relay/quarantine_test.py
+++ b/cleatlink/relay/quarantine_test.py
@@ -20,8 +20,8 @@
 import pytest
 import trio
 
+from cleatlink.relay.callers.internal_pages import MetricsHandler
 from cleatlink.relay.callers.server import serve_connections
-from cleatlink.relay.callers.side import MetricsHandler
 from cleatlink.relay.sockets import listen
 from standins.relay import Worker
 from standins.relay.client import Caller, Reply
@@ -71,7 +71,9 @@
         fleet.start_instance()
     await fleet.ready()
     # Instances that have just started don't know each other yet.
-    await fleet.until(lambda: all(item._peers.alive == _INSTANCES for item in fleet.instances))
+    await fleet.until(
+        lambda: all(item._peers.live_instances == _INSTANCES for item in fleet.instances)
+    )
 
 
 def count_crashes(fleet: Fleet) -> int:
@@ -187,7 +189,9 @@
             for number in range(_CALLERS):
                 nursery.start_soon(repeat_harmless_request, number)
             nursery.start_soon(repeat_crashing_request)
-            await fleet.until(lambda: all(item._quarantine.held for item in fleet.instances))
+            await fleet.until(
+                lambda: all(item._quarantine.quarantined_count for item in fleet.instances)
+            )
             statuses.clear()
             await fleet.until(lambda: len(statuses) >= _ANSWERS, 30.0)
             nursery.cancel_scope.cancel()
@@ -236,7 +240,7 @@
         await start_crashing_fleet(fleet)
         await crash_until_quarantined(fleet)
         joined = fleet.start_instance()
-        await fleet.until(lambda: joined.ready and joined._quarantine.held == 1, 2.0)
+        await fleet.until(lambda: joined.ready and joined._quarantine.quarantined_count == 1, 2.0)
         assert (await ask(fleet, UNSAFE, _INSTANCES)).status == 503
         assert count_crashes(fleet) == _MAX_CRASHES
 
@@ -247,16 +251,19 @@
     async with open_fleet() as fleet:
         await start_crashing_fleet(fleet)
         uninformed = fleet.instances[-1]._quarantine
-        monkeypatch.setattr(uninformed, "take", lambda news: None)
+        monkeypatch.setattr(uninformed, "record_update", lambda news: None)
         await ask(fleet, UNSAFE, 0)
         await trio.sleep(_RETRY_PAUSE_S)
         await ask(fleet, UNSAFE, 1)
         await trio.sleep(_RETRY_PAUSE_S)
         await ask(fleet, UNSAFE, 0)
         await trio.sleep(_RETRY_PAUSE_S)
-        assert (fleet.instances[0]._quarantine.held, uninformed.held) == (1, 0)
+        assert (fleet.instances[0]._quarantine.quarantined_count, uninformed.quarantined_count) == (
+            1,
+            0,
+        )
         monkeypatch.undo()
-        await fleet.until(lambda: uninformed.held == 1, 2.5)
+        await fleet.until(lambda: uninformed.quarantined_count == 1, 2.5)
         assert (await ask(fleet, UNSAFE, _INSTANCES - 1)).status == 503
 
 
@@ -269,10 +276,10 @@
         for worker in fleet.workers:
             worker.crashes_on = None
         quarantines = [item._quarantine for item in fleet.instances]
-        (identity,) = quarantines[0]._quarantine.evidence.blames()
-        assert all(item.judge(identity).suspicion for item in quarantines)
+        (identity,) = quarantines[0]._quarantine.evidence.attributions()
+        assert all(item.decide(identity).suspicion for item in quarantines)
         assert (await ask(fleet, UNSAFE, 2)).status == 200
-        await fleet.until(lambda: not any(item.judge(identity).suspicion for item in quarantines))
+        await fleet.until(lambda: not any(item.decide(identity).suspicion for item in quarantines))
 
 
 async def test_answer_states_whether_request_may_have_run() -> None:
--- a/cleatlink/relay/restored_store_test.py
+++ b/cleatlink/relay/restored_store_test.py
@@ -31,7 +31,7 @@
     await start(fleet, *workers)
     fleet.start_instance()
     await fleet.ready()
-    await fleet.until(lambda: all(item._peers.alive == 2 for item in fleet.instances))
+    await fleet.until(lambda: all(item._peers.live_instances == 2 for item in fleet.instances))
 
 
 def advance_revision(fleet: Fleet, count: int = 40) -> None:
@@ -52,7 +52,7 @@
 
 def known_names(instance: RelayInstance) -> set[str]:
     """Return the names of the registrations that an instance knows."""
-    return {endpoint.answers_to for endpoint in instance.capacity.endpoints.values()}
+    return {endpoint.registered_name for endpoint in instance.capacity.endpoints.values()}
 
 
 async def check_all_callers_are_served(fleet: Fleet, seconds: float) -> None:
@@ -121,7 +121,7 @@
         fleet.register(leaving, "draining")
         incarnation = leaving.name
         await fleet.until(
-            lambda: not any(item.capacity.takes_work(incarnation) for item in fleet.instances)
+            lambda: not any(item.capacity.accepts_work(incarnation) for item in fleet.instances)
         )
         arrivals_before = len(leaving.arrivals)
         await restore(fleet, copy, writes=writes)
--- a/cleatlink/relay/budgets.py
+++ b/cleatlink/relay/retry_budgets.py
@@ -1,7 +1,7 @@
 """Retry budgets of services, configured by the settings."""
 
 from cleatlink.relay.settings import RelaySettings
-from cleatlink.request.shared_budget import SharedRetryBudget
+from cleatlink.request.shared_retry_budget import SharedRetryBudget
 
 __all__ = ["ServiceBudgets"]
 
@@ -13,7 +13,7 @@
         self._settings = settings
         self._budgets: dict[str, SharedRetryBudget] = {}
 
-    def of(self, service: str) -> SharedRetryBudget:
+    def get_budget(self, service: str) -> SharedRetryBudget:
         """Return the retry budget of a service."""
         budget = self._budgets.get(service)
         if budget is None:
@@ -24,8 +24,10 @@
             self._budgets[service] = budget
         return budget
 
-    def change(self, settings: RelaySettings) -> None:
+    def apply_settings(self, settings: RelaySettings) -> None:
         """Apply new settings, also to existing budgets and to what they have counted."""
         self._settings = settings
         for budget in self._budgets.values():
-            budget.change(settings.retry_ratio, settings.retry_allowance, settings.retry_window_s)
+            budget.set_limits(
+                settings.retry_ratio, settings.retry_allowance, settings.retry_window_s
+            )
--- a/cleatlink/relay/orders.py
+++ b/cleatlink/relay/role_controller.py
@@ -12,21 +12,21 @@
 from cleatlink.clock import unix_ms
 from cleatlink.core.data import Role
 from cleatlink.core.errors import EndpointError
-from cleatlink.core.routes import EngineTraits, RoutedEndpoint, RouteTable
-from cleatlink.members.leadership import Leadership
-from cleatlink.relay.endpoints.pool import FRESH_LIMIT_S, ConnectionPool
+from cleatlink.core.routes import EngineProperties, RoutedEndpoint, RouteTable
+from cleatlink.members.leadership import LeaderElection
+from cleatlink.relay.endpoints.pool import UNREPEATABLE_IDLE_LIMIT_S, ConnectionPool
 from cleatlink.relay.endpoints.protocol import Protocol
 from cleatlink.relay.metrics import RelayMetrics
-from cleatlink.relay.peers.group import SILENCE_S, PeerGroup
+from cleatlink.relay.peers.group import PEER_SILENCE_TIMEOUT_S, PeerGroup
 from cleatlink.relay.settings import RelaySettings
 from cleatlink.routing.capacity import Capacity
-from cleatlink.routing.demand import RoleDemand, StreamPromise
+from cleatlink.routing.demand import LatencyTargets, RoleDemand
 from cleatlink.routing.mechanisms import Mechanism
 from cleatlink.routing.role_planner import (
-    PresenceWatch,
-    RoleShift,
-    most_changing,
-    plan_shifts,
+    EndpointLossTracker,
+    RoleChange,
+    max_simultaneous_changes,
+    plan_role_changes,
 )
 
 __all__ = ["RoleController"]
@@ -75,10 +75,10 @@
         self._leads = False
         self._next_plan_at: dict[str, float] = {}
         self._target_roles: dict[str, Role] = {}
-        self._presence_watches: dict[str, PresenceWatch] = {}
+        self._presence_watches: dict[str, EndpointLossTracker] = {}
 
     @property
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         """Whether this instance is the leader now, which sends role orders."""
         return self._leads
 
@@ -87,16 +87,20 @@
         now = trio.current_time()
         settings = self._settings
         alone = all(peer == settings.peer_listen for peer in settings.peers)
-        leadership = Leadership(settings.name, settings.lease_s, SILENCE_S, now, alone=alone)
+        leadership = LeaderElection(
+            settings.name, settings.lease_s, PEER_SILENCE_TIMEOUT_S, now, alone=alone
+        )
         while True:
             await trio.sleep(_ELECTION_INTERVAL_S)
-            heard_state = self._peers.hearing()
-            leads = leadership.judge(heard_state, trio.current_time()) and not self._stopping()
+            heard_state = self._peers.leader_election_input()
+            leads = leadership.update(heard_state, trio.current_time()) and not self._stopping()
             self._peers.members, self._peers.vote = leadership.known, leadership.vote
             if leads is not self._leads:
                 self._leads = leads
                 eliot.log_message(
-                    message_type="orders: leads" if leads else "orders: leads no more",
+                    message_type="orders: became the leader"
+                    if leads
+                    else "orders: is no longer the leader",
                     heard=len(heard_state.votes),
                     members=len(leadership.known),
                     vote=leadership.vote,
@@ -104,7 +108,7 @@
                 if leads:
                     self._renew_fencing_token()
                     self._target_roles.clear()
-            if leads and self._capacity.switches.uses(Mechanism.ROLE_SHIFTS):
+            if leads and self._capacity.switches.is_enabled(Mechanism.ROLE_SHIFTS):
                 await self._plan_all()
 
     def _renew_fencing_token(self) -> None:
@@ -124,48 +128,52 @@
                     nursery.start_soon(self._send_order, service.name, shift, service.engine)
 
     def _plan_service(
-        self, service: str, traits: EngineTraits, table: RouteTable
-    ) -> list[RoleShift]:
+        self, service: str, traits: EngineProperties, table: RouteTable
+    ) -> list[RoleChange]:
         capacity, now = self._capacity, trio.current_time()
-        prefills = capacity.reached(service, Role.PREFILL, now)
-        decodes = capacity.reached(service, Role.DECODE, now)
+        prefills = capacity.reachable_endpoints(service, Role.PREFILL, now)
+        decodes = capacity.reachable_endpoints(service, Role.DECODE, now)
         endpoints = [*prefills, *decodes]
-        watch = self._presence_watches.setdefault(service, PresenceWatch())
-        watch.note({item.name for item in endpoints}, capacity.leaving(service), now)
+        watch = self._presence_watches.setdefault(service, EndpointLossTracker())
+        watch.update({item.name for item in endpoints}, capacity.leaving(service), now)
         if now < self._next_plan_at.get(service, 0.0):
             return []
         self._next_plan_at[service] = now + _PLAN_INTERVAL_S
-        changing = capacity.switching(now).keys() & {item.name for item in endpoints}
+        changing = capacity.role_changes_left_s(now).keys() & {item.name for item in endpoints}
         # The target role of an engine that an earlier leader ordered to change is not known here.
         unknown = changing - self._target_roles.keys()
-        max_changes = most_changing(len(endpoints)) - len(changing)
+        max_changes = max_simultaneous_changes(len(endpoints)) - len(changing)
         if unknown or max_changes <= 0:
             return []
         target_roles = {name: self._target_roles[name] for name in changing}
         work = {endpoint.name: self._work_left_s(endpoint, now) for endpoint in endpoints}
         demand = capacity.demand(service, traits, _latency_targets(service, table), now)
-        requires_stability = capacity.switches.uses(Mechanism.SHIFT_PATIENCE)
-        settled = not requires_stability or watch.settled(traits.role_switch_s, now)
+        requires_stability = capacity.switches.is_enabled(Mechanism.SHIFT_PATIENCE)
+        settled = not requires_stability or watch.is_stable(traits.role_switch_s, now)
         change_s = traits.role_switch_s
-        planned = plan_shifts(
+        planned = plan_role_changes(
             prefills,
             decodes,
             demand,
             work,
             target_roles,
-            most=max_changes,
+            max_changes=max_changes,
             change_s=change_s,
-            settled=settled,
-            speeds={endpoint.name: capacity.speed(endpoint.name, now) for endpoint in endpoints},
+            is_stable=settled,
+            speeds={
+                endpoint.name: capacity.relative_speed(endpoint.name, now) for endpoint in endpoints
+            },
         )
         # Orders obey back-off as all calls do: no order is sent to an endpoint in back-off.
-        shifts = [item for item in planned if capacity.opens_at(item.endpoint.name, now) <= now]
+        shifts = [
+            item for item in planned if capacity.accepts_work_at(item.endpoint.name, now) <= now
+        ]
         for shift in shifts:
             self._log_plan(shift, len(prefills), len(decodes), demand)
         return shifts
 
     def _log_plan(
-        self, shift: RoleShift, prefills: int, decodes: int, demand: RoleDemand | None
+        self, shift: RoleChange, prefills: int, decodes: int, demand: RoleDemand | None
     ) -> None:
         """Log a planned role change with the figures it is based on."""
         demand_fields: dict[str, float] = {}
@@ -175,15 +183,15 @@
                 "most_rate": round(max(demand.rates, default=0.0), 2),
                 "prompt_s": round(demand.prompt_s, 4),
                 "stream_s": round(demand.stream_s, 3),
-                "places": round(demand.places, 1),
+                "places": round(demand.slots_per_decode, 1),
                 "late_share": round(demand.late_share(prefills, decodes), 3),
-                "seconds": demand.seconds,
+                "seconds": demand.window_s,
             }
         eliot.log_message(
-            message_type="orders: plans a shift",
+            message_type="orders: plans a role change",
             endpoint=shift.endpoint.name,
             role=shift.role.value,
-            speed=round(self._capacity.speed(shift.endpoint.name, trio.current_time()), 2),
+            speed=round(self._capacity.relative_speed(shift.endpoint.name, trio.current_time()), 2),
             prefills=prefills,
             decodes=decodes,
             **demand_fields,
@@ -193,37 +201,41 @@
         """Return the seconds until an endpoint has finished its work; it changes its role then."""
         return max(0.0, self._capacity.free_at(endpoint.name, endpoint.role, now) - now)
 
-    async def _send_order(self, service: str, shift: RoleShift, traits: EngineTraits) -> None:
+    async def _send_order(self, service: str, shift: RoleChange, traits: EngineProperties) -> None:
         """Order a role change; an order without an answer may have been accepted."""
         fence = self._peers.fence
         endpoint = shift.endpoint
-        request = self._protocol.role_order(endpoint, shift.role, self._settings.name, fence)
+        request = self._protocol.make_role_change_request(
+            endpoint, shift.role, self._settings.name, fence
+        )
         status = 0
         now = trio.current_time()
         count = len(self._capacity.in_role(service, Role.PREFILL))
         count += len(self._capacity.in_role(service, Role.DECODE))
         self._next_plan_at[service] = now + (
-            _MANY_ENGINES_PAUSE_S if most_changing(count) > 1 else _FEW_ENGINES_PAUSE_S
+            _MANY_ENGINES_PAUSE_S if max_simultaneous_changes(count) > 1 else _FEW_ENGINES_PAUSE_S
         )
         try:
             with trio.fail_after(_ORDER_TIMEOUT_S):
                 reply = await self._pool.call(
-                    endpoint, FRESH_LIMIT_S, lambda: request, _MAX_REPLY_BYTES
+                    endpoint, UNREPEATABLE_IDLE_LIMIT_S, lambda: request, _MAX_REPLY_BYTES
                 )
             status = reply.head.status
         except (EndpointError, trio.TooSlowError) as error:
-            eliot.log_message(message_type="orders: got no answer", error=repr(error))
+            eliot.log_message(
+                message_type="orders: got no answer to a role order", error=repr(error)
+            )
         if status == 412:
             self._peers.fence = max(fence + 1, unix_ms())
         if status in (0, 200, 202):
             left_s = self._work_left_s(endpoint, now) if status == _STATUS_ACCEPTED else 0.0
             until = now + left_s + traits.role_switch_s + _ROLE_CHANGE_MARGIN_S
             self._target_roles[endpoint.name] = shift.role
-            self._capacity.note_switching(endpoint.name, until)
-            self._peers.send_beat()
+            self._capacity.note_role_change(endpoint.name, until)
+            self._peers.send_heartbeat()
         self._metrics.count_role_order(str(status))
         eliot.log_message(
-            message_type="orders: gave an order",
+            message_type="orders: sent a role order",
             endpoint=endpoint.name,
             role=shift.role.value,
             fence=fence,
@@ -231,8 +243,8 @@
         )
 
 
-def _latency_targets(service: str, table: RouteTable) -> StreamPromise:
+def _latency_targets(service: str, table: RouteTable) -> LatencyTargets:
     """Return the latency targets of the routes of a service."""
-    return StreamPromise.of(
+    return LatencyTargets.strictest(
         route for route in table.routes if any(share.service == service for share in route.shares)
     )
--- a/cleatlink/relay/settings.py
+++ b/cleatlink/relay/settings.py
@@ -26,7 +26,7 @@
         retry_ratio: Extra sends allowed as a share of requests, over all instances.
         retry_allowance: Extra sends allowed in addition to that share, over all instances.
         retry_window_s: Time window of the retry budget, in seconds.
-        leaving_s: Time after which a leaving endpoint must get no more requests, in seconds.
+        endpoint_leave_s: Time after which a leaving endpoint must get no more requests, in seconds.
         lease_s: Time that must pass after the last order of a leader before another instance may
             give orders, in seconds.
         history_s: Time for which the configuration service keeps its history, in seconds.
@@ -51,7 +51,7 @@
     retry_ratio: float = 0.1
     retry_allowance: float = 20.0
     retry_window_s: float = 10.0
-    leaving_s: float = 2.0
+    endpoint_leave_s: float = 2.0
     lease_s: float = 3.0
     history_s: float = 20.0
     limit_tolerance: LimitTolerance = LimitTolerance()
--- a/cleatlink/relay/speeds_test.py
+++ b/cleatlink/relay/shared_endpoint_speeds_test.py
@@ -26,8 +26,8 @@
 def _speed(fleet: Fleet, instance: int, worker: Worker) -> float:
     """Return the speed of a worker as an instance knows it."""
     capacity = fleet.instances[instance].capacity
-    incarnation = capacity.life_of(worker.name) or worker.name
-    return capacity.speed(incarnation, trio.current_time())
+    incarnation = capacity.current_incarnation(worker.name) or worker.name
+    return capacity.relative_speed(incarnation, trio.current_time())
 
 
 async def test_running_and_new_peers_learn_measured_speeds() -> None:
--- a/cleatlink/relay/silence_test.py
+++ b/cleatlink/relay/silent_engine_test.py
@@ -4,9 +4,9 @@
 its deadline, although the engine was working. After a pause the instance first gave up the
 engine and closed the connection, and only then looked for another engine; all were full:
 
-    {"error":"TooSlowError()","message_type":"relay: failed at an endpoint"}
-    {"waiting":0,"message_type":"relay: has no room"}
-    {"message_type":"relay: breaks its answer off"}
+    {"error":"TooSlowError()","message_type":"relay: endpoint failed the request"}
+    {"waiting":0,"message_type":"relay: request refused: no decode endpoint has capacity"}
+    {"message_type":"relay: cuts its answer off"}
 
 The stop was not the cause: any pause had this effect while the other engines were full.
 """
@@ -87,7 +87,7 @@
         assert _event_ids(reply) == _ALL_EVENT_IDS
         assert len(first.runs) + len(second.runs) == 1
         # Reservations made for the other engine are released.
-        await fleet.until(lambda: fleet.instances[0].capacity.own == {})
+        await fleet.until(lambda: fleet.instances[0].capacity.own_reservations == {})
         assert sorted(first.holds) + sorted(second.holds) == []
 
 
@@ -111,7 +111,7 @@
         assert _event_ids(reply) == _ALL_EVENT_IDS
         assert other.runs[0].call.headers["last-event-id"] == "2"
         assert "cache-source" in other.runs[0].call.headers
-        await fleet.until(lambda: fleet.instances[0].capacity.own == {})
+        await fleet.until(lambda: fleet.instances[0].capacity.own_reservations == {})
 
 
 async def test_caller_disconnect_during_search_frees_both_reservations() -> None:
@@ -123,9 +123,9 @@
         caller = await _start_stream(fleet, first, second)
         prefill.work_s = 3.0
         instance = fleet.instances[0]
-        await fleet.until(lambda: len(instance.capacity.own) == 3, within_s=1.5)
+        await fleet.until(lambda: len(instance.capacity.own_reservations) == 3, within_s=1.5)
         caller.close()
-        await fleet.until(lambda: instance.capacity.own == {}, within_s=0.5)
+        await fleet.until(lambda: instance.capacity.own_reservations == {}, within_s=0.5)
         assert len(first.runs) + len(second.runs) == 1
 
 
@@ -135,8 +135,8 @@
         await _start(fleet, prefill, first, second)
         for decode in (first, second):
             decode.silent_from, decode.silent_s = 3, 1.2
-        budget = fleet.instances[0]._budgets.of("model")
-        budget.change(0.0, 0.0, 10.0)
+        budget = fleet.instances[0]._budgets.get_budget("model")
+        budget.set_limits(0.0, 0.0, 10.0)
         reply = await _ask(fleet)
         assert (reply.status, reply.whole) == (200, True)
         assert len(first.runs) + len(second.runs) == 1
@@ -160,7 +160,7 @@
         await start(fleet, *workers)
         for _ in range(5):
             assert (await fleet.caller().ask("/safe/x")).status == 200
-        fleet.instances[0]._budgets.of("plain").change(0.0, 0.0, 10.0)
+        fleet.instances[0]._budgets.get_budget("plain").set_limits(0.0, 0.0, 10.0)
         for worker in workers:
             worker.work_s = 0.9
         assert (await fleet.caller().ask("/safe/x")).status == 200
--- a/cleatlink/relay/sockets.py
+++ b/cleatlink/relay/sockets.py
@@ -6,7 +6,7 @@
 
 from cleatlink.core.errors import ListenError
 
-__all__ = ["bind", "connect", "listen", "quicken"]
+__all__ = ["bind", "connect", "listen", "set_connection_options"]
 
 # Detect an unresponsive peer within three seconds.
 _KEEPALIVE_IDLE_S = 1
@@ -15,7 +15,7 @@
 _BACKLOG = 512
 
 
-def quicken(sock: socket.socket | trio.socket.SocketType, silence_s: float) -> None:
+def set_connection_options(sock: socket.socket | trio.socket.SocketType, silence_s: float) -> None:
     """Disable Nagle's algorithm, and detect unresponsive peers.
 
     Args:
@@ -39,7 +39,7 @@
     """
     sock = trio.socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
-        quicken(sock, silence_s)
+        set_connection_options(sock, silence_s)
         await sock.connect((host, port))
     except BaseException:
         sock.close()
--- a/cleatlink/relay/status.py
+++ b/cleatlink/relay/status.py
@@ -2,12 +2,12 @@
 
 from typing import Protocol, TypedDict
 
-from cleatlink.relay.peers.snapshots import Part
+from cleatlink.relay.peers.snapshots import SnapshotPart
 
-__all__ = ["HeldRequest", "InstanceState", "InstanceStatus"]
+__all__ = ["QuarantinedRequest", "InstanceState", "InstanceStatus"]
 
 
-class HeldRequest(TypedDict):
+class QuarantinedRequest(TypedDict):
     """A request in quarantine.
 
     Attributes:
@@ -50,7 +50,7 @@
     unusable: dict[str, str]
     instances: int
     leads: bool
-    quarantine: list[HeldRequest]
+    quarantine: list[QuarantinedRequest]
     leaving: dict[str, str]
     limits: dict[str, float]
 
@@ -62,7 +62,7 @@
     def ready(self) -> bool:
         """Whether the instance accepts new connections."""
 
-    def snapshot(self, part: Part, *, is_compressed: bool) -> bytes:
+    def snapshot(self, part: SnapshotPart, *, is_compressed: bool) -> bytes:
         """Return a part of the instance's state, encoded for a peer.
 
         Args:
--- a/cleatlink/relay/tasks.py
+++ b/cleatlink/relay/tasks.py
@@ -7,7 +7,13 @@
 import eliot
 import trio
 
-__all__ = ["Task", "run_once", "run_watched", "sleep_and_read", "supervise"]
+__all__ = [
+    "Task",
+    "run_and_log_errors",
+    "run_watched",
+    "sleep_until_sockets_read",
+    "run_with_restarts",
+]
 
 Task = Callable[..., Awaitable[None]]
 _Result = TypeVar("_Result")
@@ -20,13 +26,13 @@
 _SOCKET_READ_S = 0.02
 
 
-async def run_once(task: Task, *args: object) -> None:
+async def run_and_log_errors(task: Task, *args: object) -> None:
     """Run a task once; log an unexpected exception, so that other tasks continue."""
     try:
         await task(*args)
     except Exception as error:
         eliot.log_message(
-            message_type="instance: a task met a fault of the program",
+            message_type="instance: a task raised an unexpected exception",
             error=repr(error),
             where=format_exc(),
         )
@@ -65,7 +71,7 @@
     return result
 
 
-async def sleep_and_read(until: float) -> None:
+async def sleep_until_sockets_read(until: float) -> None:
     """Sleep until a time; after a late wake-up, let other tasks read received data first.
 
     When the process has not run for a while, timers and received data are due together. A task
@@ -76,8 +82,8 @@
         await trio.sleep(_SOCKET_READ_S)
 
 
-async def supervise(task: Task) -> None:
+async def run_with_restarts(task: Task) -> None:
     """Run a task repeatedly: start it again after it returns or raises an exception."""
     while True:
-        await run_once(task)
+        await run_and_log_errors(task)
         await trio.sleep(_RESTART_DELAY_S)
--- a/cleatlink/request/__init__.py
+++ b/cleatlink/request/__init__.py
@@ -1,31 +1,31 @@
 """Request processing without I/O: state machines, retry budgets, idempotency keys and notes."""
 
-from cleatlink.request.budget import RetryBudget
-from cleatlink.request.call import CallMachine, is_repeatable
-from cleatlink.request.keys import (
-    Claim,
+from cleatlink.request.call_machine import CallMachine, is_repeatable
+from cleatlink.request.idempotency_keys import (
+    ClaimResult,
     ClaimState,
-    KeyRegistry,
+    IdempotencyKeyRegistry,
     StoredAnswer,
-    find_home,
+    find_home_data_centre,
     parse_key_time,
 )
-from cleatlink.request.machine import ModelMachine, Phase
-from cleatlink.request.notes import Note, NoteBook, Orphan
+from cleatlink.request.in_flight_notes import InFlightNote, InFlightNotes, OrphanedWork
+from cleatlink.request.model_machine import ModelRequestMachine, Phase
+from cleatlink.request.retry_budget import RetryBudget
 
 __all__ = [
     "CallMachine",
-    "Claim",
+    "ClaimResult",
     "ClaimState",
-    "KeyRegistry",
-    "ModelMachine",
-    "Note",
-    "NoteBook",
-    "Orphan",
+    "IdempotencyKeyRegistry",
+    "ModelRequestMachine",
+    "InFlightNote",
+    "InFlightNotes",
+    "OrphanedWork",
     "Phase",
     "RetryBudget",
     "StoredAnswer",
-    "find_home",
+    "find_home_data_centre",
     "is_repeatable",
     "parse_key_time",
 ]
--- a/cleatlink/request/call.py
+++ b/cleatlink/request/call_machine.py
@@ -9,32 +9,40 @@
 from fnmatch import fnmatchcase
 from typing import NamedTuple
 
-from cleatlink.core.data import CallRule, Endpoint, Limits, Ran, Refusal
+from cleatlink.core.data import Endpoint, ExecutionStatus, Limits, Refusal, UnrepeatableCallRule
 from cleatlink.core.errors import ErrorKind
-from cleatlink.request.budget import RetryBudget
 from cleatlink.request.events import (
-    Cause,
+    CountRetry,
     DeadlinePassed,
-    Failed,
+    FailureCause,
+    FindPlacement,
     Finish,
-    Place,
+    OrderFailed,
+    PlacementFailed,
     Refuse,
-    Retried,
-    Unplaced,
 )
-
-__all__ = ["Answered", "CallAction", "CallEvent", "CallMachine", "Found", "Send", "is_repeatable"]
+from cleatlink.request.retry_budget import RetryBudget
+
+__all__ = [
+    "AnswerReceived",
+    "CallAction",
+    "CallEvent",
+    "CallMachine",
+    "EndpointFound",
+    "SendCall",
+    "is_repeatable",
+]
 
 _IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "PUT", "DELETE", "OPTIONS"})
 
 
-class Found(NamedTuple):
+class EndpointFound(NamedTuple):
     """An endpoint was found for the call."""
 
     endpoint: Endpoint
 
 
-class Answered(NamedTuple):
+class AnswerReceived(NamedTuple):
     """The endpoint answered, with any status code."""
 
     attempt: int
@@ -43,18 +51,18 @@
     body: bytes
 
 
-class Send(NamedTuple):
+class SendCall(NamedTuple):
     """Send the call to an endpoint."""
 
     attempt: int
     endpoint: Endpoint
 
 
-CallEvent = Found | Unplaced | Answered | Failed | DeadlinePassed
-CallAction = Place | Send | Retried | Finish | Refuse
+CallEvent = EndpointFound | PlacementFailed | AnswerReceived | OrderFailed | DeadlinePassed
+CallAction = FindPlacement | SendCall | CountRetry | Finish | Refuse
 
 
-def is_repeatable(rules: tuple[CallRule, ...], method: str, path: str) -> bool:
+def is_repeatable(rules: tuple[UnrepeatableCallRule, ...], method: str, path: str) -> bool:
     """Check whether a call may be sent again after an unknown outcome.
 
     A call is not repeatable if a rule of the operator matches it or if HTTP does
@@ -75,71 +83,77 @@
         self._budget = budget
         self._attempt = -1
         self._excluded_names: set[str] = set()
-        self._ran = Ran.NO
+        self._ran = ExecutionStatus.NO
         self._in_flight = False
         self._is_done = False
-        self._answer: Answered | None = None
+        self._answer: AnswerReceived | None = None
 
     @property
-    def answer(self) -> Answered | None:
+    def answer(self) -> AnswerReceived | None:
         """The endpoint's answer, or None if no answer has arrived."""
         return self._answer
 
     @property
-    def ran(self) -> Ran:
+    def ran(self) -> ExecutionStatus:
         """Whether the call ran, as far as is known."""
-        return Ran.UNKNOWN if self._in_flight and self._ran is Ran.NO else self._ran
+        return (
+            ExecutionStatus.UNKNOWN
+            if self._in_flight and self._ran is ExecutionStatus.NO
+            else self._ran
+        )
 
     def start(self) -> list[CallAction]:
         """Return the first action."""
-        return [Place(frozenset())]
+        return [FindPlacement(frozenset())]
 
     def handle(self, event: CallEvent) -> list[CallAction]:
         """Process one event and return the resulting actions, in the order of execution."""
-        is_stale = isinstance(event, Answered | Failed) and event.attempt != self._attempt
+        is_stale = (
+            isinstance(event, AnswerReceived | OrderFailed) and event.attempt != self._attempt
+        )
         if self._is_done or is_stale:
             return []
         match event:
-            case Found(endpoint):
+            case EndpointFound(endpoint):
                 self._attempt += 1
                 self._in_flight = True
-                return [Send(self._attempt, endpoint)]
-            case Unplaced(refusal):
-                return self._refuse(refusal if self._ran is Ran.NO else self._failure())
-            case Answered():
+                return [SendCall(self._attempt, endpoint)]
+            case PlacementFailed(refusal):
+                return self._refuse(refusal if self._ran is ExecutionStatus.NO else self._failure())
+            case AnswerReceived():
                 return self._finish(event)
-            case Failed():
+            case OrderFailed():
                 return self._fail(event)
             case DeadlinePassed():
                 return self._refuse(self._deadline_refusal())
 
-    def _finish(self, event: Answered) -> list[CallAction]:
+    def _finish(self, event: AnswerReceived) -> list[CallAction]:
         self._answer = event
-        self._ran = Ran.YES
+        self._ran = ExecutionStatus.YES
         self._is_done = True
         return [Finish()]
 
-    def _fail(self, event: Failed) -> list[CallAction]:
+    def _fail(self, event: OrderFailed) -> list[CallAction]:
         self._in_flight = False
         self._excluded_names.add(event.endpoint.name)
-        if event.cause is Cause.UNKNOWN:
-            self._ran = Ran.UNKNOWN
+        if event.cause is FailureCause.UNKNOWN:
+            self._ran = ExecutionStatus.UNKNOWN
             if not self._repeatable:
                 return self._refuse(self._failure())
-        if self._attempt + 1 >= self._limits.max_attempts or not self._budget.take():
+        if self._attempt + 1 >= self._limits.max_attempts or not self._budget.try_spend():
             return self._refuse(self._failure())
-        return [Retried(event.cause.value), Place(frozenset(self._excluded_names))]
+        return [CountRetry(event.cause.value), FindPlacement(frozenset(self._excluded_names))]
 
     def _refuse(self, refusal: Refusal) -> list[CallAction]:
         self._is_done = True
         return [Refuse(refusal)]
 
     def _failure(self) -> Refusal:
-        if self._ran is Ran.NO:
+        if self._ran is ExecutionStatus.NO:
             return Refusal(ErrorKind.ENDPOINT_REFUSED, "no endpoint accepted the call")
         return Refusal(ErrorKind.ENDPOINT_FAILED, "the call left, but no answer came")
 
     def _deadline_refusal(self) -> Refusal:
-        if self.ran is Ran.NO:
+        if self.ran is ExecutionStatus.NO:
             return Refusal(ErrorKind.DEADLINE_NOT_RUN, "deadline passed before the call left")
         return Refusal(ErrorKind.DEADLINE_PASSED, "deadline passed while the call was out")
--- a/cleatlink/request/classify.py
+++ b/cleatlink/request/classify.py
@@ -12,18 +12,18 @@
 
 from cleatlink.core.data import Configuration, Request, RequestClass, Service, ServiceKind
 from cleatlink.core.errors import ErrorKind, RequestError
-from cleatlink.routing.prefix import hash_prefix
+from cleatlink.routing.hashing import hash_prefix
 
 __all__ = [
     "CLASS_HEADER",
     "DEADLINE_HEADER",
     "KEY_HEADER",
     "ORGANISATION_HEADER",
-    "Arrival",
-    "ModelOrder",
+    "IncomingRequest",
+    "ClassifiedRequest",
     "classify_call",
     "classify_model",
-    "prompt_bytes",
+    "extract_prompt",
 ]
 
 CLASS_HEADER = "x-request-class"
@@ -39,7 +39,7 @@
 _DEFAULT_OUTPUT_TOKENS = 256
 
 
-class ModelOrder(NamedTuple):
+class ClassifiedRequest(NamedTuple):
     """A classified model request, with the body to send to engines."""
 
     request: Request
@@ -49,23 +49,23 @@
     stream: bool
 
 
-class Arrival(NamedTuple):
+class IncomingRequest(NamedTuple):
     """A request as received from the caller.
 
     Attributes:
         name: Name assigned to the request, unique over all instances.
         headers: HTTP headers, with names in lower case.
-        at: Arrival time, a reading of the monotonic clock.
+        arrived_at: Arrival time, a reading of the monotonic clock.
     """
 
     name: str
     headers: Mapping[str, str]
-    at: float
+    arrived_at: float
 
 
 def classify_model(
-    raw: bytes, chat: bool, incoming: Arrival, configuration: Configuration
-) -> ModelOrder:
+    raw: bytes, chat: bool, incoming: IncomingRequest, configuration: Configuration
+) -> ClassifiedRequest:
     """Classify a model request.
 
     Raises:
@@ -75,7 +75,7 @@
     model = _read_field(body, "model", str, "")
     service = _find_service(configuration, model)
     request_class = _find_class(configuration, service, incoming.headers)
-    prompt = prompt_bytes(body, chat)
+    prompt = extract_prompt(body, chat)
     tokens = len(prompt) // _BYTES_PER_TOKEN + 1
     if tokens > configuration.limits.prompt_tokens:
         limit = configuration.limits.prompt_tokens
@@ -93,14 +93,16 @@
         output,
         hash_prefix(prompt),
         _compute_deadline(incoming, request_class),
-        math.inf if request_class.runs_late else incoming.at + request_class.ttft_target_s,
+        math.inf
+        if request_class.runs_after_missed_target
+        else incoming.arrived_at + request_class.ttft_target_s,
     )
     stream = _read_field(body, "stream", bool, False)
-    return ModelOrder(request, request_class, body, chat, stream)
+    return ClassifiedRequest(request, request_class, body, chat, stream)
 
 
 def classify_call(
-    service_name: str, incoming: Arrival, configuration: Configuration
+    service_name: str, incoming: IncomingRequest, configuration: Configuration
 ) -> tuple[Request, RequestClass, Service]:
     """Classify a call to a plain service.
 
@@ -119,7 +121,7 @@
     return request, request_class, service
 
 
-def prompt_bytes(body: Mapping[str, Any], chat: bool) -> bytes:
+def extract_prompt(body: Mapping[str, Any], chat: bool) -> bytes:
     """Return the text of the prompt; the messages of a chat are joined by newlines.
 
     Raises:
@@ -204,11 +206,11 @@
     return name
 
 
-def _compute_deadline(incoming: Arrival, request_class: RequestClass) -> float:
+def _compute_deadline(incoming: IncomingRequest, request_class: RequestClass) -> float:
     """Return the caller's deadline, limited to the deadline of the request class."""
     text = incoming.headers.get(DEADLINE_HEADER)
     if text is None:
-        return incoming.at + request_class.deadline_s
+        return incoming.arrived_at + request_class.deadline_s
     try:
         seconds = float(text)
     except ValueError:
@@ -217,4 +219,4 @@
         raise RequestError(
             ErrorKind.BAD_REQUEST, f"{DEADLINE_HEADER} must be a number of seconds above 0"
         )
-    return incoming.at + min(seconds, request_class.deadline_s)
+    return incoming.arrived_at + min(seconds, request_class.deadline_s)
--- a/cleatlink/request/classify_test.py
+++ b/cleatlink/request/classify_test.py
@@ -9,18 +9,23 @@
 
 from cleatlink.config import load_configuration
 from cleatlink.core.errors import ErrorKind, RequestError
-from cleatlink.request.classify import Arrival, ModelOrder, classify_call, classify_model
+from cleatlink.request.classify import (
+    ClassifiedRequest,
+    IncomingRequest,
+    classify_call,
+    classify_model,
+)
 
 TEXT = (Path(__file__).parents[2] / "examples/bublina.yaml").read_text()
 CONFIGURATION, _ = load_configuration(TEXT, 1)
 VALID_BODY = {"model": "bublina-translate", "prompt": "Hello"}
 
 
-def classify(body: object, chat: bool = False, **headers: str) -> ModelOrder:
+def classify(body: object, chat: bool = False, **headers: str) -> ClassifiedRequest:
     raw = body if isinstance(body, bytes) else json.dumps(body).encode()
     named = {name.replace("_", "-"): value for name, value in headers.items()}
     assert CONFIGURATION is not None
-    return classify_model(raw, chat, Arrival("r", named, 100.0), CONFIGURATION)
+    return classify_model(raw, chat, IncomingRequest("r", named, 100.0), CONFIGURATION)
 
 
 def test_request_without_optional_headers_gets_the_defaults() -> None:
@@ -112,9 +117,9 @@
 def test_calls_are_accepted_for_plain_services_only() -> None:
     assert CONFIGURATION is not None
     request, request_class, service = classify_call(
-        "reader-api", Arrival("r", {}, 1.0), CONFIGURATION
+        "reader-api", IncomingRequest("r", {}, 1.0), CONFIGURATION
     )
     assert (request_class.name, service.name, request.deadline) == ("pages", "reader-api", 11.0)
     for name in ("lm-bublina", "nothing"):
         with pytest.raises(RequestError):
-            classify_call(name, Arrival("r", {}, 1.0), CONFIGURATION)
+            classify_call(name, IncomingRequest("r", {}, 1.0), CONFIGURATION)
--- a/cleatlink/request/events.py
+++ b/cleatlink/request/events.py
@@ -12,32 +12,32 @@
 
 __all__ = [
     "Action",
-    "Broken",
-    "CallerGone",
+    "StreamBroken",
+    "CallerDisconnected",
     "Cancel",
-    "Cause",
+    "FailureCause",
     "DeadlinePassed",
-    "Decode",
+    "SendDecode",
     "Event",
-    "Failed",
+    "OrderFailed",
     "Finish",
-    "Opened",
-    "Place",
-    "Placed",
-    "Prefill",
+    "StreamOpened",
+    "FindPlacement",
+    "PlacementFound",
+    "SendPrefill",
     "PrefillDone",
-    "Read",
-    "Received",
+    "ReadStreamEvent",
+    "StreamEventReceived",
     "Refuse",
-    "Relay",
-    "Resume",
-    "Retried",
-    "Unplaced",
-    "Wasted",
+    "ForwardEvent",
+    "ResumeStream",
+    "CountRetry",
+    "PlacementFailed",
+    "CountWastedPrefill",
 ]
 
 
-class Cause(StrEnum):
+class FailureCause(StrEnum):
     """Why an order to an endpoint failed.
 
     The cause shows whether the request may have run: it did not run if the endpoint was
@@ -49,13 +49,13 @@
     UNKNOWN = "unknown"
 
 
-class Placed(NamedTuple):
+class PlacementFound(NamedTuple):
     """Endpoints were found for the request."""
 
     placement: Placement
 
 
-class Unplaced(NamedTuple):
+class PlacementFailed(NamedTuple):
     """No endpoint was found for the request."""
 
     refusal: Refusal
@@ -68,39 +68,39 @@
     kv: KvHandle
 
 
-class Failed(NamedTuple):
+class OrderFailed(NamedTuple):
     """An order of the attempt failed at an endpoint."""
 
     attempt: int
     endpoint: Endpoint
-    cause: Cause
+    cause: FailureCause
 
 
-class Opened(NamedTuple):
+class StreamOpened(NamedTuple):
     """The stream of the decode is open for reading."""
 
     attempt: int
 
 
-class Received(NamedTuple):
+class StreamEventReceived(NamedTuple):
     """An event of the decode's stream arrived.
 
     Attributes:
         attempt: Attempt whose stream was read.
-        owner: Request and attempt that the event names as its own, ``request.attempt``.
+        attempt_id: Request and attempt that the event names as its own, ``request.attempt``.
         position: Position of the event in the answer.
         data: Content of the event.
         end: Whether this is the last event of the stream.
     """
 
     attempt: int
-    owner: str
+    attempt_id: str
     position: int
     data: bytes
     end: bool
 
 
-class Broken(NamedTuple):
+class StreamBroken(NamedTuple):
     """The stream ended early or stalled."""
 
     attempt: int
@@ -110,17 +110,17 @@
     """The request's deadline has passed."""
 
 
-class CallerGone(NamedTuple):
+class CallerDisconnected(NamedTuple):
     """The caller disconnected or gave up."""
 
 
-class Place(NamedTuple):
+class FindPlacement(NamedTuple):
     """Find endpoints for the request, except the excluded ones."""
 
     excluded: frozenset[str]
 
 
-class Prefill(NamedTuple):
+class SendPrefill(NamedTuple):
     """Send a prefill order; a position above 0 continues an answer."""
 
     attempt: int
@@ -128,7 +128,7 @@
     position: int
 
 
-class Decode(NamedTuple):
+class SendDecode(NamedTuple):
     """Send a decode order that imports the prefill result."""
 
     attempt: int
@@ -137,13 +137,13 @@
     position: int
 
 
-class Read(NamedTuple):
+class ReadStreamEvent(NamedTuple):
     """Read the next event of the open stream."""
 
     attempt: int
 
 
-class Resume(NamedTuple):
+class ResumeStream(NamedTuple):
     """Reopen the stream of the same decode at a position."""
 
     attempt: int
@@ -151,7 +151,7 @@
     position: int
 
 
-class Relay(NamedTuple):
+class ForwardEvent(NamedTuple):
     """Forward one event to the caller."""
 
     position: int
@@ -165,13 +165,13 @@
     attempt: int
 
 
-class Retried(NamedTuple):
+class CountRetry(NamedTuple):
     """Count a retry by its reason."""
 
     reason: str
 
 
-class Wasted(NamedTuple):
+class CountWastedPrefill(NamedTuple):
     """Count a prefill that ran, or may have run, and whose result is not used."""
 
     attempt: int
@@ -188,17 +188,27 @@
 
 
 Event = (
-    Placed
-    | Unplaced
+    PlacementFound
+    | PlacementFailed
     | PrefillDone
-    | Failed
-    | Opened
-    | Opened
-    | Received
-    | Broken
+    | OrderFailed
+    | StreamOpened
+    | StreamOpened
+    | StreamEventReceived
+    | StreamBroken
     | DeadlinePassed
-    | CallerGone
+    | CallerDisconnected
 )
 Action = (
-    Place | Prefill | Decode | Read | Resume | Relay | Cancel | Retried | Wasted | Finish | Refuse
+    FindPlacement
+    | SendPrefill
+    | SendDecode
+    | ReadStreamEvent
+    | ResumeStream
+    | ForwardEvent
+    | Cancel
+    | CountRetry
+    | CountWastedPrefill
+    | Finish
+    | Refuse
 )
--- a/cleatlink/request/keys.py
+++ b/cleatlink/request/idempotency_keys.py
@@ -13,14 +13,14 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-from cleatlink.routing.prefix import rank_names
+from cleatlink.routing.hashing import rank_names
 
 __all__ = [
-    "Claim",
+    "ClaimResult",
     "ClaimState",
-    "KeyRegistry",
+    "IdempotencyKeyRegistry",
     "StoredAnswer",
-    "find_home",
+    "find_home_data_centre",
     "parse_key_time",
 ]
 
@@ -53,7 +53,7 @@
     body: bytes
 
 
-class Claim(NamedTuple):
+class ClaimResult(NamedTuple):
     """Result of a claim, with the stored answer if the call has already run."""
 
     state: ClaimState
@@ -78,7 +78,7 @@
     return (parsed.int >> 80) / 1000
 
 
-def find_home(key: str, data_centres: Iterable[str]) -> str | None:
+def find_home_data_centre(key: str, data_centres: Iterable[str]) -> str | None:
     """Return the home data centre of a key; None if the key names an unknown data centre."""
     names = sorted(data_centres)
     home, separator, _ = key.rpartition(":")
@@ -87,14 +87,14 @@
     return rank_names(key, names)[0] if names else None
 
 
-class KeyRegistry:
+class IdempotencyKeyRegistry:
     """The idempotency keys that one instance owns; times are in seconds since 1970."""
 
     def __init__(self, max_keys: int = _MAX_KEYS) -> None:
         self._entries: dict[str, _Entry] = {}
         self._max_keys = max_keys
 
-    def claim(self, key: str, fingerprint: str, owner_since: float, now: float) -> Claim:
+    def claim(self, key: str, fingerprint: str, owner_since: float, now: float) -> ClaimResult:
         """Request permission to run the call of a key.
 
         Args:
@@ -114,13 +114,13 @@
             return self._compare_entry(entry, fingerprint)
         created_at = parse_key_time(key)
         if created_at is None or not self._is_ours(created_at, owner_since, now):
-            return Claim(ClaimState.UNKNOWN)
+            return ClaimResult(ClaimState.UNKNOWN)
         if len(self._entries) >= self._max_keys:
-            return Claim(ClaimState.FULL)
+            return ClaimResult(ClaimState.FULL)
         self._entries[key] = _Entry(fingerprint, now, None)
-        return Claim(ClaimState.GRANTED)
+        return ClaimResult(ClaimState.GRANTED)
 
-    def settle(self, key: str, answer: StoredAnswer | None) -> None:
+    def record_outcome(self, key: str, answer: StoredAnswer | None) -> None:
         """Store the answer for a granted key; None means that the call certainly did not run."""
         entry = self._entries.get(key)
         if entry is None:
@@ -131,12 +131,12 @@
             self._entries[key] = entry._replace(answer=answer)
 
     @staticmethod
-    def _compare_entry(entry: _Entry, fingerprint: str) -> Claim:
+    def _compare_entry(entry: _Entry, fingerprint: str) -> ClaimResult:
         if entry.fingerprint != fingerprint:
-            return Claim(ClaimState.MISMATCH)
+            return ClaimResult(ClaimState.MISMATCH)
         if entry.answer is None:
-            return Claim(ClaimState.RUNNING)
-        return Claim(ClaimState.DONE, entry.answer)
+            return ClaimResult(ClaimState.RUNNING)
+        return ClaimResult(ClaimState.DONE, entry.answer)
 
     @staticmethod
     def _is_ours(created_at: float, owner_since: float, now: float) -> bool:
--- a/cleatlink/request/keys_test.py
+++ b/cleatlink/request/idempotency_keys_test.py
@@ -6,14 +6,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cleatlink.request.keys import (
+from cleatlink.request.idempotency_keys import (
     KEY_LIFETIME_S,
     MAX_CLOCK_SKEW_S,
-    Claim,
+    ClaimResult,
     ClaimState,
-    KeyRegistry,
+    IdempotencyKeyRegistry,
     StoredAnswer,
-    find_home,
+    find_home_data_centre,
     parse_key_time,
 )
 
@@ -30,39 +30,39 @@
     key = make_key(NOW)
     assert parse_key_time(key) == NOW
     assert parse_key_time(f"a:{key}") == NOW
-    assert find_home(f"b:{key}", ["a", "b"]) == "b"
-    assert find_home(f"c:{key}", ["a", "b"]) is None
-    assert find_home(key, ["b", "a"]) == find_home(key, ["a", "b"])
+    assert find_home_data_centre(f"b:{key}", ["a", "b"]) == "b"
+    assert find_home_data_centre(f"c:{key}", ["a", "b"]) is None
+    assert find_home_data_centre(key, ["b", "a"]) == find_home_data_centre(key, ["a", "b"])
     for invalid in ("", "x", str(uuid.uuid4()), key[:-1], f"{{{key}}}"):
         assert parse_key_time(invalid) is None
 
 
 def test_repeated_claim_of_a_granted_key_returns_running_then_done() -> None:
-    registry, key = KeyRegistry(), make_key(NOW)
+    registry, key = IdempotencyKeyRegistry(), make_key(NOW)
     assert registry.claim(key, "f", NOW - 60, NOW).state is ClaimState.GRANTED
     assert registry.claim(key, "f", NOW - 60, NOW).state is ClaimState.RUNNING
     assert registry.claim(key, "g", NOW - 60, NOW).state is ClaimState.MISMATCH
-    registry.settle(key, ANSWER)
-    assert registry.claim(key, "f", NOW - 60, NOW) == Claim(ClaimState.DONE, ANSWER)
+    registry.record_outcome(key, ANSWER)
+    assert registry.claim(key, "f", NOW - 60, NOW) == ClaimResult(ClaimState.DONE, ANSWER)
 
 
 def test_key_of_a_call_that_did_not_run_can_be_granted_again() -> None:
-    registry, key = KeyRegistry(), make_key(NOW)
+    registry, key = IdempotencyKeyRegistry(), make_key(NOW)
     registry.claim(key, "f", NOW - 60, NOW)
-    registry.settle(key, None)
+    registry.record_outcome(key, None)
     assert registry.claim(key, "f", NOW - 60, NOW).state is ClaimState.GRANTED
 
 
 def test_key_created_before_the_ownership_is_unknown() -> None:
-    registry = KeyRegistry()
+    registry = IdempotencyKeyRegistry()
     assert registry.claim(make_key(NOW - 1), "f", NOW - 1, NOW).state is ClaimState.UNKNOWN
     assert registry.claim(make_key(NOW), "f", math.inf, NOW).state is ClaimState.UNKNOWN
 
 
 def test_expired_key_is_unknown_and_the_number_of_keys_is_limited() -> None:
-    registry, key = KeyRegistry(max_keys=2), make_key(NOW)
+    registry, key = IdempotencyKeyRegistry(max_keys=2), make_key(NOW)
     registry.claim(key, "f", NOW - 60, NOW)
-    registry.settle(key, ANSWER)
+    registry.record_outcome(key, ANSWER)
     later = NOW + KEY_LIFETIME_S + 1
     assert registry.claim(key, "f", NOW - 60, later).state is ClaimState.UNKNOWN
     for number in range(2):
@@ -81,13 +81,13 @@
 def test_granted_key_is_never_granted_again(
     steps: list[tuple[int, float, str]], owner_age: float
 ) -> None:
-    registry, now, ran = KeyRegistry(), NOW, set()
+    registry, now, ran = IdempotencyKeyRegistry(), NOW, set()
     keys = [make_key(NOW + 5 * number, number) for number in range(4)]
     for number, wait_s, action in steps:
         now += wait_s
         key = keys[number]
         if action == "settle":
-            registry.settle(key, ANSWER)
+            registry.record_outcome(key, ANSWER)
         elif registry.claim(key, "f", NOW - owner_age, now).state is ClaimState.GRANTED:
             assert key not in ran
             created_at = parse_key_time(key)
--- a/cleatlink/request/notes.py
+++ b/cleatlink/request/in_flight_notes.py
@@ -7,7 +7,7 @@
 
 from typing import NamedTuple
 
-__all__ = ["Note", "NoteBook", "Orphan"]
+__all__ = ["InFlightNote", "InFlightNotes", "OrphanedWork"]
 
 # Delay between an instance's death and the cancellation of its work, in seconds; a caller can
 # resume its request through another instance meanwhile.
@@ -16,7 +16,7 @@
 _MAX_NOTES = 50_000
 
 
-class Note(NamedTuple):
+class InFlightNote(NamedTuple):
     """One request in flight, the endpoints that may hold memory for it, and its deadline.
 
     Attributes:
@@ -36,21 +36,21 @@
     expires_in_s: float
 
 
-class Orphan(NamedTuple):
+class OrphanedWork(NamedTuple):
     """Work of a dead instance that must be cancelled at an endpoint."""
 
     request: str
     attempt: int
     address: str
-    expires: float
+    expires_at: float
 
 
 class _StoredNote(NamedTuple):
-    note: Note
+    note: InFlightNote
     expires: float
 
 
-class NoteBook:
+class InFlightNotes:
     """The notes received from peers; times are readings of the monotonic clock."""
 
     def __init__(self) -> None:
@@ -60,7 +60,7 @@
     def __len__(self) -> int:
         return len(self._notes)
 
-    def put(self, note: Note, now: float) -> None:
+    def add(self, note: InFlightNote, now: float) -> None:
         """Store a note, merged with the stored note of the same request."""
         stored = self._notes.get(note.request)
         endpoints = set(note.endpoints)
@@ -73,22 +73,22 @@
         merged = note._replace(endpoints=tuple(sorted(endpoints)), attempt=attempt)
         self._notes[note.request] = _StoredNote(merged, now + note.expires_in_s)
 
-    def drop(self, request: str) -> None:
+    def remove(self, request: str) -> None:
         """Remove the note of a request that has ended."""
         self._notes.pop(request, None)
 
-    def declare_dead(self, owner: str, incarnation: int, now: float) -> None:
+    def mark_dead(self, owner: str, incarnation: int, now: float) -> None:
         """Mark an incarnation as dead; its work is due for cancellation after a grace period."""
         self._due_at.setdefault((owner, incarnation), now + RESUME_GRACE_S)
 
-    def declare_alive(self, owner: str, incarnation: int) -> None:
+    def mark_alive(self, owner: str, incarnation: int) -> None:
         """Remove the mark of a dead incarnation that was only slow or disconnected."""
         self._due_at.pop((owner, incarnation), None)
 
-    def take_due(self, now: float) -> list[Orphan]:
+    def take_due(self, now: float) -> list[OrphanedWork]:
         """Remove and return the work to cancel now, and remove expired notes."""
         due_incarnations = {owner for owner, due_at in self._due_at.items() if due_at <= now}
-        orphans: list[Orphan] = []
+        orphans: list[OrphanedWork] = []
         for request, stored in list(self._notes.items()):
             note = stored.note
             if stored.expires <= now:
@@ -96,7 +96,7 @@
             elif (note.owner, note.incarnation) in due_incarnations:
                 del self._notes[request]
                 orphans += [
-                    Orphan(request, note.attempt, address, stored.expires)
+                    OrphanedWork(request, note.attempt, address, stored.expires)
                     for address in note.endpoints
                 ]
         return orphans
--- a/cleatlink/request/machine_test.py
+++ b/cleatlink/request/model_machine_test.py
@@ -5,34 +5,34 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cleatlink.core.data import Endpoint, KvHandle, Limits, Placement, Ran, Refusal
-from cleatlink.core.errors import ANSWERS, ErrorKind
-from cleatlink.request.budget import RetryBudget
+from cleatlink.core.data import Endpoint, ExecutionStatus, KvHandle, Limits, Placement, Refusal
+from cleatlink.core.errors import ERROR_RESPONSES, ErrorKind
 from cleatlink.request.events import (
     Action,
-    Broken,
-    CallerGone,
+    CallerDisconnected,
     Cancel,
-    Cause,
+    CountRetry,
     DeadlinePassed,
-    Decode,
     Event,
-    Failed,
+    FailureCause,
+    FindPlacement,
     Finish,
-    Opened,
-    Place,
-    Placed,
-    Prefill,
+    ForwardEvent,
+    OrderFailed,
+    PlacementFailed,
+    PlacementFound,
     PrefillDone,
-    Read,
-    Received,
+    ReadStreamEvent,
     Refuse,
-    Relay,
-    Resume,
-    Retried,
-    Unplaced,
+    ResumeStream,
+    SendDecode,
+    SendPrefill,
+    StreamBroken,
+    StreamEventReceived,
+    StreamOpened,
 )
-from cleatlink.request.machine import ModelMachine, Phase
+from cleatlink.request.model_machine import ModelRequestMachine, Phase
+from cleatlink.request.retry_budget import RetryBudget
 
 LIMITS = Limits(1000, 1000, 1000, 10, 3, 0.1)
 P1, P2 = (Endpoint(name, name, "a", "prefill") for name in ("p1", "p2"))
@@ -42,18 +42,18 @@
 MAX_POSITION = 6
 
 
-def make_machine(budget: float = 10.0) -> ModelMachine:
-    machine = ModelMachine("r", LIMITS, RetryBudget(0.1, budget))
-    assert machine.start() == [Place(frozenset())]
+def make_machine(budget: float = 10.0) -> ModelRequestMachine:
+    machine = ModelRequestMachine("r", LIMITS, RetryBudget(0.1, budget))
+    assert machine.start() == [FindPlacement(frozenset())]
     return machine
 
 
-def stream_tokens(machine: ModelMachine, tokens: int) -> None:
-    machine.handle(Placed(FIRST_PLACEMENT))
+def stream_tokens(machine: ModelRequestMachine, tokens: int) -> None:
+    machine.handle(PlacementFound(FIRST_PLACEMENT))
     machine.handle(PrefillDone(0, KV))
-    machine.handle(Opened(0))
+    machine.handle(StreamOpened(0))
     for position in range(tokens):
-        machine.handle(Received(0, "r.0", position, b"x", False))
+        machine.handle(StreamEventReceived(0, "r.0", position, b"x", False))
 
 
 def action_types(actions: list[Action]) -> list[type]:
@@ -62,43 +62,46 @@
 
 def test_request_without_failures_runs_to_completion() -> None:
     machine = make_machine()
-    assert machine.handle(Placed(FIRST_PLACEMENT)) == [Prefill(0, FIRST_PLACEMENT, 0)]
-    assert machine.handle(PrefillDone(0, KV)) == [Decode(0, FIRST_PLACEMENT, KV, 0)]
-    assert machine.handle(Opened(0)) == [Read(0)]
-    assert machine.handle(Received(0, "r.0", 0, b"x", False)) == [Relay(0, b"x"), Read(0)]
-    assert machine.handle(Received(0, "r.0", 1, b"", True)) == [Finish()]
+    assert machine.handle(PlacementFound(FIRST_PLACEMENT)) == [SendPrefill(0, FIRST_PLACEMENT, 0)]
+    assert machine.handle(PrefillDone(0, KV)) == [SendDecode(0, FIRST_PLACEMENT, KV, 0)]
+    assert machine.handle(StreamOpened(0)) == [ReadStreamEvent(0)]
+    assert machine.handle(StreamEventReceived(0, "r.0", 0, b"x", False)) == [
+        ForwardEvent(0, b"x"),
+        ReadStreamEvent(0),
+    ]
+    assert machine.handle(StreamEventReceived(0, "r.0", 1, b"", True)) == [Finish()]
     assert machine.phase is Phase.DONE
     assert machine.memory_holders == ()
 
 
 def test_events_of_an_earlier_attempt_are_not_forwarded() -> None:
     machine = make_machine()
-    machine.handle(Placed(FIRST_PLACEMENT))
-    actions = machine.handle(Failed(0, P1, Cause.UNKNOWN))
+    machine.handle(PlacementFound(FIRST_PLACEMENT))
+    actions = machine.handle(OrderFailed(0, P1, FailureCause.UNKNOWN))
     assert Cancel(P1, 0) in actions
-    machine.handle(Placed(SECOND_PLACEMENT))
+    machine.handle(PlacementFound(SECOND_PLACEMENT))
     assert machine.handle(PrefillDone(0, KV)) == []
     machine.handle(PrefillDone(1, KV))
-    assert machine.handle(Received(0, "r.0", 0, b"late", False)) == []
-    actions_for_earlier_attempt = machine.handle(Received(1, "r.0", 0, b"late", False))
-    assert actions_for_earlier_attempt == [Read(1)]
+    assert machine.handle(StreamEventReceived(0, "r.0", 0, b"late", False)) == []
+    actions_for_earlier_attempt = machine.handle(StreamEventReceived(1, "r.0", 0, b"late", False))
+    assert actions_for_earlier_attempt == [ReadStreamEvent(1)]
     assert machine.mismatched_events == 1
 
 
 def test_end_event_with_skipped_positions_resumes_the_stream() -> None:
     machine = make_machine()
     stream_tokens(machine, 2)
-    assert machine.handle(Received(0, "r.0", 3, b"", True)) == [
-        Retried("resume"),
-        Resume(0, D1, 2),
+    assert machine.handle(StreamEventReceived(0, "r.0", 3, b"", True)) == [
+        CountRetry("resume"),
+        ResumeStream(0, D1, 2),
     ]
 
 
 def test_refused_decode_cancels_the_prefill_result() -> None:
     machine = make_machine()
-    machine.handle(Placed(FIRST_PLACEMENT))
+    machine.handle(PlacementFound(FIRST_PLACEMENT))
     machine.handle(PrefillDone(0, KV))
-    actions = machine.handle(Failed(0, D1, Cause.REFUSED))
+    actions = machine.handle(OrderFailed(0, D1, FailureCause.REFUSED))
     assert Cancel(P1, 0) in actions
     assert Cancel(D1, 0) not in actions
 
@@ -106,53 +109,63 @@
 def test_endpoint_of_both_steps_is_cancelled_when_it_refuses_the_decode() -> None:
     both = Placement(P1, P1, "")
     machine = make_machine()
-    machine.handle(Placed(both))
+    machine.handle(PlacementFound(both))
     machine.handle(PrefillDone(0, KV))
-    assert Cancel(P1, 0) in machine.handle(Failed(0, P1, Cause.REFUSED))
+    assert Cancel(P1, 0) in machine.handle(OrderFailed(0, P1, FailureCause.REFUSED))
 
 
 def test_endpoint_that_becomes_unreachable_during_decode_is_cancelled() -> None:
     machine = make_machine()
     stream_tokens(machine, 2)
-    machine.handle(Broken(0))
-    assert Cancel(D1, 0) in machine.handle(Failed(0, D1, Cause.UNREACHABLE))
+    machine.handle(StreamBroken(0))
+    assert Cancel(D1, 0) in machine.handle(OrderFailed(0, D1, FailureCause.UNREACHABLE))
 
 
 def test_exhausted_retry_budget_prevents_a_retry() -> None:
     machine = make_machine(budget=0.0)
-    machine.handle(Placed(FIRST_PLACEMENT))
-    actions = machine.handle(Failed(0, P1, Cause.REFUSED))
+    machine.handle(PlacementFound(FIRST_PLACEMENT))
+    actions = machine.handle(OrderFailed(0, P1, FailureCause.REFUSED))
     assert action_types(actions) == [Refuse]
     assert actions[-1].refusal.kind is ErrorKind.ENDPOINT_REFUSED  # type: ignore[union-attr]
 
 
 def test_failed_placement_after_unknown_outcome_does_not_report_not_run() -> None:
     machine = make_machine()
-    machine.handle(Placed(FIRST_PLACEMENT))
-    machine.handle(Failed(0, P1, Cause.UNKNOWN))
-    actions = machine.handle(Unplaced(Refusal(ErrorKind.NO_ROOM, "")))
-    assert ANSWERS[actions[-1].refusal.kind].ran == "unknown"  # type: ignore[union-attr]
+    machine.handle(PlacementFound(FIRST_PLACEMENT))
+    machine.handle(OrderFailed(0, P1, FailureCause.UNKNOWN))
+    actions = machine.handle(PlacementFailed(Refusal(ErrorKind.NO_ROOM, "")))
+    assert ERROR_RESPONSES[actions[-1].refusal.kind].ran == "unknown"  # type: ignore[union-attr]
 
 
 def test_deadline_during_an_open_order_does_not_report_not_run() -> None:
     machine = make_machine()
     assert machine.handle(DeadlinePassed())[-1].refusal.kind is ErrorKind.DEADLINE_NOT_RUN  # type: ignore[union-attr]
     machine = make_machine()
-    machine.handle(Placed(FIRST_PLACEMENT))
+    machine.handle(PlacementFound(FIRST_PLACEMENT))
     assert machine.handle(DeadlinePassed())[-1].refusal.kind is ErrorKind.DEADLINE_PASSED  # type: ignore[union-attr]
 
 
 EVENTS = st.one_of(
     st.sampled_from(
-        [Placed(FIRST_PLACEMENT), Placed(SECOND_PLACEMENT), DeadlinePassed(), CallerGone()]
+        [
+            PlacementFound(FIRST_PLACEMENT),
+            PlacementFound(SECOND_PLACEMENT),
+            DeadlinePassed(),
+            CallerDisconnected(),
+        ]
     ),
-    st.sampled_from([Unplaced(Refusal(kind, "")) for kind in (ErrorKind.NO_ROOM,)]),
+    st.sampled_from([PlacementFailed(Refusal(kind, "")) for kind in (ErrorKind.NO_ROOM,)]),
     st.builds(PrefillDone, st.integers(0, 3), st.just(KV)),
-    st.builds(Failed, st.integers(0, 3), st.sampled_from([P1, P2, D1, D2]), st.sampled_from(Cause)),
-    st.builds(Opened, st.integers(0, 3)),
-    st.builds(Broken, st.integers(0, 3)),
     st.builds(
-        Received,
+        OrderFailed,
+        st.integers(0, 3),
+        st.sampled_from([P1, P2, D1, D2]),
+        st.sampled_from(FailureCause),
+    ),
+    st.builds(StreamOpened, st.integers(0, 3)),
+    st.builds(StreamBroken, st.integers(0, 3)),
+    st.builds(
+        StreamEventReceived,
         st.integers(0, 3),
         st.sampled_from(["r.0", "r.1", "r.2", "other.0"]),
         st.integers(0, MAX_POSITION),
@@ -168,65 +181,77 @@
     Possible events are the answers to the pending action, a passed deadline and a caller
     that disconnects. Any other event is late.
     """
-    if isinstance(event, DeadlinePassed | CallerGone):
+    if isinstance(event, DeadlinePassed | CallerDisconnected):
         return True
     match pending:
-        case Place():
-            return isinstance(event, Placed | Unplaced)
-        case Prefill(attempt, placement, _):
+        case FindPlacement():
+            return isinstance(event, PlacementFound | PlacementFailed)
+        case SendPrefill(attempt, placement, _):
             return (isinstance(event, PrefillDone) and event.attempt == attempt) or (
-                isinstance(event, Failed)
+                isinstance(event, OrderFailed)
                 and (event.attempt, event.endpoint) == (attempt, placement.prefill)
             )
-        case Decode(attempt, placement, _, _):
-            return (isinstance(event, Opened) and event.attempt == attempt) or (
-                isinstance(event, Failed)
+        case SendDecode(attempt, placement, _, _):
+            return (isinstance(event, StreamOpened) and event.attempt == attempt) or (
+                isinstance(event, OrderFailed)
                 and (event.attempt, event.endpoint) == (attempt, placement.decode)
             )
-        case Resume(attempt, endpoint, _):
-            return (isinstance(event, Opened) and event.attempt == attempt) or (
-                isinstance(event, Failed) and (event.attempt, event.endpoint) == (attempt, endpoint)
+        case ResumeStream(attempt, endpoint, _):
+            return (isinstance(event, StreamOpened) and event.attempt == attempt) or (
+                isinstance(event, OrderFailed)
+                and (event.attempt, event.endpoint) == (attempt, endpoint)
+            )
+        case ReadStreamEvent(attempt):
+            return (
+                isinstance(event, StreamEventReceived | StreamBroken) and event.attempt == attempt
             )
-        case Read(attempt):
-            return isinstance(event, Received | Broken) and event.attempt == attempt
     return False
 
 
 @given(st.lists(EVENTS, max_size=60))
 def test_invariants_hold_for_any_order_of_events(events: list[Event]) -> None:
     machine = make_machine()
-    pending: Action | None = Place(frozenset())
+    pending: Action | None = FindPlacement(frozenset())
     next_position, final_actions, ordered, cancelled = 0, 0, set(), set()
     definitely_refused: set[tuple[str, int]] = set()
     for event in events:
-        is_late = isinstance(event, PrefillDone | Failed | Opened | Received | Broken) and (
-            event.attempt != machine.attempt
-        )
+        is_late = isinstance(
+            event, PrefillDone | OrderFailed | StreamOpened | StreamEventReceived | StreamBroken
+        ) and (event.attempt != machine.attempt)
         if not is_late and not is_possible(pending, event):
             continue
-        if isinstance(event, Failed) and event.cause is not Cause.UNKNOWN and not is_late:
+        if (
+            isinstance(event, OrderFailed)
+            and event.cause is not FailureCause.UNKNOWN
+            and not is_late
+        ):
             definitely_refused.add((event.endpoint.name, event.attempt))
         ran_before = machine.ran
         actions = machine.handle(event)
         assert not is_late or actions == []
         for action in actions:
             match action:
-                case Relay(position, _):
+                case ForwardEvent(position, _):
                     assert position == next_position
                     next_position += 1
                 case Finish() | Refuse():
                     final_actions += 1
-                    if isinstance(action, Refuse) and ANSWERS[action.refusal.kind].ran == "no":
-                        assert ran_before is Ran.NO
+                    if (
+                        isinstance(action, Refuse)
+                        and ERROR_RESPONSES[action.refusal.kind].ran == "no"
+                    ):
+                        assert ran_before is ExecutionStatus.NO
                         assert next_position == 0
-                case Prefill(attempt, placement, position):
+                case SendPrefill(attempt, placement, position):
                     assert position == next_position
                     ordered.add((placement.prefill.name, attempt))
-                case Decode(attempt, placement, _, _):
+                case SendDecode(attempt, placement, _, _):
                     ordered.add((placement.decode.name, attempt))
                 case Cancel(endpoint, attempt):
                     cancelled.add((endpoint.name, attempt))
-            if isinstance(action, Place | Prefill | Decode | Resume | Read):
+            if isinstance(
+                action, FindPlacement | SendPrefill | SendDecode | ResumeStream | ReadStreamEvent
+            ):
                 pending = action
         if machine.phase is Phase.DONE:
             pending = None
@@ -245,6 +270,6 @@
     rng = random.Random(1)
     retries = 0
     for _ in range(10_000):
-        budget.earn()
-        retries += rng.random() < 0.9 and budget.take()
+        budget.count_request()
+        retries += rng.random() < 0.9 and budget.try_spend()
     assert 900 <= retries <= 1000
--- a/cleatlink/request/budget.py
+++ b/cleatlink/request/retry_budget.py
@@ -26,11 +26,11 @@
         """Set the share of requests, after a new configuration was adopted."""
         self._share = share
 
-    def earn(self) -> None:
+    def count_request(self) -> None:
         """Count a new request, which adds its share to the balance."""
         self._balance = min(_MAX_BALANCE, self._balance + self._share)
 
-    def take(self) -> bool:
+    def try_spend(self) -> bool:
         """Subtract one retry if the balance allows it; return whether it does."""
         if self._balance < 1.0:
             return False
--- a/cleatlink/request/shared_budget.py
+++ b/cleatlink/request/shared_retry_budget.py
@@ -24,7 +24,7 @@
         self._requests: deque[float] = deque()
         self._extra_sends: deque[float] = deque()
 
-    def change(self, ratio: float, allowance: float, window_s: float) -> None:
+    def set_limits(self, ratio: float, allowance: float, window_s: float) -> None:
         """Change the limits; requests and extra sends counted so far still count."""
         self._ratio = ratio
         self._allowance = allowance
@@ -45,7 +45,7 @@
         limit = self._ratio * len(self._requests) + self._allowance / max(1, instance_count)
         return _USABLE_SHARE * limit - len(self._extra_sends)
 
-    def take(self, instance_count: int, now: float) -> bool:
+    def try_spend(self, instance_count: int, now: float) -> bool:
         """Count one extra send if the budget allows it; return whether it does."""
         if self.available(instance_count, now) < 1.0:
             return False
--- a/cleatlink/routing/held_bytes.py
+++ b/cleatlink/routing/buffered_bytes.py
@@ -8,7 +8,7 @@
 
 from enum import StrEnum
 
-__all__ = ["HeldBytes", "HeldKind"]
+__all__ = ["BufferedBytes", "BufferKind"]
 
 # Share of the limit that request bodies may use while they are read. Further bodies wait and are
 # then refused, while there is still memory for answers.
@@ -18,14 +18,14 @@
 _CALLER_SHARE = 0.125
 
 
-class HeldKind(StrEnum):
+class BufferKind(StrEnum):
     """Kind of the buffered bytes."""
 
     REQUEST_BODIES = "request_bodies"
     UNREAD_ANSWERS = "unread_answers"
 
 
-class HeldBytes:
+class BufferedBytes:
     """Counts buffered bytes and decides whether more may be buffered."""
 
     def __init__(self, limit_bytes: int) -> None:
@@ -35,7 +35,7 @@
             limit_bytes: Limit of the buffered bytes of all kinds.
         """
         self._limit_bytes = limit_bytes
-        self._held = dict.fromkeys(HeldKind, 0)
+        self._held = dict.fromkeys(BufferKind, 0)
 
     @property
     def limit_bytes(self) -> int:
@@ -47,26 +47,26 @@
         """Number of bytes that are buffered now."""
         return sum(self._held.values())
 
-    def held(self, kind: HeldKind) -> int:
+    def buffered(self, kind: BufferKind) -> int:
         """Return the number of buffered bytes of a kind."""
         return self._held[kind]
 
-    def add(self, kind: HeldKind, count: int) -> None:
+    def add(self, kind: BufferKind, count: int) -> None:
         """Count bytes that are buffered from now on."""
         self._held[kind] += count
 
-    def remove(self, kind: HeldKind, count: int) -> None:
+    def remove(self, kind: BufferKind, count: int) -> None:
         """Subtract bytes that are no longer buffered."""
         self._held[kind] -= count
 
-    def admits_body(self, count: int) -> bool:
+    def may_buffer_body(self, count: int) -> bool:
         """Check whether ``count`` more bytes of a request body may be read now."""
         if self.total + count > self._limit_bytes:
             return False
-        bodies = self._held[HeldKind.REQUEST_BODIES] + count
+        bodies = self._held[BufferKind.REQUEST_BODIES] + count
         return bodies <= _BODIES_SHARE * self._limit_bytes
 
-    def admits_unread(self, buffered: int, count: int) -> bool:
+    def may_buffer_answer(self, buffered: int, count: int) -> bool:
         """Check whether more of an answer may be buffered for a caller that reads slowly.
 
         Args:
--- a/cleatlink/routing/held_bytes_test.py
+++ b/cleatlink/routing/buffered_bytes_test.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cleatlink.routing.held_bytes import HeldBytes, HeldKind
+from cleatlink.routing.buffered_bytes import BufferedBytes, BufferKind
 
 LIMIT = 1_000_000
 COUNTS = st.lists(st.integers(1, LIMIT // 3), max_size=60)
@@ -11,42 +11,42 @@
 
 @given(COUNTS)
 def test_bodies_stay_below_their_share(counts: list[int]) -> None:
-    held = HeldBytes(LIMIT)
+    held = BufferedBytes(LIMIT)
     for count in counts:
-        if held.admits_body(count):
-            held.add(HeldKind.REQUEST_BODIES, count)
-    assert held.held(HeldKind.REQUEST_BODIES) <= LIMIT // 2
+        if held.may_buffer_body(count):
+            held.add(BufferKind.REQUEST_BODIES, count)
+    assert held.buffered(BufferKind.REQUEST_BODIES) <= LIMIT // 2
 
 
 @given(COUNTS, COUNTS)
 def test_unread_answers_and_bodies_stay_below_the_limit(
     bodies: list[int], answers: list[int]
 ) -> None:
-    held = HeldBytes(LIMIT)
+    held = BufferedBytes(LIMIT)
     for body in bodies:
-        if held.admits_body(body):
-            held.add(HeldKind.REQUEST_BODIES, body)
+        if held.may_buffer_body(body):
+            held.add(BufferKind.REQUEST_BODIES, body)
     for answer in answers:
-        if held.admits_unread(0, answer):
-            held.add(HeldKind.UNREAD_ANSWERS, answer)
+        if held.may_buffer_answer(0, answer):
+            held.add(BufferKind.UNREAD_ANSWERS, answer)
     assert held.total <= LIMIT
 
 
 def test_one_slow_reader_leaves_memory_for_others() -> None:
-    held = HeldBytes(LIMIT)
+    held = BufferedBytes(LIMIT)
     buffered = 0
-    while held.admits_unread(buffered, 1_000):
+    while held.may_buffer_answer(buffered, 1_000):
         buffered += 1_000
-        held.add(HeldKind.UNREAD_ANSWERS, 1_000)
+        held.add(BufferKind.UNREAD_ANSWERS, 1_000)
     assert 0 < buffered <= LIMIT // 8
-    assert held.admits_unread(0, 1_000)
+    assert held.may_buffer_answer(0, 1_000)
 
 
 @given(COUNTS)
 def test_removed_bytes_are_no_longer_counted(counts: list[int]) -> None:
-    held = HeldBytes(LIMIT)
+    held = BufferedBytes(LIMIT)
     for count in counts:
-        held.add(HeldKind.UNREAD_ANSWERS, count)
+        held.add(BufferKind.UNREAD_ANSWERS, count)
     for count in counts:
-        held.remove(HeldKind.UNREAD_ANSWERS, count)
+        held.remove(BufferKind.UNREAD_ANSWERS, count)
     assert held.total == 0
--- a/cleatlink/routing/capacity.py
+++ b/cleatlink/routing/capacity.py
@@ -9,22 +9,22 @@
 import math
 
 from cleatlink.core.data import Role
-from cleatlink.core.routes import EngineTraits, RoutedEndpoint
-from cleatlink.routing.demand import DemandMeter, RoleDemand, StreamPromise
+from cleatlink.core.routes import EngineProperties, RoutedEndpoint
+from cleatlink.routing.demand import DemandMeter, LatencyTargets, RoleDemand
 from cleatlink.routing.endpoint_limits import EndpointLimits
-from cleatlink.routing.endpoint_pace import EndpointPaces, PaceKind
-from cleatlink.routing.mechanisms import Mechanism, Switches
+from cleatlink.routing.endpoint_speeds import EndpointSpeeds, SpeedSampleKind
+from cleatlink.routing.mechanisms import Mechanism, MechanismSwitches
 from cleatlink.routing.notices import EndpointNotices
 from cleatlink.routing.outcomes import EndpointOutcomes
-from cleatlink.routing.own_pauses import OwnPauses
-from cleatlink.routing.pace import PaceSummary, ServicePace
 from cleatlink.routing.plain_load import PlainLoad
-from cleatlink.routing.plain_returns import PlainReturns
+from cleatlink.routing.plain_retries import ExpectedPlainRetries
+from cleatlink.routing.process_pauses import ProcessPauses
+from cleatlink.routing.rejection_bounds import RejectionBounds
 from cleatlink.routing.reservation import Reservation
-from cleatlink.routing.shared_waiting import SharedWaiting
-from cleatlink.routing.shed_limits import ShedLimits
+from cleatlink.routing.service_times import ServiceTimes, ServiceTimeSummary
+from cleatlink.routing.shared_wait_queues import SharedWaitQueues
 from cleatlink.routing.spill_over import SpillOver
-from cleatlink.routing.uploads import UploadPaces
+from cleatlink.routing.uploads import ReadRates
 from cleatlink.routing.workload import Workload
 
 __all__ = ["Capacity"]
@@ -36,7 +36,7 @@
     Methods take the current time as an argument.
     """
 
-    def __init__(self, switches: Switches | None = None, now: float = 0.0) -> None:
+    def __init__(self, switches: MechanismSwitches | None = None, now: float = 0.0) -> None:
         """Start without any endpoint.
 
         Args:
@@ -44,56 +44,60 @@
             now: The current time, in seconds.
         """
         self.notices = EndpointNotices()
-        self.limits = EndpointLimits(now)
-        self.endpoint_paces = EndpointPaces()
-        self.plain = PlainLoad(now)
-        self.plain_returns = PlainReturns()
-        self.upload_paces = UploadPaces()
-        self.own_pauses = OwnPauses()
+        self.endpoint_limits = EndpointLimits(now)
+        self.endpoint_speeds = EndpointSpeeds()
+        self.plain_load = PlainLoad(now)
+        self.expected_plain_retries = ExpectedPlainRetries()
+        self.read_rates = ReadRates()
+        self.process_pauses = ProcessPauses()
         super().__init__(self.notices.begin_work, self.notices.end_work)
-        self.switches = switches or Switches()
-        self.spill_over = SpillOver(is_on=self.switches.uses(Mechanism.SPILL_OVER))
-        self.waiting = SharedWaiting(is_on=self.switches.uses(Mechanism.SHARED_WAITING))
+        self.switches = switches or MechanismSwitches()
+        self.spill_over = SpillOver(is_on=self.switches.is_enabled(Mechanism.SPILL_OVER))
+        self.shared_wait_queues = SharedWaitQueues(
+            is_on=self.switches.is_enabled(Mechanism.SHARED_WAITING)
+        )
         self._endpoints: dict[str, RoutedEndpoint] = {}
         self._by_service: dict[str, list[RoutedEndpoint]] = {}
         # Newest incarnation by registered name.
         self._incarnations: dict[str, str] = {}
         self._outcomes = EndpointOutcomes()
-        self._shed_limits = ShedLimits()
+        self._shed_limits = RejectionBounds()
         # Registrations refuted by an answer of another endpoint at their address.
         self._refuted: dict[str, RoutedEndpoint] = {}
         # Time at which the role change of an endpoint ends.
         self._role_change_ends: dict[str, float] = {}
         self._meters: dict[str, DemandMeter] = {}
-        self._paces: dict[str, ServicePace] = {}
+        self._service_times: dict[str, ServiceTimes] = {}
 
-    def pace(self, service: str) -> ServicePace:
+    def service_times(self, service: str) -> ServiceTimes:
         """Return the measured times of a service."""
-        pace = self._paces.get(service)
+        pace = self._service_times.get(service)
         if pace is None:
-            pace = self._paces[service] = ServicePace(self.switches)
+            pace = self._service_times[service] = ServiceTimes(self.switches)
         return pace
 
-    def speed(self, name: str, now: float) -> float:
+    def relative_speed(self, name: str, now: float) -> float:
         """Return an endpoint's speed relative to its service's usual speed; 1.0 if unknown."""
-        if not self.switches.uses(Mechanism.ENDPOINT_PACE):
+        if not self.switches.is_enabled(Mechanism.ENDPOINT_PACE):
             return 1.0
-        return self.endpoint_paces.speed(name, now)
+        return self.endpoint_speeds.speed(name, now)
 
-    def plain_s(self, endpoint: RoutedEndpoint, now: float) -> float:
+    def plain_call_s(self, endpoint: RoutedEndpoint, now: float) -> float:
         """Return the seconds that an endpoint takes for a plain call; 0 if unknown."""
-        return self.pace(endpoint.service).plain_s / self.speed(endpoint.name, now)
+        return self.service_times(endpoint.service).plain_call_s / self.relative_speed(
+            endpoint.name, now
+        )
 
-    def note_tokens(self, name: str, tokens: int, seconds: float, now: float) -> None:
+    def note_token_time(self, name: str, tokens: int, seconds: float, now: float) -> None:
         """Update an endpoint's speed from the time that it took for some tokens of a stream."""
         endpoint = self._endpoints.get(name)
         if endpoint is None or tokens <= 0:
             return
         load = self.usage(name, Role.DECODE).running / max(1, endpoint.slots)
-        self.endpoint_paces.note_tokens(name, endpoint.service, seconds / tokens, load, now)
+        self.endpoint_speeds.note_token_time(name, endpoint.service, seconds / tokens, load, now)
 
     def note_duration(
-        self, name: str, kind: PaceKind, seconds: float, usual_s: float, now: float
+        self, name: str, kind: SpeedSampleKind, seconds: float, usual_s: float, now: float
     ) -> None:
         """Update an endpoint's speed from the duration of a prompt or a plain call.
 
@@ -105,21 +109,23 @@
             now: The current time, in seconds.
         """
         if name in self._endpoints and usual_s > 0:
-            self.endpoint_paces.note(name, kind, seconds / usual_s, now)
+            self.endpoint_speeds.note_ratio(name, kind, seconds / usual_s, now)
 
-    def pace_summaries(self, now: float) -> dict[str, tuple[PaceSummary, float]]:
+    def service_time_summaries(self, now: float) -> dict[str, tuple[ServiceTimeSummary, float]]:
         """Return the times of services that peers may adopt, each with its age in seconds."""
-        summaries = {name: pace.summary(now) for name, pace in self._paces.items()}
+        summaries = {name: pace.summary(now) for name, pace in self._service_times.items()}
         return {name: item for name, item in summaries.items() if item is not None}
 
-    def note_demand(self, work: Reservation, now: float) -> None:
+    def count_demand(self, work: Reservation, now: float) -> None:
         """Count a stream that was assigned to a decode as demand on its service."""
         endpoint = self._endpoints.get(work.endpoint)
         if endpoint is not None and work.role is Role.DECODE:
-            self._meter(endpoint.service).note(work.tokens - work.grows, work.grows, now)
+            self._meter(endpoint.service).count_stream(
+                work.tokens - work.growth_tokens, work.growth_tokens, now
+            )
 
     def demand(
-        self, service: str, traits: EngineTraits, promise: StreamPromise, now: float
+        self, service: str, traits: EngineProperties, promise: LatencyTargets, now: float
     ) -> RoleDemand | None:
         """Return the demand on a service's engines; None while their times are unknown.
 
@@ -129,18 +135,20 @@
             promise: Latency targets of the service's routes.
             now: The current time, in seconds.
         """
-        pace, meter = self.pace(service), self._meter(service)
+        pace, meter = self.service_times(service), self._meter(service)
         if not pace.is_known:
             return None
-        prompt, output = meter.mean_prompt, meter.mean_output
+        prompt, output = meter.mean_prompt_tokens, meter.mean_output_tokens
         # Answers grow while they are sent: on average they hold half of their final size.
         mean_tokens = max(1.0, prompt + output / 2)
         streams_per_decode = min(float(traits.slots), traits.memory_tokens / mean_tokens)
         prompt_s = pace.prompt_s(int(prompt))
-        stream_s = prompt_s + pace.stream_s(int(output))
+        stream_s = prompt_s + pace.stream_duration_s(int(output))
         rates, mean_rates = meter.rates(now), meter.rates(now, stream_s)
-        slack_s = pace.bearable_s(promise.target_s, prompt_s) - prompt_s - pace.start_s
-        pause_s = pace.direct_pause_s(prompt_s, traits.event_tokens)
+        slack_s = (
+            pace.achievable_limit_s(promise.target_s, prompt_s) - prompt_s - pace.first_event_s
+        )
+        pause_s = pace.prompt_event_gap_s(prompt_s, traits.event_tokens)
         # Whether decodes may compute prompts without pausing their streams for too long.
         decodes_compute = pause_s <= promise.event_gap_s
         return RoleDemand(
@@ -157,11 +165,11 @@
     def _meter(self, service: str) -> DemandMeter:
         return self._meters.setdefault(service, DemandMeter())
 
-    def note_switching(self, name: str, until: float) -> None:
+    def note_role_change(self, name: str, until: float) -> None:
         """Record that an endpoint changes its role and takes no work until a given time."""
         self._role_change_ends[name] = max(until, self._role_change_ends.get(name, 0.0))
 
-    def switching(self, now: float) -> dict[str, float]:
+    def role_changes_left_s(self, now: float) -> dict[str, float]:
         """Return the endpoints that are changing their role, with the seconds that are left."""
         return {name: until - now for name, until in self._role_change_ends.items() if until > now}
 
@@ -206,11 +214,11 @@
         Returns:
             The name of the incarnation that is replaced, if any.
         """
-        previous = self._incarnations.get(endpoint.answers_to)
+        previous = self._incarnations.get(endpoint.registered_name)
         replaced = previous if previous in self._endpoints and previous != endpoint.name else None
         if replaced is not None:
             self.remove_endpoint(replaced)
-        self._incarnations[endpoint.answers_to] = endpoint.name
+        self._incarnations[endpoint.registered_name] = endpoint.name
         known = self._endpoints.get(endpoint.name)
         if known is not None and known.role is not endpoint.role:
             self._role_change_ends.pop(endpoint.name, None)
@@ -218,26 +226,26 @@
         self._rebuild_index()
         return replaced
 
-    def life_of(self, registration: str) -> str | None:
+    def current_incarnation(self, registration: str) -> str | None:
         """Return the name of the incarnation that is registered under a name now."""
         incarnation = self._incarnations.get(registration)
         return incarnation if incarnation in self._endpoints else None
 
-    def knows_life(self, endpoint: RoutedEndpoint) -> bool:
+    def is_registered(self, endpoint: RoutedEndpoint) -> bool:
         """Check whether this incarnation of an endpoint is registered."""
         return endpoint.name in self._endpoints
 
-    def is_over(self, endpoint: RoutedEndpoint) -> bool:
+    def is_superseded(self, endpoint: RoutedEndpoint) -> bool:
         """Check whether a newer incarnation has replaced this incarnation of an endpoint."""
-        return self._incarnations.get(endpoint.answers_to, endpoint.name) != endpoint.name
+        return self._incarnations.get(endpoint.registered_name, endpoint.name) != endpoint.name
 
     def remove_endpoint(self, name: str) -> None:
         """Forget an endpoint and all that was measured of it."""
         self._endpoints.pop(name, None)
-        self._outcomes.forget(name)
-        self.endpoint_paces.forget(name)
-        self.upload_paces.forget(name)
-        self._shed_limits.forget(name)
+        self._outcomes.remove(name)
+        self.endpoint_speeds.forget(name)
+        self.read_rates.forget(name)
+        self._shed_limits.remove(name)
         self._refuted.pop(name, None)
         self._role_change_ends.pop(name, None)
         self._rebuild_index()
@@ -247,7 +255,7 @@
         for endpoint in self._endpoints.values():
             self._by_service.setdefault(endpoint.service, []).append(endpoint)
 
-    def note_misdirected(self, name: str) -> None:
+    def note_address_mismatch(self, name: str) -> None:
         """Record that another endpoint than the registered one answered at its address.
 
         The endpoint gets no new work until its registration changes. This is not recorded as the
@@ -262,25 +270,25 @@
         """Record that an endpoint did what it was asked to do."""
         self._outcomes.note_success(name, now)
 
-    def note_unreached_by_peers(self, name: str, now: float) -> None:
+    def note_unreachable_from_peers(self, name: str, now: float) -> None:
         """Record that peers that share this instance's links can't reach an endpoint."""
-        if self.switches.uses(Mechanism.HINTS):
-            self._outcomes.note_unreached_by_peers(name, now)
+        if self.switches.is_enabled(Mechanism.HINTS):
+            self._outcomes.note_unreachable_by_peers(name, now)
 
     def note_failure(self, name: str, now: float) -> None:
         """Record that an endpoint failed; it is avoided for a while."""
         self._outcomes.note_failure(name, now)
 
-    def note_slow(self, name: str, now: float) -> None:
+    def note_reported_slow(self, name: str, now: float) -> None:
         """Record that several instances reported an endpoint as slow."""
-        if self.switches.uses(Mechanism.HINTS):
+        if self.switches.is_enabled(Mechanism.HINTS):
             self._outcomes.note_slow(name, now)
 
     def note_full(self, name: str, now: float) -> None:
         """Record that an endpoint has no free capacity now."""
-        self._outcomes.note_full(name, now)
+        self._outcomes.note_refusal(name, now)
 
-    def note_shed(self, name: str, tokens: int, now: float) -> bool:
+    def note_memory_refusal(self, name: str, tokens: int, now: float) -> bool:
         """Record that a decode refused a stream for lack of memory.
 
         The stream must not be counted among the decode's reservations.
@@ -293,47 +301,49 @@
         Returns:
             Whether the refusal is worth reporting to peers.
         """
-        if not self.switches.uses(Mechanism.SHED_LIMITS):
+        if not self.switches.is_enabled(Mechanism.SHED_LIMITS):
             return False
         held_tokens = self.usage(name, Role.DECODE).tokens
-        return self._shed_limits.note_refused(name, held_tokens, tokens, now)
+        return self._shed_limits.note_rejected(name, held_tokens, tokens, now)
 
-    def note_held(self, name: str) -> None:
+    def note_stream_accepted(self, name: str) -> None:
         """Record that a decode accepted a stream, which is counted among its reservations."""
-        self._shed_limits.note_held(name, self.usage(name, Role.DECODE).tokens)
+        self._shed_limits.note_accepted(name, self.usage(name, Role.DECODE).tokens)
 
-    def free_tokens(self, name: str, now: float) -> float:
+    def free_memory_tokens(self, name: str, now: float) -> float:
         """Return the free memory of a decode by its latest refusal, in tokens.
 
         It is infinite without a refusal.
         """
-        return self._shed_limits.below_tokens(name, now) - self.usage(name, Role.DECODE).tokens
+        return self._shed_limits.bound_tokens(name, now) - self.usage(name, Role.DECODE).tokens
 
-    def note_room(self, name: str) -> None:
+    def note_free_capacity(self, name: str) -> None:
         """Record that an endpoint has free capacity again."""
-        self._outcomes.note_room(name)
+        self._outcomes.note_accepted(name)
 
-    def takes_work(self, name: str) -> bool:
+    def accepts_work(self, name: str) -> bool:
         """Check whether an endpoint is registered and not leaving."""
         endpoint = self._endpoints.get(name)
         return endpoint is not None and self._accepts_work(endpoint)
 
-    def rest_left_s(self, name: str, now: float) -> float:
+    def backoff_left_s(self, name: str, now: float) -> float:
         """Return the remaining seconds of the back-off that an endpoint asked for; 0 if none."""
-        return max(0.0, self.notices.rests_until(name) - now)
+        return max(0.0, self.notices.backoff_until(name) - now)
 
-    def opens_in_s(self, service: str, role: Role, now: float) -> float | None:
+    def accepts_work_in_s(self, service: str, role: Role, now: float) -> float | None:
         """Return the seconds until the first of a service's endpoints accepts a new call.
 
         Returns:
             0 if one accepts a call now; None if all are leaving or there is none.
         """
-        times = [self.opens_at(endpoint.name, now) for endpoint in self.in_role(service, role)]
+        times = [
+            self.accepts_work_at(endpoint.name, now) for endpoint in self.in_role(service, role)
+        ]
         return max(0.0, min(times) - now) if times else None
 
-    def opens_at(self, name: str, now: float) -> float:
+    def accepts_work_at(self, name: str, now: float) -> float:
         """Return when an endpoint accepts a new call, by its capacity, back-off and rate limit."""
-        return max(self.full_until(name), now + self.limits.due_in_s(name, now))
+        return max(self.full_until(name), now + self.endpoint_limits.due_in_s(name, now))
 
     def candidates(self, service: str, role: Role, now: float) -> list[RoutedEndpoint]:
         """Return a service's endpoints that may get work.
@@ -346,16 +356,16 @@
             for endpoint in self.in_role(service, role)
             if self._role_change_ends.get(endpoint.name, 0.0) <= now
         ]
-        available = [item for item in present if self.notices.rests_until(item.name) <= now]
+        available = [item for item in present if self.notices.backoff_until(item.name) <= now]
         preferred = [endpoint for endpoint in available if not self._is_avoided(endpoint.name, now)]
         return preferred or available or present
 
-    def reached(self, service: str, role: Role, now: float) -> list[RoutedEndpoint]:
+    def reachable_endpoints(self, service: str, role: Role, now: float) -> list[RoutedEndpoint]:
         """Return a service's endpoints in a role that are reachable and not leaving."""
         return [
             endpoint
             for endpoint in self.in_role(service, role)
-            if not self._outcomes.is_out_of_reach(endpoint.name, now)
+            if not self._outcomes.is_unreachable(endpoint.name, now)
         ]
 
     def is_full(self, name: str, now: float) -> bool:
@@ -364,40 +374,40 @@
         It gets none after a refusal for lack of capacity, during a back-off, and while the few
         calls that are allowed after a back-off are in progress.
         """
-        return now < self.full_until(name) or not self.notices.may_begin(name, now)
+        return now < self.full_until(name) or not self.notices.may_begin_call(name, now)
 
     def full_until(self, name: str) -> float:
         """Return when an endpoint's lack of capacity or its back-off ends."""
-        return max(self._outcomes.full_until(name), self.notices.rests_until(name))
+        return max(self._outcomes.full_until(name), self.notices.backoff_until(name))
 
     def _is_avoided(self, name: str, now: float) -> bool:
-        return self.notices.is_told_to_rest(name, now) or self._outcomes.is_avoided(name, now)
+        return self.notices.is_in_peer_backoff(name, now) or self._outcomes.is_avoided(name, now)
 
-    def begins_in_s(self, name: str, now: float) -> float:
+    def prompt_starts_in_s(self, name: str, now: float) -> float:
         """Return the seconds until a prefill begins a new prompt, by its queue and rate limit."""
-        queue_s = self.queue_s(name) / self.speed(name, now)
-        return max(queue_s, self.limits.due_in_s(name, now))
+        queue_s = self.prefill_queue_s(name) / self.relative_speed(name, now)
+        return max(queue_s, self.endpoint_limits.due_in_s(name, now))
 
-    def prompt_queues_s(self, service: str, now: float) -> dict[str, float]:
+    def prompt_starts_by_data_centre_s(self, service: str, now: float) -> dict[str, float]:
         """Return the seconds until the first prefill of each data centre begins a new prompt."""
         shortest_s: dict[str, float] = {}
         for endpoint in self.candidates(service, Role.PREFILL, now):
-            begins_in_s = self.begins_in_s(endpoint.name, now)
+            begins_in_s = self.prompt_starts_in_s(endpoint.name, now)
             known_s = shortest_s.get(endpoint.data_centre, math.inf)
             shortest_s[endpoint.data_centre] = min(known_s, begins_in_s)
         return shortest_s
 
-    def queue_s(self, name: str) -> float:
+    def prefill_queue_s(self, name: str) -> float:
         """Return the seconds that a prefill of the usual speed still needs for its prompts.
 
         They are computed from the sizes of the prompts alone. The expected end of a prompt
         depends on the prompts before it, so errors of these ends would add up.
         """
         endpoint = self._endpoints.get(name)
-        placed = self.placed(name, Role.PREFILL)
+        placed = self.assigned(name, Role.PREFILL)
         if endpoint is None or not placed:
             return 0.0
         first = min(placed, key=lambda work: work.ends_at)
-        pace = self.pace(endpoint.service)
+        pace = self.service_times(endpoint.service)
         # The first prompt is being computed; on average, half of it is done.
         return sum(pace.prompt_s(work.tokens) for work in placed) - pace.prompt_s(first.tokens) / 2
--- a/cleatlink/routing/demand.py
+++ b/cleatlink/routing/demand.py
@@ -13,24 +13,24 @@
 from typing import NamedTuple
 
 from cleatlink.core.routes import Route
-from cleatlink.routing.pace import DIRECT_FACTOR
-from cleatlink.routing.queueing import in_time_share
+from cleatlink.routing.queueing_model import estimate_in_time_share
+from cleatlink.routing.service_times import DECODE_PROMPT_FACTOR
 
-__all__ = ["MEMORY_S", "STEPS_A_SECOND", "DemandMeter", "RoleDemand", "StreamPromise"]
+__all__ = ["WINDOW_S", "STEPS_PER_SECOND", "DemandMeter", "RoleDemand", "LatencyTargets"]
 
 # Length of the window of arrivals, in seconds: longer than a burst and the calm period between two
 # bursts, shorter than the hours over which demand changes in the course of a day.
-MEMORY_S = 30.0
+WINDOW_S = 30.0
 # Counting steps per second. A burst lasts for seconds: with steps of one second, the forecast would
 # depend on where the steps begin.
-STEPS_A_SECOND = 10
+STEPS_PER_SECOND = 10
 # Shortest averaging window of a rate, in seconds: a queue of a few prompts absorbs shorter peaks.
 _MIN_RATE_WINDOW_S = 3
 # Candidate shares of the prompts that decode engines compute; the best one is used.
 _DECODE_PROMPT_SHARES = (0.0, 0.1, 0.2, 0.35, 0.5, 0.75, 1.0)
 
 
-class StreamPromise(NamedTuple):
+class LatencyTargets(NamedTuple):
     """The strictest latency targets among the routes of a service.
 
     Attributes:
@@ -42,11 +42,11 @@
     event_gap_s: float = math.inf
 
     @classmethod
-    def of(cls, routes: Iterable[Route]) -> "StreamPromise":
+    def strictest(cls, routes: Iterable[Route]) -> "LatencyTargets":
         """Return the strictest targets of some routes."""
         listed = list(routes)
         target_s = min((route.target_s for route in listed), default=math.inf)
-        return cls(target_s, min((route.event_gap_s for route in listed), default=math.inf))
+        return cls(target_s, min((route.event_gap_target_s for route in listed), default=math.inf))
 
 
 class RoleDemand(NamedTuple):
@@ -54,29 +54,29 @@
 
     Attributes:
         rates: Arrivals per second, one value for each step of the window.
-        place_rates: The same, each averaged over the time for which a stream occupies a decode
+        slot_rates: The same, each averaged over the time for which a stream occupies a decode
             slot: a shorter burst occupies only part of the slots.
         prompt_s: Mean seconds that a prefill engine takes for a prompt.
         stream_s: Mean seconds for which a stream occupies a slot of a decode engine.
-        places: Number of streams of mean size that a decode engine runs at once.
+        slots_per_decode: Number of streams of mean size that a decode engine runs at once.
         slack_s: Seconds by which a stream may be delayed and still meet its target.
         shares_prompts: Whether decode engines may compute prompts besides prefill engines.
         requests: Number of streams that were counted.
     """
 
     rates: tuple[float, ...]
-    place_rates: tuple[float, ...]
+    slot_rates: tuple[float, ...]
     prompt_s: float
     stream_s: float
-    places: float
+    slots_per_decode: float
     slack_s: float
     shares_prompts: bool
     requests: int
 
     @property
-    def seconds(self) -> float:
+    def window_s(self) -> float:
         """Length of the counted window in seconds."""
-        return len(self.rates) / STEPS_A_SECOND
+        return len(self.rates) / STEPS_PER_SECOND
 
     @property
     def rate(self) -> float:
@@ -107,11 +107,11 @@
         prompt_s = self.prompt_s / prefill_speed
         return _SpeedDemand(
             self.rates,
-            self.place_rates,
+            self.slot_rates,
             prompt_s,
-            DIRECT_FACTOR * self.prompt_s / decode_speed,
+            DECODE_PROMPT_FACTOR * self.prompt_s / decode_speed,
             self.stream_s / decode_speed,
-            self.places,
+            self.slots_per_decode,
             self.slack_s - (prompt_s - self.prompt_s),
             self.slack_s,
             self.shares_prompts,
@@ -134,11 +134,11 @@
     """
 
     rates: tuple[float, ...]
-    place_rates: tuple[float, ...]
+    slot_rates: tuple[float, ...]
     prompt_s: float
     decode_prompt_s: float
     stream_s: float
-    places: float
+    slots_per_decode: float
     prompt_slack_s: float
     slack_s: float
     shares_prompts: bool
@@ -155,11 +155,13 @@
             prefills: Number of prefill engines.
             decodes: Number of decode engines, which compute prompts beside their streams.
         """
-        at_prefills = in_time_share(
+        at_prefills = estimate_in_time_share(
             (1 - decode_share) * rate, self.prompt_s, prefills, self.prompt_slack_s
         )
         slack_s = self.slack_s - (self.decode_prompt_s - self.usual_prompt_s)
-        at_decodes = in_time_share(decode_share * rate, self.decode_prompt_s, decodes, slack_s)
+        at_decodes = estimate_in_time_share(
+            decode_share * rate, self.decode_prompt_s, decodes, slack_s
+        )
         return (1 - decode_share) * at_prefills + decode_share * at_decodes
 
 
@@ -170,16 +172,16 @@
     shares = _DECODE_PROMPT_SHARES if demand.shares_prompts else (0.0,)
     if not prefills:
         shares = (1.0,)
-    slots = max(1, round(demand.places * decodes))
+    slots = max(1, round(demand.slots_per_decode * decodes))
     prompt_share_in_time = {
         rate: max(demand.prompts_in_time(rate, share, prefills, decodes) for share in shares)
         for rate in set(demand.rates)
     }
     stream_share_in_time = {
-        rate: in_time_share(rate, demand.stream_s, slots, demand.slack_s)
-        for rate in set(demand.place_rates)
+        rate: estimate_in_time_share(rate, demand.stream_s, slots, demand.slack_s)
+        for rate in set(demand.slot_rates)
     }
-    pairs = zip(demand.rates, demand.place_rates, strict=True)
+    pairs = zip(demand.rates, demand.slot_rates, strict=True)
     late = sum(
         rate * (1.0 - stream_share_in_time[slot_rate] * prompt_share_in_time[rate])
         for rate, slot_rate in pairs
@@ -202,7 +204,7 @@
     def __init__(self) -> None:
         self._steps: deque[_Step] = deque()
 
-    def note(self, prompt: int, output: int, now: float) -> None:
+    def count_stream(self, prompt: int, output: int, now: float) -> None:
         """Count a stream.
 
         Args:
@@ -225,12 +227,12 @@
         return sum(item.streams for item in self._steps)
 
     @property
-    def mean_prompt(self) -> float:
+    def mean_prompt_tokens(self) -> float:
         """Mean tokens of a prompt."""
         return sum(item.prompt for item in self._steps) / max(1, self.requests)
 
     @property
-    def mean_output(self) -> float:
+    def mean_output_tokens(self) -> float:
         """Mean estimated tokens of an output."""
         return sum(item.output for item in self._steps) / max(1, self.requests)
 
@@ -246,7 +248,7 @@
         if not self._steps:
             return ()
         window_s = max(_MIN_RATE_WINDOW_S, round(window_s))
-        window_steps = int(window_s * STEPS_A_SECOND)
+        window_steps = int(window_s * STEPS_PER_SECOND)
         streams = {step.number: step.streams for step in self._steps}
         counts = [streams.get(number, 0) for number in range(self._steps[0].number, end)]
         # Cumulative arrivals by the end of each step.
@@ -257,10 +259,10 @@
         )
 
     def _drop_old_steps(self, number: int) -> None:
-        while self._steps and self._steps[0].number < number - MEMORY_S * STEPS_A_SECOND:
+        while self._steps and self._steps[0].number < number - WINDOW_S * STEPS_PER_SECOND:
             self._steps.popleft()
 
 
 def _step_number(now: float) -> int:
     """Return the number of the step that contains a time."""
-    return int(now * STEPS_A_SECOND)
+    return int(now * STEPS_PER_SECOND)
--- a/cleatlink/routing/group.py
+++ b/cleatlink/routing/endpoint_group.py
@@ -13,13 +13,13 @@
 
 from cleatlink.core.data import Endpoint
 
-__all__ = ["Group", "make_group", "sample"]
+__all__ = ["EndpointGroup", "build_endpoint_group", "sample_endpoints"]
 
 # Points of each endpoint on the hash ring; more points make the endpoints' shares more equal.
 _POINTS_PER_ENDPOINT = 16
 
 
-class Group(NamedTuple):
+class EndpointGroup(NamedTuple):
     """Eligible endpoints of all data centres or of one, with a consistent-hashing ring.
 
     Attributes:
@@ -49,14 +49,14 @@
                 yield self.endpoints[owner]
 
 
-def make_group(endpoints: tuple[Endpoint, ...]) -> Group:
+def build_endpoint_group(endpoints: tuple[Endpoint, ...]) -> EndpointGroup:
     """Build a group and its hash ring."""
     points = sorted(
         (xxhash.xxh3_64_intdigest(f"{endpoint.name}/{number}".encode()), index)
         for index, endpoint in enumerate(endpoints)
         for number in range(_POINTS_PER_ENDPOINT)
     )
-    return Group(
+    return EndpointGroup(
         endpoints,
         {endpoint.name: endpoint for endpoint in endpoints},
         tuple(point for point, _ in points),
@@ -64,7 +64,9 @@
     )
 
 
-def sample(endpoints: tuple[Endpoint, ...], count: int, rng: random.Random) -> list[Endpoint]:
+def sample_endpoints(
+    endpoints: tuple[Endpoint, ...], count: int, rng: random.Random
+) -> list[Endpoint]:
     """Return up to ``count`` endpoints, drawn at random.
 
     If there are more than ``count``, they are drawn with replacement: an endpoint may occur twice,
--- a/cleatlink/routing/endpoint_limits.py
+++ b/cleatlink/routing/endpoint_limits.py
@@ -12,7 +12,7 @@
 
 from cleatlink.limits import Bucket, RateLimit, SharedLimits
 
-__all__ = ["EndpointLimits", "LimitWord"]
+__all__ = ["EndpointLimits", "AnnouncedLimit"]
 
 # Size of a burst on top of one call, in seconds of the limit. Calls that wait for capacity try
 # again within this time, so no unit of the limit is left unused.
@@ -27,16 +27,16 @@
 _RETENTION_S = 600.0
 
 
-class LimitWord(NamedTuple):
+class AnnouncedLimit(NamedTuple):
     """A limit that an endpoint announced, as peers exchange it.
 
     Attributes:
-        life: The endpoint's incarnation.
+        incarnation: The endpoint's incarnation.
         rate_per_s: Calls per second, over all instances together; 0 if there is no limit.
         age_s: Seconds since the announcement.
     """
 
-    life: str
+    incarnation: str
     rate_per_s: float
     age_s: float
 
@@ -68,7 +68,7 @@
         self._reserved_keys: dict[str, dict[str, None]] = {}
         self._on_units_changed: Callable[[], None] = _ignore
 
-    def listen(self, on_units_changed: Callable[[], None]) -> None:
+    def set_change_callback(self, on_units_changed: Callable[[], None]) -> None:
         """Set the callback that runs when units are taken or returned, to inform peers at once."""
         self._on_units_changed = on_units_changed
 
@@ -78,7 +78,7 @@
             return None
         return RateLimit(announced.rate_per_s, 1 + _BURST_S * announced.rate_per_s)
 
-    def _first_bucket(self, limit: RateLimit, now: float) -> Bucket:
+    def _initial_bucket(self, limit: RateLimit, now: float) -> Bucket:
         """Return an empty bucket: the calls sent before the announcement were not counted."""
         return Bucket(limit, 0.0, now)
 
@@ -117,21 +117,21 @@
                 return False
         return self._set(incarnation, _Announcement(rate_per_s or 0.0, now, is_direct=True), now)
 
-    def note_told(self, report: LimitWord, now: float) -> bool:
+    def note_peer_announcement(self, report: AnnouncedLimit, now: float) -> bool:
         """Apply a limit that an endpoint announced to a peer; return whether it changed."""
         announced_at = now - max(0.0, report.age_s)
-        known = self._announced.get(report.life)
+        known = self._announced.get(report.incarnation)
         if known is not None and known.announced_at >= announced_at:
             return False
         return self._set(
-            report.life, _Announcement(report.rate_per_s, announced_at, is_direct=False), now
+            report.incarnation, _Announcement(report.rate_per_s, announced_at, is_direct=False), now
         )
 
     def _set(self, incarnation: str, announced: _Announcement, now: float) -> bool:
         """Use the newest announcement of an incarnation; return whether the limit changed."""
         before = self._announced.get(incarnation)
         rate_before = before.rate_per_s if before is not None else 0.0
-        bucket = self._bucket(incarnation, now)
+        bucket = self._refilled_bucket(incarnation, now)
         self._announced[incarnation] = announced
         if announced.rate_per_s == rate_before:
             return False
@@ -145,7 +145,7 @@
             # Calls sent since the previous limit ended were not counted.
             self._buckets[incarnation] = self._buckets[incarnation].empty_copy(limit, now)
         else:
-            self._bucket(incarnation, now)
+            self._refilled_bucket(incarnation, now)
         return True
 
     def due_in_s(self, incarnation: str, now: float, ready_for_s: float = 0.0) -> float:
@@ -157,30 +157,30 @@
             ready_for_s: Seconds for which the endpoint must have been able to accept it, capped
                 by the burst of its limit.
         """
-        bucket = self._bucket(incarnation, now)
+        bucket = self._refilled_bucket(incarnation, now)
         if bucket is None:
             return 0.0
         limit = bucket.limit
-        return self._fills_in_s(bucket, min(1 + ready_for_s * limit.rate, limit.burst))
+        return self._seconds_until(bucket, min(1 + ready_for_s * limit.rate, limit.burst))
 
-    def pause_s(self, incarnation: str) -> float:
+    def call_interval_s(self, incarnation: str) -> float:
         """Return the seconds between two calls that an endpoint accepts; 0 without a limit."""
         rate_per_s = self.rate_per_s(incarnation)
-        return 0.0 if rate_per_s is None else 1 / (self._share * rate_per_s)
+        return 0.0 if rate_per_s is None else 1 / (self._reachable_share * rate_per_s)
 
-    def book(self, key: str, incarnation: str, now: float) -> float:
+    def reserve(self, key: str, incarnation: str, now: float) -> float:
         """Reserve the next unit of an endpoint for a call; return when the call may be sent."""
-        self.give_up(key, now)
-        bucket = self._bucket(incarnation, now)
+        self.cancel_reservation(key, now)
+        bucket = self._refilled_bucket(incarnation, now)
         if bucket is None:
             return now
-        due_at = now + self._fills_in_s(bucket, 1.0)
+        due_at = now + self._seconds_until(bucket, 1.0)
         self._take(bucket, now)
         self._reserved[key] = incarnation
         self._reserved_keys.setdefault(incarnation, {})[key] = None
         return due_at
 
-    def give_up(self, key: str, now: float) -> None:
+    def cancel_reservation(self, key: str, now: float) -> None:
         """Return the unit that a call reserved but did not use; ignore unknown keys."""
         incarnation = self._reserved.pop(key, None)
         if incarnation is None:
@@ -191,7 +191,7 @@
             bucket.return_unused(1, now)
             self._on_units_changed()
 
-    def note_sent(self, incarnation: str, now: float) -> None:
+    def count_sent_call(self, incarnation: str, now: float) -> None:
         """Count a call that is sent to an endpoint, with or without a reservation."""
         keys = self._reserved_keys.get(incarnation)
         if keys:
@@ -200,7 +200,7 @@
             self._remove_key(incarnation, key)
             del self._reserved[key]
             return
-        bucket = self._bucket(incarnation, now)
+        bucket = self._refilled_bucket(incarnation, now)
         if bucket is not None:
             self._take(bucket, now)
 
@@ -220,31 +220,37 @@
 
     def level(self, incarnation: str, now: float) -> float:
         """Return the units left of an endpoint's limit; negative if future units are reserved."""
-        bucket = self._bucket(incarnation, now)
+        bucket = self._refilled_bucket(incarnation, now)
         return 0.0 if bucket is None else bucket.level
 
-    def words(self, now: float, max_count: int, *, all_known: bool = False) -> list[LimitWord]:
+    def announcements(
+        self, now: float, max_count: int, *, include_from_peers: bool = False
+    ) -> list[AnnouncedLimit]:
         """Return the newest announcements of all endpoints, newest first.
 
         Args:
             now: The current time.
             max_count: Maximum number to return.
-            all_known: Whether to include announcements that peers reported.
+            include_from_peers: Whether to include announcements that peers reported.
         """
         found = [
-            LimitWord(incarnation, announced.rate_per_s, round(now - announced.announced_at, 3))
+            AnnouncedLimit(
+                incarnation, announced.rate_per_s, round(now - announced.announced_at, 3)
+            )
             for incarnation, announced in self._announced.items()
-            if (all_known or announced.is_direct)
+            if (include_from_peers or announced.is_direct)
             and now - announced.announced_at < _ANNOUNCEMENT_LIFETIME_S
         ]
         return sorted(found, key=lambda report: report.age_s)[:max_count]
 
-    def word(self, incarnation: str, now: float) -> LimitWord:
+    def announcement(self, incarnation: str, now: float) -> AnnouncedLimit:
         """Return the newest announcement of one endpoint."""
         announced = self._announced[incarnation]
-        return LimitWord(incarnation, announced.rate_per_s, round(now - announced.announced_at, 3))
+        return AnnouncedLimit(
+            incarnation, announced.rate_per_s, round(now - announced.announced_at, 3)
+        )
 
-    def forget(self, now: float) -> None:
+    def expire(self, now: float) -> None:
         """End limits whose announcements have expired, and delete those that ended long ago."""
         for incarnation, announced in list(self._announced.items()):
             age_s = now - announced.announced_at
