--- a/cleatlink/routing/endpoint_limits_test.py
+++ b/cleatlink/routing/endpoint_limits_test.py
@@ -9,7 +9,7 @@
 import pytest
 
 from cleatlink.limits import PeerTotals
-from cleatlink.routing.endpoint_limits import EndpointLimits, LimitWord
+from cleatlink.routing.endpoint_limits import AnnouncedLimit, EndpointLimits
 
 INCARNATION = "i-1"
 # Length of the sliding window in which calls are counted, in seconds.
@@ -25,15 +25,15 @@
 def test_calls_without_a_limit_are_neither_delayed_nor_counted() -> None:
     limits = EndpointLimits(0.0)
     assert limits.due_in_s(INCARNATION, 1.0) == 0.0
-    assert limits.book("a", INCARNATION, 1.0) == 1.0
-    limits.note_sent(INCARNATION, 1.0)
-    assert limits.totals(1.0, whole=True) == {}
-    assert limits.pause_s(INCARNATION) == 0.0
+    assert limits.reserve("a", INCARNATION, 1.0) == 1.0
+    limits.count_sent_call(INCARNATION, 1.0)
+    assert limits.totals(1.0, include_unchanged=True) == {}
+    assert limits.call_interval_s(INCARNATION) == 0.0
 
 
 def test_reserved_calls_are_spaced_by_the_rate() -> None:
     limits = limits_with(2.0)
-    assert [limits.book(key, INCARNATION, 10.0) for key in "abc"] == pytest.approx(
+    assert [limits.reserve(key, INCARNATION, 10.0) for key in "abc"] == pytest.approx(
         [10.0, 10.2, 10.7]
     )
     assert limits.due_in_s(INCARNATION, 10.0) == pytest.approx(1.2)
@@ -42,9 +42,9 @@
 def test_cancelled_reservation_frees_its_unit() -> None:
     limits = limits_with(2.0)
     for key in "abc":
-        limits.book(key, INCARNATION, 10.0)
-    limits.give_up("b", 10.0)
-    limits.give_up("b", 10.0)
+        limits.reserve(key, INCARNATION, 10.0)
+    limits.cancel_reservation("b", 10.0)
+    limits.cancel_reservation("b", 10.0)
     assert limits.due_in_s(INCARNATION, 10.0) == pytest.approx(0.7)
     assert limits.totals(10.0) == {INCARNATION: 3}
     assert limits.returned(10.0) == {INCARNATION: 1}
@@ -52,27 +52,27 @@
 
 def test_cancelling_after_the_call_was_sent_returns_no_unit() -> None:
     limits = limits_with(2.0)
-    limits.book("a", INCARNATION, 10.0)
-    limits.note_sent(INCARNATION, 10.0)
-    limits.give_up("a", 10.1)
+    limits.reserve("a", INCARNATION, 10.0)
+    limits.count_sent_call(INCARNATION, 10.0)
+    limits.cancel_reservation("a", 10.1)
     assert limits.totals(10.1) == {INCARNATION: 1}
     assert limits.returned(10.1) == {}
 
 
 def test_call_without_a_reservation_is_counted_when_it_is_sent() -> None:
     limits = limits_with(2.0)
-    limits.note_sent(INCARNATION, 10.0)
-    limits.note_sent(INCARNATION, 10.0)
+    limits.count_sent_call(INCARNATION, 10.0)
+    limits.count_sent_call(INCARNATION, 10.0)
     assert limits.level(INCARNATION, 10.0) == pytest.approx(1.6 - 2)
     assert limits.totals(10.0) == {INCARNATION: 2}
 
 
 def test_callback_runs_for_each_unit_taken_or_returned() -> None:
     limits, changes = limits_with(2.0), []
-    limits.listen(lambda: changes.append(True))
-    limits.book("a", INCARNATION, 10.0)
-    limits.give_up("a", 10.0)
-    limits.note_sent(INCARNATION, 10.0)
+    limits.set_change_callback(lambda: changes.append(True))
+    limits.reserve("a", INCARNATION, 10.0)
+    limits.cancel_reservation("a", 10.0)
+    limits.count_sent_call(INCARNATION, 10.0)
     assert len(changes) == 3
 
 
@@ -88,11 +88,11 @@
 
 def test_limit_announced_again_starts_empty_and_totals_never_decrease() -> None:
     limits = limits_with(2.0)
-    limits.note_sent(INCARNATION, 10.0)
+    limits.count_sent_call(INCARNATION, 10.0)
     limits.note_answer(INCARNATION, None, 11.0)
     limits.note_answer(INCARNATION, 2.0, 20.0)
     assert limits.level(INCARNATION, 20.0) == 0.0
-    limits.note_sent(INCARNATION, 21.0)
+    limits.count_sent_call(INCARNATION, 21.0)
     assert limits.totals(21.0) == {INCARNATION: 2}
 
 
@@ -105,33 +105,35 @@
 
 def test_newest_announcement_applies_whether_direct_or_from_a_peer() -> None:
     limits = limits_with(2.0, now=10.0)
-    assert not limits.note_told(LimitWord(INCARNATION, 9.0, 5.0), 11.0)
-    assert limits.note_told(LimitWord(INCARNATION, 3.0, 0.5), 11.0)
+    assert not limits.note_peer_announcement(AnnouncedLimit(INCARNATION, 9.0, 5.0), 11.0)
+    assert limits.note_peer_announcement(AnnouncedLimit(INCARNATION, 3.0, 0.5), 11.0)
     assert limits.rate_per_s(INCARNATION) == 3.0
-    assert limits.note_told(LimitWord(INCARNATION, 0.0, 0.1), 11.0)
+    assert limits.note_peer_announcement(AnnouncedLimit(INCARNATION, 0.0, 0.1), 11.0)
     assert limits.rate_per_s(INCARNATION) is None
 
 
 def test_heartbeats_repeat_direct_announcements_and_new_peers_get_all() -> None:
     limits = limits_with(2.0, now=10.0)
-    limits.note_told(LimitWord("i-2", 3.0, 1.0), 10.0)
-    assert limits.words(10.5, 10) == [LimitWord(INCARNATION, 2.0, 0.5)]
-    assert {report.life for report in limits.words(10.5, 10, all_known=True)} == {
+    limits.note_peer_announcement(AnnouncedLimit("i-2", 3.0, 1.0), 10.0)
+    assert limits.announcements(10.5, 10) == [AnnouncedLimit(INCARNATION, 2.0, 0.5)]
+    assert {
+        report.incarnation for report in limits.announcements(10.5, 10, include_from_peers=True)
+    } == {
         INCARNATION,
         "i-2",
     }
-    assert len(limits.words(10.5, 1, all_known=True)) == 1
+    assert len(limits.announcements(10.5, 1, include_from_peers=True)) == 1
 
 
 def test_limit_expires_when_no_answer_announces_it() -> None:
     limits = limits_with(2.0, now=10.0)
-    limits.note_sent(INCARNATION, 10.0)
-    limits.forget(60.0)
+    limits.count_sent_call(INCARNATION, 10.0)
+    limits.expire(60.0)
     assert limits.rate_per_s(INCARNATION) == 2.0
-    limits.forget(71.0)
+    limits.expire(71.0)
     assert limits.rate_per_s(INCARNATION) is None
-    limits.forget(700.0)
-    assert limits.totals(700.0, whole=True) == {}
+    limits.expire(700.0)
+    assert limits.totals(700.0, include_unchanged=True) == {}
 
 
 class Scenario(NamedTuple):
@@ -184,7 +186,7 @@
         self.incarnations = [1] * count
         self.started_at = [0.0] * count
         self.received_at = [[0.0] * count for _ in range(count)]
-        self.in_transit: list[tuple[float, int, int, PeerTotals, list[LimitWord]]] = []
+        self.in_transit: list[tuple[float, int, int, PeerTotals, list[AnnouncedLimit]]] = []
         self.reserved_calls: list[tuple[float, int]] = []
         self.sent_at: list[float] = []
         self.call_count = 0
@@ -198,7 +200,7 @@
         def mark_changed() -> None:
             self.has_changes[number] = True
 
-        self.instances[number].listen(mark_changed)
+        self.instances[number].set_change_callback(mark_changed)
 
     def announced_rate(self, now: float) -> float:
         """Return the limit that the endpoint announces."""
@@ -216,17 +218,19 @@
         totals = PeerTotals(
             str(number),
             self.incarnations[number],
-            limits.totals(now, whole=whole),
-            limits.spenders,
+            limits.totals(now, include_unchanged=whole),
+            limits.used_name_count,
             now - self.started_at[number],
-            limits.returned(now, whole=whole),
+            limits.returned(now, include_unchanged=whole),
         )
         for other in range(self.count):
             if other == number or self.is_unreachable(number, other, now):
                 continue
             if self.rng.random() >= self.LOSS_SHARE:
                 delay_s = 0.003 + 0.007 * self.rng.random()
-                self.in_transit.append((now + delay_s, number, other, totals, limits.words(now, 9)))
+                self.in_transit.append(
+                    (now + delay_s, number, other, totals, limits.announcements(now, 9))
+                )
 
     def run(self) -> None:
         """Run the whole scenario."""
@@ -262,19 +266,21 @@
         for _, sender, receiver, totals, reports in due:
             self.received_at[receiver][sender] = now
             for report in reports:
-                self.instances[receiver].note_told(report, now)
+                self.instances[receiver].note_peer_announcement(report, now)
             self.instances[receiver].take_totals(totals, now)
         if int(now / self.TICK_S) % 20 == 0:
             for number, limits in enumerate(self.instances):
                 reachable = sum(now - at <= 1.6 for at in self.received_at[number])
-                limits.note_heard(min(1.0, max(1, reachable) / max(1, self.count - 1)), now)
+                limits.set_reachable_share(
+                    min(1.0, max(1, reachable) / max(1, self.count - 1)), now
+                )
 
     def send_due_calls(self, now: float) -> None:
         """Send the reserved calls that are due, and apply the limits in their answers."""
         due = sorted(item for item in self.reserved_calls if item[0] <= now)
         self.reserved_calls = [item for item in self.reserved_calls if item[0] > now]
         for _, number in due:
-            self.instances[number].note_sent(INCARNATION, now)
+            self.instances[number].count_sent_call(INCARNATION, now)
             self.sent_at.append(now)
             self.instances[number].note_answer(INCARNATION, self.announced_rate(now), now)
 
@@ -289,7 +295,7 @@
                 continue
             self.call_count += 1
             self.reserved_calls.append(
-                (limits.book(str(self.call_count), INCARNATION, now), number)
+                (limits.reserve(str(self.call_count), INCARNATION, now), number)
             )
 
     def max_in_window(self, begin_s: float, end_s: float) -> int:
--- a/cleatlink/routing/endpoint_pace.py
+++ b/cleatlink/routing/endpoint_speeds.py
@@ -14,9 +14,9 @@
 from statistics import median
 from typing import NamedTuple
 
-from cleatlink.routing.estimates import SETTLED, Estimate, is_usable
+from cleatlink.routing.estimates import MIN_MEASUREMENTS, Estimate, is_usable
 
-__all__ = ["EndpointPaces", "PaceKind", "PaceSample"]
+__all__ = ["EndpointSpeeds", "SpeedSampleKind", "SpeedSample"]
 
 # Number of its newest samples of an endpoint that an instance sends to its peers.
 _MAX_OWN_SAMPLES = 6
@@ -45,7 +45,7 @@
 _SPEED_CACHE_S = 1.0
 
 
-class PaceKind(IntEnum):
+class SpeedSampleKind(IntEnum):
     """What was measured; the numbers are sent to peers."""
 
     PROMPT = 1
@@ -53,18 +53,18 @@
     PLAIN = 3
 
 
-class PaceSample(NamedTuple):
+class SpeedSample(NamedTuple):
     """One measurement of an endpoint.
 
     Attributes:
-        at: When it was taken.
+        measured_at: When it was taken.
         kind: What was measured.
-        log: Logarithm of measured by expected time.
+        log_ratio: Logarithm of measured by expected time.
     """
 
-    at: float
-    kind: PaceKind
-    log: float
+    measured_at: float
+    kind: SpeedSampleKind
+    log_ratio: float
 
 
 class _PooledSample(NamedTuple):
@@ -91,12 +91,12 @@
     def note(self, load: float, token_s: float) -> float | None:
         """Record the seconds per token of a segment; return the expected value, None if unknown."""
         band = self._bands[min(_LOAD_BANDS - 1, max(0, int(load * _LOAD_BANDS)))]
-        expected_s = band.value if band.count >= SETTLED else None
-        band.note(token_s)
+        expected_s = band.value if band.count >= MIN_MEASUREMENTS else None
+        band.note_measurement(token_s)
         return expected_s
 
 
-class EndpointPaces:
+class EndpointSpeeds:
     """Speed samples of endpoints, from this instance and its peers.
 
     They are kept by incarnation, so that a restarted endpoint starts without samples.
@@ -104,7 +104,7 @@
 
     def __init__(self) -> None:
         """Start without samples."""
-        self._own: dict[str, deque[PaceSample]] = {}
+        self._own: dict[str, deque[SpeedSample]] = {}
         self._pools: dict[str, list[_PooledSample]] = {}
         self._load_bands: dict[str, _LoadBands] = {}
         self._speeds: dict[str, _CachedSpeed] = {}
@@ -112,11 +112,11 @@
         self._changed: dict[str, None] = {}
         self._on_changed: Callable[[], None] = _ignore
 
-    def listen(self, on_changed: Callable[[], None]) -> None:
+    def set_listener(self, on_changed: Callable[[], None]) -> None:
         """Set the function that is called after each measurement of this instance."""
         self._on_changed = on_changed
 
-    def note_tokens(
+    def note_token_time(
         self, incarnation: str, service: str, token_s: float, load: float, now: float
     ) -> None:
         """Record the time per token of a stream segment.
@@ -132,9 +132,9 @@
             return
         expected_s = self._load_bands.setdefault(service, _LoadBands()).note(load, token_s)
         if expected_s is not None:
-            self.note(incarnation, PaceKind.TOKENS, token_s / expected_s, now)
+            self.note_ratio(incarnation, SpeedSampleKind.TOKENS, token_s / expected_s, now)
 
-    def note(self, incarnation: str, kind: PaceKind, ratio: float, now: float) -> None:
+    def note_ratio(self, incarnation: str, kind: SpeedSampleKind, ratio: float, now: float) -> None:
         """Record a measurement of this instance.
 
         Args:
@@ -145,16 +145,18 @@
         """
         if not is_usable(ratio):
             return
-        sample = PaceSample(now, kind, _bounded(math.log(ratio)))
+        sample = SpeedSample(now, kind, _bounded(math.log(ratio)))
         own = self._own.setdefault(incarnation, deque(maxlen=_MAX_OWN_SAMPLES))
         own.append(sample)
         pool = self._pools.setdefault(incarnation, [])
-        pool.append(_PooledSample(now, sample.log, ""))
+        pool.append(_PooledSample(now, sample.log_ratio, ""))
         self._keep_newest(incarnation, pool)
         self._changed[incarnation] = None
         self._on_changed()
 
-    def take(self, peer: str, incarnation: str, samples: Sequence[PaceSample]) -> None:
+    def replace_peer_samples(
+        self, peer: str, incarnation: str, samples: Sequence[SpeedSample]
+    ) -> None:
         """Replace a peer's earlier samples of an endpoint by its newest ones."""
         pool = [item for item in self._pools.get(incarnation, ()) if item.peer != peer]
         for measured_at, _, log_ratio in samples[:_MAX_OWN_SAMPLES]:
@@ -167,19 +169,21 @@
         del pool[:-_MAX_POOL_SAMPLES]
         self._pools[incarnation] = pool
 
-    def own(self, incarnation: str, now: float) -> list[PaceSample]:
+    def own_samples(self, incarnation: str, now: float) -> list[SpeedSample]:
         """Return this instance's recent samples of an endpoint."""
         return [
-            item for item in self._own.get(incarnation, ()) if now - item.at < _SAMPLE_MAX_AGE_S
+            item
+            for item in self._own.get(incarnation, ())
+            if now - item.measured_at < _SAMPLE_MAX_AGE_S
         ]
 
-    def own_lives(self, now: float) -> list[str]:
+    def own_incarnations(self, now: float) -> list[str]:
         """Return the incarnations that this instance measured recently, newest first."""
-        newest = {incarnation: own[-1].at for incarnation, own in self._own.items()}
+        newest = {incarnation: own[-1].measured_at for incarnation, own in self._own.items()}
         recent = [incarnation for incarnation, at in newest.items() if now - at < _SAMPLE_MAX_AGE_S]
         return sorted(recent, key=lambda incarnation: -newest[incarnation])
 
-    def take_changed(self, limit: int) -> list[str]:
+    def pop_changed(self, limit: int) -> list[str]:
         """Remove and return up to ``limit`` incarnations with own samples since the last call."""
         incarnations = list(self._changed)[:limit]
         for incarnation in incarnations:
@@ -205,11 +209,11 @@
         """Return the speeds of all endpoints that have samples."""
         return {incarnation: self.speed(incarnation, now) for incarnation in self._pools}
 
-    def count(self, incarnation: str) -> int:
+    def sample_count(self, incarnation: str) -> int:
         """Return the number of samples of an endpoint."""
         return len(self._pools.get(incarnation, ()))
 
-    def newest_ago_s(self, incarnation: str, now: float) -> float | None:
+    def newest_sample_age_s(self, incarnation: str, now: float) -> float | None:
         """Return the age of an endpoint's newest sample in seconds; None without samples."""
         pool = self._pools.get(incarnation)
         return round(now - pool[-1].measured_at, 2) if pool else None
--- a/cleatlink/routing/estimates.py
+++ b/cleatlink/routing/estimates.py
@@ -2,12 +2,12 @@
 
 import math
 
-__all__ = ["LEARN_SHARE", "SETTLED", "Estimate", "PromptTime", "is_usable"]
+__all__ = ["LEARN_SHARE", "MIN_MEASUREMENTS", "Estimate", "PromptTime", "is_usable"]
 
 # Weight of a new measurement once an estimate rests on enough measurements.
 LEARN_SHARE = 0.1
 # Number of measurements from which on outliers are bounded.
-SETTLED = 4
+MIN_MEASUREMENTS = 4
 # A later measurement is bounded to the estimate multiplied or divided by this factor.
 _MAX_JUMP_FACTOR = 3.0
 # Weight of a measurement above the estimate, relative to one below it: the estimate stays correct
@@ -42,24 +42,24 @@
         self._learning_rate = learning_rate
         self._is_adopted = False
 
-    def expect(self, prior: float) -> None:
+    def set_prior(self, prior: float) -> None:
         """Replace the prior; measurements take precedence, including those of peers."""
         # Without the check of adopted values, each new route table restored the prior, and peers
         # adopted it as measured: streams of 14 s were begun with 4 s left until the stop.
         if not self.count and not self._is_adopted:
             self.value = prior
 
-    def adopt(self, value: float) -> None:
+    def adopt_peer_value(self, value: float) -> None:
         """Adopt a peer's estimate while there are few measurements of this instance."""
-        if self._learning_rate and self.count < SETTLED:
+        if self._learning_rate and self.count < MIN_MEASUREMENTS:
             self.value = value
             self._is_adopted = True
 
-    def note(self, sample: float) -> None:
+    def note_measurement(self, sample: float) -> None:
         """Record a measurement; the first ones are averaged."""
         if not self._learning_rate or not is_usable(sample):
             return
-        if self.count >= SETTLED:
+        if self.count >= MIN_MEASUREMENTS:
             sample = _bounded(sample, self.value)
         self.count += 1
         weight = max(self._learning_rate, 1 / self.count)
@@ -113,20 +113,20 @@
         base_s, token_s = self.line
         return base_s + token_s * tokens
 
-    def adopt(self, base_s: float, token_s: float) -> None:
+    def adopt_peer_line(self, base_s: float, token_s: float) -> None:
         """Adopt a peer's estimate while there are few measurements of this instance."""
-        if self._learning_rate and self.count < SETTLED:
+        if self._learning_rate and self.count < MIN_MEASUREMENTS:
             self._weight = 1.0
             self._mean_s = base_s + token_s * self._mean_tokens
             self._variance, self._covariance = 1.0, token_s
 
-    def note(self, tokens: int, seconds: float) -> None:
+    def note_measurement(self, tokens: int, seconds: float) -> None:
         """Record a measurement."""
         if not self._learning_rate or not is_usable(seconds) or tokens <= 0:
             return
         self.count += 1
         weight = 1.0
-        if self.count > SETTLED:
+        if self.count > MIN_MEASUREMENTS:
             expected_s = self.estimate(tokens)
             seconds = _bounded(seconds, expected_s)
             weight = 1.0 if seconds < expected_s else _LONGER_WEIGHT_SHARE
--- a/cleatlink/routing/returns.py
+++ b/cleatlink/routing/expected_retries.py
@@ -9,11 +9,11 @@
 from typing import NamedTuple
 
 from cleatlink.core.data import Role
-from cleatlink.core.routes import Inbound
+from cleatlink.core.routes import InboundRequest
 from cleatlink.routing.capacity import Capacity
 from cleatlink.routing.reservation import Reservation
 
-__all__ = ["ExpectedRetry", "Returns"]
+__all__ = ["ExpectedRetry", "ExpectedRetries"]
 
 # How long after the retry time a retry is still expected, in seconds: later, the caller has gone
 # elsewhere.
@@ -34,7 +34,7 @@
     tokens: int
 
 
-class Returns:
+class ExpectedRetries:
     """Refused streams that are expected to be retried.
 
     Each is kept as a reservation at a name that no endpoint has, so that peers receive it like any
@@ -46,8 +46,8 @@
         # Expected retries that have arrived, until they expire.
         self._arrived: dict[str, Reservation] = {}
 
-    def expect(
-        self, inbound: Inbound, service: str, tokens: int, retry_at: float, now: float
+    def expect_retry(
+        self, inbound: InboundRequest, service: str, tokens: int, retry_at: float, now: float
     ) -> str:
         """Record a refused stream and return the key of its reservation."""
         key = _key(inbound)
@@ -58,7 +58,7 @@
         self._capacity.reserve(key, work)
         return key
 
-    def take(self, inbound: Inbound, now: float) -> ExpectedRetry | None:
+    def match_retry(self, inbound: InboundRequest, now: float) -> ExpectedRetry | None:
         """Match a new stream with the expected retries.
 
         Returns:
@@ -71,12 +71,12 @@
         self._arrived[key] = work
         return _expected_retry(work)
 
-    def forget(self, now: float) -> list[str]:
+    def release_expired(self, now: float) -> list[str]:
         """Release the expired reservations of this instance and return their keys."""
         self._arrived = {key: work for key, work in self._arrived.items() if work.ends_at > now}
         expired = [
             key
-            for key, work in self._capacity.own.items()
+            for key, work in self._capacity.own_reservations.items()
             if key.startswith(_KEY_PREFIX) and work.ends_at <= now
         ]
         for key in expired:
@@ -88,7 +88,7 @@
 _KEY_PREFIX = "back/"
 
 
-def _key(inbound: Inbound) -> str:
+def _key(inbound: InboundRequest) -> str:
     return _KEY_PREFIX + inbound.identity.hex()
 
 
--- a/cleatlink/routing/fleet_records.py
+++ b/cleatlink/routing/fleet_records.py
@@ -65,12 +65,12 @@
         return self._table.revision if self._table is not None else 0
 
     @property
-    def revision(self) -> StoreRevision:
+    def complete_revision(self) -> StoreRevision:
         """Highest revision up to which all registrations and removals are known."""
         return self._revision
 
     @property
-    def newest(self) -> StoreRevision:
+    def newest_record_revision(self) -> StoreRevision:
         """Highest revision of a known record before which no record is missing.
 
         Peers compare this value. If it included records beyond a gap, an instance that lacks the
@@ -126,7 +126,7 @@
 
     def was_removed(self, endpoint: RoutedEndpoint) -> bool:
         """Check whether this incarnation of an endpoint was the last one removed under its name."""
-        return self._removed_incarnations.get(endpoint.answers_to) == endpoint.name
+        return self._removed_incarnations.get(endpoint.registered_name) == endpoint.name
 
     def note_complete(self, revision: StoreRevision) -> None:
         """Record that every change up to a revision is known."""
@@ -141,14 +141,14 @@
         # A record beyond the gap may have replaced the newest record before the gap.
         return max(self._newest, max(complete, default=NO_REVISION))
 
-    def changes_of_list(
+    def changes_in_full_list(
         self, records: list[EndpointRecord], revision: StoreRevision
     ) -> list[EndpointRecord]:
         """Return the changes in a full list: its records, and removals of what it lacks."""
         names = {record.name for record in records}
-        return records + self.missing_since(names, revision)
+        return records + self.removals_of_missing(names, revision)
 
-    def changes_of_snapshot(
+    def changes_in_peer_snapshot(
         self, records: list[EndpointRecord], revision: StoreRevision
     ) -> list[EndpointRecord]:
         """Return the changes in the records of a peer that knew all changes up to a revision.
@@ -159,11 +159,11 @@
         """
         if revision.era <= self._revision.era:
             return records
-        return self.changes_of_list(
+        return self.changes_in_full_list(
             [record for record in records if record.revision.era == revision.era], revision
         )
 
-    def missing_since(self, names: set[str], revision: StoreRevision) -> list[EndpointRecord]:
+    def removals_of_missing(self, names: set[str], revision: StoreRevision) -> list[EndpointRecord]:
         """Return removals of the endpoints that are missing from a full list at ``revision``."""
         return [
             EndpointRecord(record.name, revision, None)
--- a/cleatlink/routing/fleet_records_test.py
+++ b/cleatlink/routing/fleet_records_test.py
@@ -89,24 +89,28 @@
         if response.revision.era < self.era:
             return False
         self.era = response.revision.era
-        if not response.is_full and response.revision.era != self.records.revision.era:
+        if not response.is_full and response.revision.era != self.records.complete_revision.era:
             return False
         records = response.records
         if response.is_full:
-            records = self.records.changes_of_list(records, response.revision)
+            records = self.records.changes_in_full_list(records, response.revision)
         self._apply_records(records, response.revision)
         return True
 
     def update_from(self, store: ModelStore) -> None:
         """Watch for changes, or read everything if the changes are not usable."""
-        response = store.watch(self.records.revision) if self.records.revision.number else None
+        response = (
+            store.watch(self.records.complete_revision)
+            if self.records.complete_revision.number
+            else None
+        )
         if response is None or not self.apply(response):
             assert self.apply(store.read())
 
     def receive(self, peer: "Instance") -> None:
         """Apply all records of a peer."""
-        revision = peer.records.revision
-        records = self.records.changes_of_snapshot(list(peer.records.records), revision)
+        revision = peer.records.complete_revision
+        records = self.records.changes_in_peer_snapshot(list(peer.records.records), revision)
         self._apply_records(records, revision)
 
     def _apply_records(self, records: list[EndpointRecord], revision: StoreRevision) -> None:
@@ -193,8 +197,8 @@
     @invariant()
     def revisions_never_decrease(self) -> None:
         for number, instance in enumerate(self.instances):
-            assert instance.records.revision >= self.last_revisions[number]
-            self.last_revisions[number] = instance.records.revision
+            assert instance.records.complete_revision >= self.last_revisions[number]
+            self.last_revisions[number] = instance.records.complete_revision
 
     def teardown(self) -> None:
         """Finally, running endpoints register again, and the registrations of others expire."""
@@ -241,5 +245,5 @@
         # A record that the peer had before the restore, without a later change.
         EndpointRecord("x", StoreRevision(1, 50), endpoint("x")),
     ]
-    changes = records.changes_of_snapshot(received, StoreRevision(2, 5))
+    changes = records.changes_in_peer_snapshot(received, StoreRevision(2, 5))
     assert {(item.name, item.endpoint is None) for item in changes} == {("x", True), ("y", False)}
--- a/cleatlink/routing/view.py
+++ b/cleatlink/routing/fleet_view.py
@@ -10,9 +10,9 @@
 from collections.abc import Mapping, Set
 from typing import Any, NamedTuple
 
-from cleatlink.core.data import CacheNews, Configuration, Endpoint, Fleet, LoadReport, Pool, Role
-from cleatlink.core.labels import match
-from cleatlink.routing.group import Group, make_group
+from cleatlink.core.data import CacheUpdate, Configuration, Endpoint, Fleet, LoadReport, Pool, Role
+from cleatlink.core.labels import matches_selector
+from cleatlink.routing.endpoint_group import EndpointGroup, build_endpoint_group
 
 __all__ = ["EndpointLoad", "FleetView", "Reservation", "endpoint_labels"]
 
@@ -70,12 +70,12 @@
     prefill_tokens_per_s: float
 
     @property
-    def wait_s(self) -> float:
+    def prefill_wait_s(self) -> float:
         """Time until the prefill work queued ahead of a new prompt is done, in seconds."""
         return self.waiting_tokens / self.prefill_tokens_per_s
 
     @property
-    def busy(self) -> float:
+    def busy_share(self) -> float:
         """The share of the decode slots that is in use."""
         return self.running / max(1, self.slots)
 
@@ -101,7 +101,7 @@
         self._prefixes_by_endpoint: dict[str, set[int]] = {}
         self._endpoints_by_prefix: dict[int, set[str]] = {}
         self._last_event_numbers: dict[str, int] = {}
-        self._groups: dict[tuple[str, Role, str], Group] = {}
+        self._groups: dict[tuple[str, Role, str], EndpointGroup] = {}
 
     @property
     def fleet(self) -> Fleet:
@@ -117,7 +117,7 @@
         """Return the endpoint of the given name in the instance list, or None."""
         return self._by_name.get(name)
 
-    def set_fleet(self, fleet: Fleet) -> bool:
+    def update_fleet(self, fleet: Fleet) -> bool:
         """Use an instance list if it is newer than the current one, and return whether it is."""
         if fleet.revision <= self._fleet.revision:
             return False
@@ -146,7 +146,7 @@
         self._configuration = configuration
         self._groups.clear()
 
-    def report(self, report: LoadReport, now: float) -> None:
+    def add_report(self, report: LoadReport, now: float) -> None:
         """Store an endpoint's load report."""
         name = report.endpoint
         known = self._reports.get(name)
@@ -158,11 +158,11 @@
         if report.leaving:
             self._leaving_until[name] = now + LEAVING_EXPIRY_S
 
-    def last_event(self, name: str) -> int:
+    def last_event_number(self, name: str) -> int:
         """Return the number of the last cache event received from an endpoint."""
         return self._last_event_numbers.get(name, 0)
 
-    def cache_news(self, name: str, update: CacheNews) -> None:
+    def apply_cache_events(self, name: str, update: CacheUpdate) -> None:
         """Apply cache events; a gap in them deletes what is known from earlier ones."""
         if update.gap:
             self._forget_cached_prefixes(name)
@@ -192,11 +192,11 @@
             if not names:
                 del self._endpoints_by_prefix[prefix]
 
-    def refuse_leaving(self, name: str, now: float) -> None:
+    def note_leaving_refusal(self, name: str, now: float) -> None:
         """Note that an endpoint refused work because it is leaving."""
         self._leaving_until[name] = now + LEAVING_REFUSAL_EXPIRY_S
 
-    def note_rest(self, name: str, back_off_s: float, now: float) -> None:
+    def note_backoff(self, name: str, back_off_s: float, now: float) -> None:
         """Note that an endpoint refused work and accepts none for some time.
 
         Args:
@@ -214,7 +214,7 @@
         """
         self._failed_at[name] = now
 
-    def hear_leaving(self, name: str, now: float) -> None:
+    def note_peer_leaving(self, name: str, now: float) -> None:
         """Note that a peer has reported that an endpoint is leaving.
 
         This is stored separately and not passed on: two instances that repeated each other's
@@ -222,7 +222,7 @@
         """
         self._peer_leaving_until[name] = now + LEAVING_EXPIRY_S
 
-    def leaving(self, now: float) -> tuple[str, ...]:
+    def leaving_endpoints(self, now: float) -> tuple[str, ...]:
         """Return the names of endpoints that have reported or refused work as leaving."""
         return tuple(name for name, until in self._leaving_until.items() if now < until)
 
@@ -289,7 +289,7 @@
                 memory -= item.memory_tokens + item.prefill_tokens
         return WorkInProgress(max(0, running), max(0, waiting), max(0, memory))
 
-    def usable(self, endpoint: Endpoint, now: float) -> bool:
+    def is_usable(self, endpoint: Endpoint, now: float) -> bool:
         """Check whether an endpoint may get new work now."""
         name = endpoint.name
         if endpoint.leaving or now < self._leaving_until.get(name, 0.0):
@@ -301,7 +301,9 @@
             return False
         return report[1] >= self._failed_at.get(name, 0.0)
 
-    def group(self, request_class: str, role: Role, data_centre: str = "") -> Group:
+    def endpoint_group(
+        self, request_class: str, role: Role, data_centre: str = ""
+    ) -> EndpointGroup:
         """Return the endpoints that a class may use in a role, including unusable ones.
 
         Args:
@@ -311,19 +313,19 @@
         """
         key = (request_class, role, data_centre)
         if key not in self._groups:
-            self._groups[key] = make_group(self._select(*key))
+            self._groups[key] = build_endpoint_group(self._select(*key))
         return self._groups[key]
 
-    def candidates(self, request_class: str, role: Role, now: float) -> list[Endpoint]:
+    def usable_endpoints(self, request_class: str, role: Role, now: float) -> list[Endpoint]:
         """Return all endpoints that a class may use in a role now; checks every endpoint."""
-        group = self.group(request_class, role)
-        return [endpoint for endpoint in group.endpoints if self.usable(endpoint, now)]
+        group = self.endpoint_group(request_class, role)
+        return [endpoint for endpoint in group.endpoints if self.is_usable(endpoint, now)]
 
-    def reported(self, endpoint: Endpoint) -> LoadReport:
+    def last_report(self, endpoint: Endpoint) -> LoadReport:
         """Return an endpoint's last report without changes."""
         return self._reports[endpoint.name][0]
 
-    def load(self, endpoint: Endpoint, now: float) -> EndpointLoad:
+    def estimate_load(self, endpoint: Endpoint, now: float) -> EndpointLoad:
         """Estimate an endpoint's load from its last report and this instance's reservations."""
         name = endpoint.name
         report, other_work = self._reports[name][0], self._other_work[name]
@@ -357,7 +359,9 @@
             for endpoint in self._fleet.endpoints
             if data_centre in ("", endpoint.data_centre)
             and _serves(configuration.pools.get(endpoint.pool), class_configuration.service, role)
-            and match(class_configuration.selector, endpoint_labels(configuration, endpoint))
+            and matches_selector(
+                class_configuration.selector, endpoint_labels(configuration, endpoint)
+            )
         )
 
 
--- a/cleatlink/routing/forecast.py
+++ b/cleatlink/routing/forecast.py
@@ -12,10 +12,10 @@
 from typing import NamedTuple
 
 from cleatlink.core.data import Role
-from cleatlink.core.routes import EngineTraits
+from cleatlink.core.routes import EngineProperties
 from cleatlink.routing.capacity import Capacity
 
-__all__ = ["RoomForecast", "StreamDemand"]
+__all__ = ["CapacityForecast", "StreamDemand"]
 
 # Number of streams ahead that are simulated one by one. Each of them costs a check of all endpoints
 # of the service, repeated while a stream waits.
@@ -94,18 +94,20 @@
             self._prompts_until = at + stream.prompt_s / self._speed
 
 
-class RoomForecast:
+class CapacityForecast:
     """Forecast of the free capacity of a service's decode endpoints."""
 
-    def __init__(self, service: str, traits: EngineTraits, capacity: Capacity, now: float) -> None:
+    def __init__(
+        self, service: str, traits: EngineProperties, capacity: Capacity, now: float
+    ) -> None:
         self._now = now
-        spread = capacity.pace(service).length_spread
+        spread = capacity.service_times(service).length_spread
         self._endpoints = [
             _endpoint_forecast(endpoint.name, traits, capacity, spread, now)
             for endpoint in capacity.candidates(service, Role.DECODE, now)
         ]
 
-    def room_in_s(self, stream: StreamDemand, ahead: Iterable[StreamDemand] = ()) -> float | None:
+    def wait_s(self, stream: StreamDemand, ahead: Iterable[StreamDemand] = ()) -> float | None:
         """Estimate how long a stream waits for a free slot and memory.
 
         Args:
@@ -120,7 +122,7 @@
         free_at = self._assign(stream)
         return free_at - self._now if math.isfinite(free_at) else None
 
-    def room_behind_s(self, stream: StreamDemand, ahead: Sequence[StreamDemand]) -> float | None:
+    def wait_behind_s(self, stream: StreamDemand, ahead: Sequence[StreamDemand]) -> float | None:
         """Estimate how long a stream waits behind any number of others.
 
         Of a long queue, only the first streams are simulated, and the wait is extrapolated in
@@ -131,7 +133,7 @@
             ahead: Streams that are served before it.
         """
         simulated = ahead[:_MAX_SIMULATED]
-        wait_s = self.room_in_s(stream, simulated)
+        wait_s = self.wait_s(stream, simulated)
         if wait_s is None or len(simulated) == len(ahead):
             return wait_s
         return wait_s * len(ahead) / len(simulated)
@@ -149,20 +151,20 @@
 
 
 def _endpoint_forecast(
-    name: str, traits: EngineTraits, capacity: Capacity, spread: float, now: float
+    name: str, traits: EngineProperties, capacity: Capacity, spread: float, now: float
 ) -> _EndpointForecast:
-    placed = capacity.placed(name, Role.DECODE)
+    placed = capacity.assigned(name, Role.DECODE)
     ends = [(item.expected_end(now), item.tokens) for item in placed]
     used = capacity.peak_memory(name, [], now, spread)
     prompts_until = capacity.free_at(name, Role.PREFILL, now)
-    tokens = min(traits.memory_tokens - used, capacity.free_tokens(name, now) - 1)
+    tokens = min(traits.memory_tokens - used, capacity.free_memory_tokens(name, now) - 1)
     slots = traits.slots - len(placed)
     return _EndpointForecast(
         tokens,
         slots,
         ends,
         prompts_until,
-        full_until=capacity.opens_at(name, now),
-        pause_s=capacity.limits.pause_s(name),
-        speed=capacity.speed(name, now),
+        full_until=capacity.accepts_work_at(name, now),
+        pause_s=capacity.endpoint_limits.call_interval_s(name),
+        speed=capacity.relative_speed(name, now),
     )
--- a/cleatlink/routing/forecast_test.py
+++ b/cleatlink/routing/forecast_test.py
@@ -3,12 +3,12 @@
 import pytest
 
 from cleatlink.core.data import Role
-from cleatlink.core.routes import EngineTraits, RoutedEndpoint
+from cleatlink.core.routes import EngineProperties, RoutedEndpoint
 from cleatlink.routing.capacity import Capacity
-from cleatlink.routing.forecast import RoomForecast, StreamDemand
+from cleatlink.routing.forecast import CapacityForecast, StreamDemand
 from cleatlink.routing.reservation import Reservation
 
-TRAITS = EngineTraits(slots=4, memory_tokens=1000, handle_lifetime_s=0.5, role_switch_s=6.0)
+TRAITS = EngineProperties(slots=4, memory_tokens=1000, handle_lifetime_s=0.5, role_switch_s=6.0)
 
 
 def capacity_of(*names: str) -> Capacity:
@@ -19,9 +19,9 @@
 
 
 def wait_s(capacity: Capacity, tokens: int, *ahead: int, now: float = 1.0) -> float | None:
-    forecast = RoomForecast("s", TRAITS, capacity, now)
+    forecast = CapacityForecast("s", TRAITS, capacity, now)
     demands = [StreamDemand(size, 10.0) for size in ahead]
-    return forecast.room_in_s(StreamDemand(tokens, 10.0), demands)
+    return forecast.wait_s(StreamDemand(tokens, 10.0), demands)
 
 
 def test_stream_gets_the_endpoint_that_first_frees_enough_memory() -> None:
@@ -55,10 +55,10 @@
 def test_decode_endpoint_computes_prompts_one_after_the_other() -> None:
     capacity = capacity_of("x")
     capacity.reserve("1/p", Reservation("x", Role.PREFILL, 100, 1.5, 0.5))
-    forecast = RoomForecast("s", TRAITS, capacity, 1.0)
-    assert forecast.room_in_s(StreamDemand(100, 10.0)) == 0.0
+    forecast = CapacityForecast("s", TRAITS, capacity, 1.0)
+    assert forecast.wait_s(StreamDemand(100, 10.0)) == 0.0
     direct = StreamDemand(100, 10.0, prompt_s=0.2)
-    assert forecast.room_in_s(direct, [direct]) == pytest.approx(0.7)
+    assert forecast.wait_s(direct, [direct]) == pytest.approx(0.7)
 
 
 def test_overdue_streams_are_expected_to_continue_for_a_while() -> None:
@@ -90,7 +90,7 @@
     after_five_refusals_s = wait_s(capacity, 300)
     assert after_five_refusals_s is not None
     assert 1.0 < after_five_refusals_s < 2.0
-    capacity.note_room("x")
+    capacity.note_free_capacity("x")
     capacity.note_full("x", 3.0)
     after_one_refusal_s = wait_s(capacity, 300, now=3.0)
     assert after_one_refusal_s is not None
--- a/cleatlink/routing/mechanisms.py
+++ b/cleatlink/routing/mechanisms.py
@@ -7,7 +7,7 @@
 from collections.abc import Set
 from enum import StrEnum
 
-__all__ = ["Mechanism", "Switches"]
+__all__ = ["Mechanism", "MechanismSwitches"]
 
 
 class Mechanism(StrEnum):
@@ -56,17 +56,17 @@
     PLAIN_ADMISSION = "plain-admission"
 
 
-class Switches:
+class MechanismSwitches:
     """Records which mechanisms are switched off."""
 
     def __init__(self, disabled: Set[Mechanism] = frozenset()) -> None:
         self._disabled = disabled
 
     @property
-    def without(self) -> list[str]:
+    def disabled_names(self) -> list[str]:
         """Names of the mechanisms that are switched off, sorted."""
         return sorted(self._disabled)
 
-    def uses(self, mechanism: Mechanism) -> bool:
+    def is_enabled(self, mechanism: Mechanism) -> bool:
         """Check whether a mechanism is in use."""
         return mechanism not in self._disabled
--- a/cleatlink/routing/mechanisms_test.py
+++ b/cleatlink/routing/mechanisms_test.py
@@ -8,28 +8,33 @@
 
 from cleatlink.core.data import Role
 from cleatlink.core.routes import (
-    EngineTraits,
-    Inbound,
+    EngineProperties,
+    InboundRequest,
     Route,
     RoutedEndpoint,
     RoutedService,
     RouteKind,
 )
 from cleatlink.routing.capacity import Capacity
-from cleatlink.routing.mechanisms import Mechanism, Switches
-from cleatlink.routing.plain_load import CallTotals, EndpointTotals
+from cleatlink.routing.mechanisms import Mechanism, MechanismSwitches
+from cleatlink.routing.plain_load import EndpointTotals, PeerCallTotals
 from cleatlink.routing.prompt_plan import plan_prompt
-from cleatlink.routing.relay_place import Seeker, StreamSize, place_decode, place_plain
+from cleatlink.routing.relay_placement import (
+    PlacementContext,
+    StreamSize,
+    choose_decode,
+    choose_plain,
+)
 from cleatlink.routing.reservation import Reservation
 from cleatlink.scripts.commands import main
 
-TRAITS = EngineTraits(64, 40_000, 0.5, 6.0, event_tokens=10)
-SEEKER = Seeker("a", frozenset(), 0.0, random.Random(1))
+TRAITS = EngineProperties(64, 40_000, 0.5, 6.0, event_tokens=10)
+SEEKER = PlacementContext("a", frozenset(), 0.0, random.Random(1))
 
 
 def make_fleet(without: Set[Mechanism]) -> Capacity:
     """Return a busy local decode, an idle remote decode, and a prefill with a long queue."""
-    capacity = Capacity(Switches(without))
+    capacity = Capacity(MechanismSwitches(without))
     for name, data_centre, role in (("d1", "a", Role.DECODE), ("d2", "b", Role.DECODE)):
         capacity.set_endpoint(RoutedEndpoint(name, "127.0.0.1:1", data_centre, "s", role, 64))
     capacity.set_endpoint(RoutedEndpoint("p1", "127.0.0.1:1", "a", "s", Role.PREFILL, 64))
@@ -39,16 +44,16 @@
 
 
 def test_all_mechanisms_are_in_use_by_default() -> None:
-    assert all(Switches().uses(mechanism) for mechanism in Mechanism)
-    switches = Switches(frozenset({Mechanism.HOLDS, Mechanism.RETURNS}))
-    assert switches.without == ["holds", "returns"]
-    assert [item for item in Mechanism if not switches.uses(item)] == ["returns", "holds"]
+    assert all(MechanismSwitches().is_enabled(mechanism) for mechanism in Mechanism)
+    switches = MechanismSwitches(frozenset({Mechanism.HOLDS, Mechanism.RETURNS}))
+    assert switches.disabled_names == ["holds", "returns"]
+    assert [item for item in Mechanism if not switches.is_enabled(item)] == ["returns", "holds"]
 
 
 @pytest.mark.parametrize("off", [False, True])
 def test_locality_prefers_the_local_decode(off: bool) -> None:
     capacity = make_fleet({Mechanism.LOCALITY} if off else set())
-    found = place_decode("s", StreamSize(2_000, 500, 3.0), TRAITS, capacity, SEEKER)
+    found = choose_decode("s", StreamSize(2_000, 500, 3.0), TRAITS, capacity, SEEKER)
     assert found is not None
     assert found.name == ("d2" if off else "d1")
 
@@ -56,18 +61,18 @@
 @pytest.mark.parametrize("off", [False, True])
 def test_shared_prompts_let_decodes_compute_prompts(off: bool) -> None:
     capacity = make_fleet({Mechanism.SHARED_PROMPTS} if off else set())
-    route = Route("r", "h", "/", RouteKind.STREAMING, 14.0, 0.9, 1, (), event_gap_s=1.0)
-    inbound = Inbound("r", b"POST", b"/", "h", (), b"", 0.0, prompt_tokens=2000)
+    route = Route("r", "h", "/", RouteKind.STREAMING, 14.0, 0.9, 1, (), event_gap_target_s=1.0)
+    inbound = InboundRequest("r", b"POST", b"/", "h", (), b"", 0.0, prompt_tokens=2000)
     plan = plan_prompt(inbound, route, RoutedService("s", 9, TRAITS), capacity, SEEKER)
-    assert plan.direct is not off
+    assert plan.computed_by_decode is not off
 
 
 @pytest.mark.parametrize("off", [False, True])
 def test_pace_and_spread_of_answer_lengths_are_learned(off: bool) -> None:
     without = {Mechanism.LEARNED_PACE, Mechanism.SPREAD_ROOM} if off else set()
-    pace = Capacity(Switches(without)).pace("s")
+    pace = Capacity(MechanismSwitches(without)).service_times("s")
     before_s = pace.token_s
-    pace.note_tokens(100, 5.0)
+    pace.note_segment(100, 5.0)
     assert (pace.token_s == before_s) is off
     assert (pace.length_spread == 0.0) is off
 
@@ -75,8 +80,8 @@
 @pytest.mark.parametrize("off", [False, True])
 def test_hints_of_peers_exclude_an_endpoint(off: bool) -> None:
     capacity = make_fleet({Mechanism.HINTS} if off else set())
-    capacity.note_slow("d1", 1.0)
-    capacity.note_unreached_by_peers("d1", 1.0)
+    capacity.note_reported_slow("d1", 1.0)
+    capacity.note_unreachable_from_peers("d1", 1.0)
     avoided = "d1" not in [item.name for item in capacity.candidates("s", Role.DECODE, 1.1)]
     assert avoided is not off
 
@@ -84,14 +89,14 @@
 @pytest.mark.parametrize("off", [False, True])
 def test_plain_admission_avoids_an_endpoint_full_of_peers_calls(off: bool) -> None:
     """The local endpoint is full of calls from peers, and a remote endpoint is idle."""
-    capacity = Capacity(Switches({Mechanism.PLAIN_ADMISSION} if off else set()))
+    capacity = Capacity(MechanismSwitches({Mechanism.PLAIN_ADMISSION} if off else set()))
     for name, data_centre in (("w1", "a"), ("w2", "b")):
         capacity.set_endpoint(RoutedEndpoint(name, "127.0.0.1:1", data_centre, "s", Role.PLAIN, 6))
     for step in range(1, 6):
         totals = {"w1": EndpointTotals(20 * step, 0.9 * step, 0)}
-        capacity.plain.take(CallTotals("p", 1, 0.1 * step, {}, totals), 0.1 * step)
+        capacity.plain_load.update_peer(PeerCallTotals("p", 1, 0.1 * step, {}, totals), 0.1 * step)
     seeker = SEEKER._replace(now=0.5)
-    found = [place_plain("s", capacity, seeker) for _ in range(50)]
+    found = [choose_plain("s", capacity, seeker) for _ in range(50)]
     assert all(item is not None and item.name == "w1" for item in found) is off
 
 
--- a/cleatlink/routing/notices.py
+++ b/cleatlink/routing/notices.py
@@ -73,7 +73,7 @@
         """Check whether an endpoint is leaving."""
         return incarnation in self._leaving
 
-    def note_rest(self, incarnation: str, backoff_s: float, now: float) -> bool:
+    def note_backoff(self, incarnation: str, backoff_s: float, now: float) -> bool:
         """Record that an endpoint requests a back-off; return whether a new back-off begins.
 
         Without back-offs, one of three endpoints that requested 4 s got 3 calls of one instance
@@ -107,27 +107,27 @@
             for incarnation in self.newest_leaving(limit)
         }
 
-    def resting(self, now: float) -> list[str]:
+    def in_backoff(self, now: float) -> list[str]:
         """Return the incarnations that are in a back-off now."""
         return [
             incarnation for incarnation, backoff in self._backoffs.items() if backoff.until > now
         ]
 
-    def note_told_rest(self, incarnation: str, until: float, now: float) -> None:
+    def note_peer_backoff(self, incarnation: str, until: float, now: float) -> None:
         """Record a back-off that an endpoint requested from a peer; others are preferred to it."""
         self._peer_backoffs = {name: end for name, end in self._peer_backoffs.items() if end > now}
         self._peer_backoffs[incarnation] = max(until, self._peer_backoffs.get(incarnation, 0.0))
 
-    def is_told_to_rest(self, incarnation: str, now: float) -> bool:
+    def is_in_peer_backoff(self, incarnation: str, now: float) -> bool:
         """Check whether an endpoint is in a back-off that it requested from a peer."""
         return self._peer_backoffs.get(incarnation, 0.0) > now
 
-    def rests_until(self, incarnation: str) -> float:
+    def backoff_until(self, incarnation: str) -> float:
         """Return when an endpoint's back-off ends or ended; 0 without a recent one."""
         backoff = self._backoffs.get(incarnation)
         return 0.0 if backoff is None else backoff.until
 
-    def may_begin(self, incarnation: str, now: float) -> bool:
+    def may_begin_call(self, incarnation: str, now: float) -> bool:
         """Check whether an endpoint may get another call: none in its back-off, few after it."""
         backoff = self._backoffs.get(incarnation)
         return backoff is None or (now >= backoff.until and len(backoff.calls) < backoff.allowed)
@@ -153,7 +153,7 @@
         if backoff.allowed > _MAX_TRIAL_CALLS:
             del self._backoffs[incarnation]
 
-    def forget(self, now: float) -> None:
+    def drop_old(self, now: float) -> None:
         """Drop leaving notices and back-offs that are long over."""
         self._leaving = {
             incarnation: leaving
--- a/cleatlink/routing/notices_test.py
+++ b/cleatlink/routing/notices_test.py
@@ -28,23 +28,23 @@
     capacity.set_endpoint(endpoint("x"))
     assert capacity.notices.note_leaving("x", NoticeSource.ANSWER, 0.0)
     assert not capacity.notices.note_leaving("x", NoticeSource.PEER, 0.0)
-    assert not capacity.takes_work("x")
+    assert not capacity.accepts_work("x")
     # Its registration expires and is renewed, or is replaced by one without the notice.
     capacity.remove_endpoint("x")
     capacity.set_endpoint(endpoint("x"))
-    assert not capacity.takes_work("x")
+    assert not capacity.accepts_work("x")
     assert candidates(capacity, 1.0) == []
-    assert capacity.opens_in_s(SERVICE, Role.PLAIN, 1.0) is None
+    assert capacity.accepts_work_in_s(SERVICE, Role.PLAIN, 1.0) is None
 
 
 def test_back_off_lasts_to_its_end_and_the_longest_request_counts() -> None:
     capacity = Capacity()
     capacity.set_endpoint(endpoint("x"))
     capacity.set_endpoint(endpoint("y"))
-    assert capacity.notices.note_rest("x", 3.0, 0.0)
-    assert not capacity.notices.note_rest("x", 1.0, 0.5)
+    assert capacity.notices.note_backoff("x", 3.0, 0.0)
+    assert not capacity.notices.note_backoff("x", 1.0, 0.5)
     assert candidates(capacity, 2.99) == ["y"]
-    assert capacity.rest_left_s("x", 1.0) == 2.0
+    assert capacity.backoff_left_s("x", 1.0) == 2.0
     assert candidates(capacity, 3.0) == ["x", "y"]
 
 
@@ -52,7 +52,7 @@
     capacity = Capacity()
     capacity.set_endpoint(endpoint("x"))
     capacity.set_endpoint(endpoint("y"))
-    capacity.notices.note_rest("x", 3.0, 0.0)
+    capacity.notices.note_backoff("x", 3.0, 0.0)
     capacity.note_failure("y", 0.0)
     assert candidates(capacity, 0.1) == ["y"]
 
@@ -61,16 +61,16 @@
     capacity = Capacity()
     capacity.set_endpoint(endpoint("x"))
     capacity.set_endpoint(endpoint("y"))
-    capacity.notices.note_rest("x", 3.0, 0.0)
-    capacity.notices.note_rest("y", 2.0, 0.0)
+    capacity.notices.note_backoff("x", 3.0, 0.0)
+    capacity.notices.note_backoff("y", 2.0, 0.0)
     assert candidates(capacity, 0.5) == []
-    assert capacity.opens_in_s(SERVICE, Role.PLAIN, 0.5) == 1.5
+    assert capacity.accepts_work_in_s(SERVICE, Role.PLAIN, 0.5) == 1.5
 
 
 def test_calls_after_a_back_off_start_at_one_and_double_with_each_answer() -> None:
     capacity = Capacity()
     capacity.set_endpoint(endpoint("x"))
-    capacity.notices.note_rest("x", 1.0, 0.0)
+    capacity.notices.note_backoff("x", 1.0, 0.0)
     begun = 0
 
     def fill() -> int:
@@ -97,32 +97,32 @@
 
 def test_answer_within_a_back_off_does_not_end_it() -> None:
     notices = EndpointNotices()
-    notices.note_rest("x", 1.0, 0.0)
+    notices.note_backoff("x", 1.0, 0.0)
     for _ in range(9):
         notices.note_served("x", 0.9)
-    assert not notices.may_begin("x", 0.99)
+    assert not notices.may_begin_call("x", 0.99)
 
 
 def test_old_notices_are_dropped() -> None:
     notices = EndpointNotices()
     notices.note_leaving("x", NoticeSource.ANSWER, 0.0)
-    notices.note_rest("y", 1.0, 0.0)
-    notices.forget(30.0)
+    notices.note_backoff("y", 1.0, 0.0)
+    notices.drop_old(30.0)
     assert notices.is_leaving("x")
-    assert notices.rests_until("y") == 1.0
-    notices.forget(600.0)
+    assert notices.backoff_until("y") == 1.0
+    notices.drop_old(600.0)
     assert not notices.is_leaving("x")
-    assert notices.rests_until("y") == 0.0
+    assert notices.backoff_until("y") == 0.0
 
 
 @given(st.lists(st.tuples(st.floats(0, 50), st.floats(0.01, 20)), min_size=1, max_size=20))
 def test_no_call_begins_during_any_back_off(requests: list[tuple[float, float]]) -> None:
     notices = EndpointNotices()
     for requested_at, backoff_s in sorted(requests):
-        notices.note_rest("x", backoff_s, requested_at)
+        notices.note_backoff("x", backoff_s, requested_at)
         notices.note_served("x", requested_at)
     last_at = max(requested_at for requested_at, _ in requests)
     for requested_at, backoff_s in requests:
         now = max(last_at, requested_at + backoff_s * 0.999)
         if now < requested_at + backoff_s:
-            assert not notices.may_begin("x", now)
+            assert not notices.may_begin_call("x", now)
--- a/cleatlink/routing/outcomes.py
+++ b/cleatlink/routing/outcomes.py
@@ -49,7 +49,7 @@
     def __init__(self) -> None:
         self._outcomes: dict[str, _Outcomes] = {}
 
-    def forget(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         """Drop the outcomes of an endpoint."""
         self._outcomes.pop(name, None)
 
@@ -61,7 +61,7 @@
         outcomes.avoid_until = 0.0
         outcomes.succeeded_at = now
 
-    def note_unreached_by_peers(self, name: str, now: float) -> None:
+    def note_unreachable_by_peers(self, name: str, now: float) -> None:
         """Record that peers with the same network links could not reach an endpoint."""
         outcomes = self._of(name)
         if now - outcomes.succeeded_at > _RECENT_SUCCESS_S:
@@ -78,20 +78,20 @@
         """Record that several instances found an endpoint slow."""
         self._of(name).slow_until = now + _SLOW_AVOID_S
 
-    def note_full(self, name: str, now: float) -> None:
+    def note_refusal(self, name: str, now: float) -> None:
         """Record that an endpoint refused work for lack of capacity."""
         outcomes = self._of(name)
         full_s = min(_MAX_FULL_AVOID_S, _FULL_AVOID_S * 2**outcomes.refusals)
         outcomes.refusals += 1
         outcomes.full_until = now + full_s
 
-    def note_room(self, name: str) -> None:
+    def note_accepted(self, name: str) -> None:
         """Record that an endpoint accepted work; this resets the back-off after refusals."""
         outcomes = self._outcomes.get(name)
         if outcomes is not None:
             outcomes.refusals = 0
 
-    def is_out_of_reach(self, name: str, now: float) -> bool:
+    def is_unreachable(self, name: str, now: float) -> bool:
         """Check whether an endpoint counts as unreachable after repeated failures."""
         outcomes = self._outcomes.get(name)
         if outcomes is None or outcomes.failures < _UNREACHABLE_FAILURES:
--- a/cleatlink/routing/place.py
+++ b/cleatlink/routing/placement.py
@@ -13,14 +13,14 @@
 
 from cleatlink.core.data import Endpoint, Placement, Refusal, Request, RequestClass, Role
 from cleatlink.core.errors import ErrorKind
-from cleatlink.routing.group import Group, sample
-from cleatlink.routing.prefix import PREFIX_TOKENS
-from cleatlink.routing.view import EndpointLoad, FleetView, Reservation
+from cleatlink.routing.endpoint_group import EndpointGroup, sample_endpoints
+from cleatlink.routing.fleet_view import EndpointLoad, FleetView, Reservation
+from cleatlink.routing.hashing import PREFIX_TOKENS
 
 __all__ = [
     "Context",
-    "note_decode",
-    "place_call",
+    "note_decode_started",
+    "place_plain_call",
     "place_request",
     "release_request",
     "reserve_request",
@@ -74,21 +74,21 @@
     finish_s = _finish_s(request, view, prefill)
     if context.now + finish_s > request.deadline:
         return Refusal(ErrorKind.DEADLINE_NOT_RUN, f"prefill would take {finish_s:.1f} s")
-    if context.now + finish_s > request.first_token_by:
+    if context.now + finish_s > request.first_token_deadline:
         return Refusal(ErrorKind.TARGET_MISSED, f"prefill would take {finish_s:.2f} s", finish_s)
-    if prefill.wait_s > request_class.queue_limit_s:
+    if prefill.prefill_wait_s > request_class.queue_limit_s:
         return Refusal(ErrorKind.NO_ROOM, "prefill is kept free for more urgent classes")
-    reason = f"decode {decode.busy:.0%} busy; prefill queue {prefill.wait_s:.3f} s"
+    reason = f"decode {decode.busy_share:.0%} busy; prefill queue {prefill.prefill_wait_s:.3f} s"
     return Placement(prefill.endpoint, decode.endpoint, reason)
 
 
-def place_call(
+def place_plain_call(
     request_class: RequestClass, view: FleetView, context: Context
 ) -> Endpoint | Refusal:
     """Choose an endpoint of a plain service at random, in this data centre if it has any."""
     usable = [
         endpoint
-        for endpoint in view.candidates(request_class.name, Role.PLAIN, context.now)
+        for endpoint in view.usable_endpoints(request_class.name, Role.PLAIN, context.now)
         if endpoint.name not in context.excluded
     ]
     if not usable:
@@ -110,7 +110,7 @@
     view.reserve(f"{request.name}/decode", decode, now)
 
 
-def note_decode(view: FleetView, request: Request, now: float) -> None:
+def note_decode_started(view: FleetView, request: Request, now: float) -> None:
     """Record that a request's prefill is done and its decode begins."""
     view.release(f"{request.name}/prefill", now)
     view.note_started(f"{request.name}/decode", now)
@@ -129,10 +129,10 @@
 
     A few random endpoints are compared first, and all of them only if none of those has capacity.
     """
-    local = view.group(request_class.name, Role.DECODE, context.data_centre).endpoints
-    in_fleet = view.group(request_class.name, Role.DECODE).endpoints
+    local = view.endpoint_group(request_class.name, Role.DECODE, context.data_centre).endpoints
+    in_fleet = view.endpoint_group(request_class.name, Role.DECODE).endpoints
     for endpoints in (local, in_fleet):
-        drawn = sample(endpoints, _DECODE_SAMPLE_SIZE, context.rng)
+        drawn = sample_endpoints(endpoints, _DECODE_SAMPLE_SIZE, context.rng)
         best = _least_busy(view, drawn, needed, context)
         if best is None and len(endpoints) > len(drawn):
             best = _least_busy(view, endpoints, needed, context)
@@ -150,9 +150,9 @@
     best = None
     for endpoint in endpoints:
         if _is_eligible(view, endpoint, context):
-            load = view.load(endpoint, context.now)
+            load = view.estimate_load(endpoint, context.now)
             has_capacity = load.free_tokens >= needed and load.running < load.slots
-            if has_capacity and (best is None or load.busy < best.busy):
+            if has_capacity and (best is None or load.busy_share < best.busy_share):
                 best = load
     return best
 
@@ -169,16 +169,19 @@
     The candidates are endpoints known to have the prefix cached, the first endpoints on the hash
     ring from the prefix's hash, where later requests with the prefix go too, and a few at random.
     """
-    group = view.group(request_class.name, Role.PREFILL, data_centre)
+    group = view.endpoint_group(request_class.name, Role.PREFILL, data_centre)
     if not any(_is_eligible(view, endpoint, context) for endpoint in group.endpoints):
-        group = view.group(request_class.name, Role.PREFILL)
+        group = view.endpoint_group(request_class.name, Role.PREFILL)
     ranked = (
         item for item in _by_affinity(request, view, group) if _is_eligible(view, item, context)
     )
-    loads = [view.load(endpoint, context.now) for endpoint in islice(ranked, _AFFINITY_CANDIDATES)]
+    loads = [
+        view.estimate_load(endpoint, context.now)
+        for endpoint in islice(ranked, _AFFINITY_CANDIDATES)
+    ]
     loads += [
-        view.load(endpoint, context.now)
-        for endpoint in sample(group.endpoints, _RANDOM_CANDIDATES, context.rng)
+        view.estimate_load(endpoint, context.now)
+        for endpoint in sample_endpoints(group.endpoints, _RANDOM_CANDIDATES, context.rng)
         if _is_eligible(view, endpoint, context)
     ]
     # Among equal times, min() returns the first, which has the highest prefix affinity.
@@ -194,11 +197,11 @@
 
 
 def _has_prefill(view: FleetView, request_class: RequestClass, context: Context) -> bool:
-    group = view.group(request_class.name, Role.PREFILL)
+    group = view.endpoint_group(request_class.name, Role.PREFILL)
     return any(_is_eligible(view, endpoint, context) for endpoint in group.endpoints)
 
 
-def _by_affinity(request: Request, view: FleetView, group: Group) -> Iterator[Endpoint]:
+def _by_affinity(request: Request, view: FleetView, group: EndpointGroup) -> Iterator[Endpoint]:
     """Yield the endpoints known to have the prefix cached, then those of the hash ring."""
     for name in sorted(view.cache_holders(request.prefix_hash) & group.by_name.keys()):
         yield group.by_name[name]
@@ -206,4 +209,4 @@
 
 
 def _is_eligible(view: FleetView, endpoint: Endpoint, context: Context) -> bool:
-    return endpoint.name not in context.excluded and view.usable(endpoint, context.now)
+    return endpoint.name not in context.excluded and view.is_usable(endpoint, context.now)
--- a/cleatlink/routing/place_test.py
+++ b/cleatlink/routing/placement_test.py
@@ -12,7 +12,7 @@
 from bench.naive import place_naively
 from cleatlink.config import load_configuration
 from cleatlink.core.data import (
-    CacheNews,
+    CacheUpdate,
     Endpoint,
     Fleet,
     LoadReport,
@@ -47,7 +47,7 @@
     view = FleetView()
     assert CONFIGURATION is not None
     view.set_configuration(CONFIGURATION)
-    view.set_fleet(Fleet(1, tuple(endpoints), ()))
+    view.update_fleet(Fleet(1, tuple(endpoints), ()))
     values = {"slots": 8, "running": 0, "waiting_tokens": 0, "memory_free_tokens": 10_000}
     values |= changes
     for endpoint in endpoints:
@@ -64,7 +64,7 @@
             leaving=False,
             prefill_tokens_per_s=1000.0,
         )
-        view.report(report, NOW)
+        view.add_report(report, NOW)
     return view
 
 
@@ -138,7 +138,7 @@
     first = place(view, make_request(7))
     assert isinstance(first, Placement)
     other = next(name for name in ("p0", "p1", "p2") if name != first.prefill.name)
-    view.cache_news(other, CacheNews((7,), (), 1, False))
+    view.apply_cache_events(other, CacheUpdate((7,), (), 1, False))
     found = place(view, make_request(7))
     assert isinstance(found, Placement)
     assert found.prefill.name == other
@@ -157,7 +157,7 @@
     rng = random.Random(seed)
     names = [endpoint.name for endpoint in made.view.fleet.endpoints]
     for name in rng.sample(names, len(names) // 3):
-        made.view.refuse_leaving(name, NOW)
+        made.view.note_leaving_refusal(name, NOW)
     for number, original in enumerate(made.requests):
         size = rng.randrange(10_000, 80_000) if large_prompts else original.prompt_tokens
         request = original._replace(prompt_tokens=size)
@@ -170,7 +170,7 @@
             assert isinstance(naive, Placement)
             for endpoint in (sampled.prefill, sampled.decode):
                 assert endpoint.name not in excluded
-                assert made.view.usable(endpoint, context.now)
+                assert made.view.is_usable(endpoint, context.now)
             if number < in_flight:
                 reserve_request(made.view, request, sampled, context.now)
         elif sampled.kind is not ErrorKind.DEADLINE_NOT_RUN:
@@ -180,11 +180,11 @@
 
 def test_request_that_cannot_meet_its_target_is_refused_immediately() -> None:
     view = make_view(waiting_tokens=2_000)
-    found = place(view, make_request()._replace(first_token_by=NOW + 2))
+    found = place(view, make_request()._replace(first_token_deadline=NOW + 2))
     assert isinstance(found, Refusal)
     assert found.kind is ErrorKind.TARGET_MISSED
     assert found.retry_after_s == pytest.approx(2.1)
-    assert isinstance(place(view, make_request()._replace(first_token_by=NOW + 3)), Placement)
+    assert isinstance(place(view, make_request()._replace(first_token_deadline=NOW + 3)), Placement)
 
 
 def test_less_urgent_class_is_refused_while_prefills_have_a_queue() -> None:
@@ -200,7 +200,7 @@
 
 def test_cache_holder_is_chosen_only_while_it_finishes_first() -> None:
     view = make_view()
-    view.cache_news("p1", CacheNews((7,), (), 1, False))
+    view.apply_cache_events("p1", CacheUpdate((7,), (), 1, False))
     for queued, name in ((0, "p1"), (200, "p1"), (300, None)):
         view.reserve("x/prefill", Reservation("p1", queued, 0, NOW), NOW)
         found = place(view, make_request(7, 1000))
--- a/cleatlink/routing/plain_admission.py
+++ b/cleatlink/routing/plain_admission.py
@@ -39,7 +39,7 @@
 _MIN_ADMITTED_SHARE = 0.05
 # Longest wait of a call for admission, as a share of its target latency: after a later refusal, a
 # retry could hardly be served in time.
-WAIT_SHARE = 0.25
+MAX_WAIT_SHARE = 0.25
 # Longest admission queue of a service, in calls: bounds the memory of waiting calls at any rate.
 _MAX_QUEUE_LENGTH = 64
 # Upper limit of the admission credit that may accumulate, in calls.
@@ -59,17 +59,17 @@
     """Load of a service and the call rate that it can sustain.
 
     Attributes:
-        per_s: Calls per second that its endpoints can sustain; infinite if unknown.
+        sustainable_per_s: Calls per second that its endpoints can sustain; infinite if unknown.
         fill: Calls in progress and in the endpoints' queues, relative to all slots.
     """
 
-    per_s: float
+    sustainable_per_s: float
     fill: float
 
     @property
-    def is_free(self) -> bool:
+    def has_free_capacity(self) -> bool:
         """Whether enough slots are free that no call may be refused."""
-        return self.fill < _NO_REFUSAL_FILL or not math.isfinite(self.per_s)
+        return self.fill < _NO_REFUSAL_FILL or not math.isfinite(self.sustainable_per_s)
 
 
 def admission_rank(priority: int, *, retried_in_time: bool = False, repeated: bool = False) -> int:
@@ -198,7 +198,7 @@
     def __len__(self) -> int:
         return len(self._waiting)
 
-    def arrive(self, rank: int, share: float) -> Ticket:
+    def add(self, rank: int, share: float) -> Ticket:
         """Add a call to the queue, and its admitted share to the credit."""
         self._arrivals += 1
         ticket = Ticket(rank, self._arrivals)
@@ -206,19 +206,19 @@
         insort(self._waiting, ticket)
         return ticket
 
-    def pass_next(self) -> Ticket | None:
+    def admit_next(self) -> Ticket | None:
         """Remove and return the next call to admit; None if the credit admits none."""
         if not self._waiting or self._credit < 1.0 - _ROUNDING_ERROR:
             return None
         self._credit = max(0.0, self._credit - 1.0)
         return self._waiting.pop(0)
 
-    def clear(self) -> list[Ticket]:
+    def admit_all(self) -> list[Ticket]:
         """Remove and return all calls, to admit them when the service has free capacity."""
         admitted, self._waiting = self._waiting, []
         return admitted
 
-    def drop_last(self) -> Ticket | None:
+    def drop_excess(self) -> Ticket | None:
         """Remove and return the last call if the queue is too long; else return None."""
         if len(self._waiting) <= _MAX_QUEUE_LENGTH:
             return None
@@ -231,7 +231,7 @@
         self._waiting.remove(ticket)
         return True
 
-    def may_pass_within(self, ticket: Ticket, expected: float) -> bool:
+    def is_likely_admitted(self, ticket: Ticket, expected: float) -> bool:
         """Check whether a queued call is likely to be admitted in time.
 
         Args:
--- a/cleatlink/routing/plain_load.py
+++ b/cleatlink/routing/plain_load.py
@@ -10,9 +10,16 @@
 from enum import Enum, auto
 from typing import NamedTuple
 
-from cleatlink.routing.windows import RecentSums
+from cleatlink.routing.recent_sums import RecentSums
 
-__all__ = ["CallEnd", "CallTotals", "Demand", "EndpointLoad", "EndpointTotals", "PlainLoad"]
+__all__ = [
+    "CallOutcome",
+    "PeerCallTotals",
+    "DemandKey",
+    "EndpointLoad",
+    "EndpointTotals",
+    "PlainLoad",
+]
 
 # Window of recent calls, in seconds. An endpoint with a few slots serves some tens of calls in this
 # time; older calls describe a queue that no longer exists.
@@ -34,18 +41,18 @@
 _MIN_ENDED_CALLS = 8
 
 
-class CallEnd(Enum):
+class CallOutcome(Enum):
     """Outcome of a call that was sent to an endpoint."""
 
     # The endpoint ran the call, with or without success.
-    RAN = auto()
+    COMPLETED = auto()
     # The endpoint did not run the call.
     REFUSED = auto()
     # No answer arrived, or the wait for it was abandoned.
-    LOST = auto()
+    NO_ANSWER = auto()
 
 
-class Demand(NamedTuple):
+class DemandKey(NamedTuple):
     """Identifies the calls of one rank on a service.
 
     Attributes:
@@ -71,13 +78,13 @@
     refused: int = 0
 
 
-class CallTotals(NamedTuple):
+class PeerCallTotals(NamedTuple):
     """Totals of plain calls that a peer announced.
 
     Attributes:
         name: Name of the peer.
         incarnation: Incarnation number of the peer; increases with each start.
-        age_s: Seconds since the start of the peer.
+        uptime_s: Seconds since the start of the peer.
         arrived: Number of calls that it received, by service and rank; all totals, or only
             those that changed.
         endpoints: Its totals at endpoints, by name of the endpoint's incarnation; all totals,
@@ -86,8 +93,8 @@
 
     name: str
     incarnation: int
-    age_s: float
-    arrived: Mapping[Demand, int]
+    uptime_s: float
+    arrived: Mapping[DemandKey, int]
     endpoints: Mapping[str, EndpointTotals]
 
 
@@ -134,7 +141,7 @@
         self.received_at = now
         # Whether totals that the peer has not announced yet are zero.
         self.starts_at_zero = starts_at_zero
-        self.arrived: dict[Demand, int] = {}
+        self.arrived: dict[DemandKey, int] = {}
         self.endpoints: dict[str, EndpointTotals] = {}
 
 
@@ -144,13 +151,13 @@
     def __init__(self, now: float) -> None:
         """Create a record without calls."""
         self._started_at = now
-        self._arrived: RecentSums[Demand] = RecentSums(_WINDOW_S, now)
+        self._arrived: RecentSums[DemandKey] = RecentSums(_WINDOW_S, now)
         self._own_arrived: RecentSums[str] = RecentSums(_WINDOW_S, now)
         self._ended: RecentSums[str] = RecentSums(_WINDOW_S, now)
         self._call_s: RecentSums[str] = RecentSums(_WINDOW_S, now)
         self._own_call_s: RecentSums[str] = RecentSums(_WINDOW_S, now)
         self._refused: RecentSums[str] = RecentSums(_WINDOW_S, now)
-        self._arrival_totals: dict[Demand, int] = {}
+        self._arrival_totals: dict[DemandKey, int] = {}
         self._own_calls: dict[str, _OwnCalls] = {}
         self._peers: dict[str, _PeerTotals] = {}
         self._nearly_full_until = -math.inf
@@ -160,37 +167,37 @@
         """Record a sign that a service is nearly full."""
         self._nearly_full_until = now + _NEARLY_FULL_S
 
-    def is_busy(self, now: float) -> bool:
+    def is_nearly_full(self, now: float) -> bool:
         """Check whether there was a recent sign of a nearly full service."""
         return now < self._nearly_full_until
 
-    def heard_ago_s(self, now: float) -> float | None:
+    def newest_message_age_s(self, now: float) -> float | None:
         """Return the seconds since the newest message of any peer; None before the first."""
         return now - self._newest_message_at if math.isfinite(self._newest_message_at) else None
 
     def note_arrival(self, service: str, rank: int, now: float) -> None:
         """Count the arrival of a call from a caller."""
-        key = Demand(service, rank)
+        key = DemandKey(service, rank)
         self._arrival_totals[key] = self._arrival_totals.get(key, 0) + 1
         self._arrived.add(key, 1.0, now)
         self._own_arrived.add(service, 1.0, now)
 
-    def begin(self, endpoint_name: str, now: float) -> None:
+    def call_started(self, endpoint_name: str, now: float) -> None:
         """Count the start of a call that is sent to an endpoint."""
         own = self._own_calls.setdefault(endpoint_name, _OwnCalls(now))
         self._add_running_time(endpoint_name, own, now)
         own.running += 1
 
-    def end(self, endpoint_name: str, outcome: CallEnd, now: float) -> None:
+    def call_ended(self, endpoint_name: str, outcome: CallOutcome, now: float) -> None:
         """Count the end of a call that was sent to an endpoint."""
         own = self._own_calls.setdefault(endpoint_name, _OwnCalls(now))
         self._add_running_time(endpoint_name, own, now)
         own.running = max(0, own.running - 1)
-        if outcome is CallEnd.REFUSED:
+        if outcome is CallOutcome.REFUSED:
             own.refused += 1
             self._refused.add(endpoint_name, 1.0, now)
             self.note_nearly_full(now)
-        elif outcome is CallEnd.RAN:
+        elif outcome is CallOutcome.COMPLETED:
             own.ended += 1
             self._ended.add(endpoint_name, 1.0, now)
 
@@ -204,7 +211,7 @@
             self._call_s.add(endpoint_name, recent_s, now)
             self._own_call_s.add(endpoint_name, recent_s, now)
 
-    def totals(self, now: float) -> dict[str, EndpointTotals]:
+    def endpoint_totals(self, now: float) -> dict[str, EndpointTotals]:
         """Return this instance's totals at endpoints since its start."""
         for endpoint_name, own in self._own_calls.items():
             if own.running:
@@ -212,19 +219,19 @@
         return {endpoint_name: own.totals() for endpoint_name, own in self._own_calls.items()}
 
     @property
-    def arrivals(self) -> dict[Demand, int]:
+    def arrival_totals(self) -> dict[DemandKey, int]:
         """Number of calls that this instance received since its start, by service and rank."""
         return self._arrival_totals
 
-    def age_s(self, now: float) -> float:
+    def uptime_s(self, now: float) -> float:
         """Return the seconds since the start of this instance."""
         return now - self._started_at
 
-    def take(self, announced: CallTotals, now: float) -> None:
+    def update_peer(self, announced: PeerCallTotals, now: float) -> None:
         """Update the totals of a peer from its message."""
         peer = self._peers.get(announced.name)
         if peer is None or peer.incarnation < announced.incarnation:
-            starts_at_zero = announced.age_s <= _NEW_PEER_UPTIME_S
+            starts_at_zero = announced.uptime_s <= _NEW_PEER_UPTIME_S
             peer = self._peers[announced.name] = _PeerTotals(
                 announced.incarnation, now, starts_at_zero=starts_at_zero
             )
@@ -258,7 +265,7 @@
         if totals.refused > previous.refused:
             self._refused.add(endpoint_name, totals.refused - previous.refused, now)
 
-    def endpoint(self, endpoint_name: str, now: float) -> EndpointLoad:
+    def endpoint_load(self, endpoint_name: str, now: float) -> EndpointLoad:
         """Return the recent load of an endpoint."""
         own = self._own_calls.get(endpoint_name)
         if own is not None and own.running:
@@ -285,7 +292,7 @@
         """Return the recent calls per second on a service at this instance."""
         return self._own_arrived.rate(service, now)
 
-    def forget(self, registered: Set[str], now: float) -> None:
+    def remove_stale(self, registered: Set[str], now: float) -> None:
         """Remove totals of endpoints that are gone and of peers that stopped sending.
 
         Args:
--- a/cleatlink/routing/plain_replay_test.py
+++ b/cleatlink/routing/plain_replay_test.py
@@ -20,11 +20,11 @@
 from cleatlink.core.data import Role
 from cleatlink.core.routes import RoutedEndpoint
 from cleatlink.routing.capacity import Capacity
-from cleatlink.routing.mechanisms import Mechanism, Switches
-from cleatlink.routing.plain_admission import WAIT_SHARE, Ticket, retry_after_s
-from cleatlink.routing.plain_judge import Applicant, PlainJudge
-from cleatlink.routing.plain_load import CallEnd, CallTotals, Demand, EndpointTotals
-from cleatlink.routing.relay_place import Seeker, place_plain
+from cleatlink.routing.mechanisms import Mechanism, MechanismSwitches
+from cleatlink.routing.plain_admission import MAX_WAIT_SHARE, Ticket, retry_after_s
+from cleatlink.routing.plain_admission_policy import AdmissionRequest, PlainAdmissionPolicy
+from cleatlink.routing.plain_load import CallOutcome, DemandKey, EndpointTotals, PeerCallTotals
+from cleatlink.routing.relay_placement import PlacementContext, choose_plain
 from cleatlink.routing.reservation import Reservation
 
 SLOTS, QUEUE_LENGTH = 6, 24
@@ -89,11 +89,11 @@
     def __init__(self, number: int, disabled: set[Mechanism]) -> None:
         self.rng = random.Random(number)
         self.data_centre = f"dc{number % DATA_CENTRES}"
-        self.capacity = Capacity(Switches(disabled), 0.0)
-        self.policy = PlainJudge(self.capacity, self.rng)
+        self.capacity = Capacity(MechanismSwitches(disabled), 0.0)
+        self.policy = PlainAdmissionPolicy(self.capacity, self.rng)
         self.waiting: dict[Ticket, Caller] = {}
         self.name = str(number)
-        self.announced_arrived: dict[Demand, int] = {}
+        self.announced_arrived: dict[DemandKey, int] = {}
         self.announced_endpoints: dict[str, EndpointTotals] = {}
         for worker in range(WORKERS):
             location = f"dc{worker % DATA_CENTRES}"
@@ -102,8 +102,8 @@
             )
 
     def choose_worker(self, excluded: frozenset[str], now: float) -> str | None:
-        seeker = Seeker(self.data_centre, excluded, now, self.rng)
-        found = place_plain("s", self.capacity, seeker)
+        seeker = PlacementContext(self.data_centre, excluded, now, self.rng)
+        found = choose_plain("s", self.capacity, seeker)
         return None if found is None else found.name
 
 
@@ -153,13 +153,13 @@
             yield Caller(number, priority, now, 3 if abusive else 1, abusive, instance)
 
     def announce(self, node: Node, now: float) -> None:
-        plain = node.capacity.plain
-        arrived = dict(plain.arrivals.items() - node.announced_arrived.items())
-        endpoints = dict(plain.totals(now).items() - node.announced_endpoints.items())
+        plain = node.capacity.plain_load
+        arrived = dict(plain.arrival_totals.items() - node.announced_arrived.items())
+        endpoints = dict(plain.endpoint_totals(now).items() - node.announced_endpoints.items())
         node.announced_arrived |= arrived
         node.announced_endpoints |= endpoints
-        message = CallTotals(node.name, 1, now, arrived, endpoints)
-        refusals = node.capacity.plain_returns.untold(6, now)
+        message = PeerCallTotals(node.name, 1, now, arrived, endpoints)
+        refusals = node.capacity.expected_plain_retries.take_unannounced(6, now)
         if arrived or endpoints:
             self.schedule(
                 now + MESSAGE_DELAY_S, lambda later: self.receive(node, message, refusals, later)
@@ -168,37 +168,41 @@
             self.schedule(now + MESSAGE_INTERVAL_S, lambda later: self.announce(node, later))
 
     def receive(
-        self, sender: Node, message: CallTotals, refusals: list[tuple[bytes, float]], now: float
+        self, sender: Node, message: PeerCallTotals, refusals: list[tuple[bytes, float]], now: float
     ) -> None:
         for node in self.nodes:
             if node is not sender and self.rng.random() >= LOST_SHARE:
-                node.capacity.plain.take(message, now)
+                node.capacity.plain_load.update_peer(message, now)
                 for identity, left_s in refusals:
-                    node.capacity.plain_returns.expect_told(identity, now + left_s)
+                    node.capacity.expected_plain_retries.note_refusal(identity, now + left_s)
 
     def arrive(self, caller: Caller, now: float) -> None:
         node = self.nodes[caller.instance]
         if not self.has_admission:
             self.send(node, caller, frozenset(), now)
             return
-        assessed = node.policy.judge(Applicant("s", caller.priority, b"%d" % caller.number), now)
+        assessed = node.policy.assess(
+            AdmissionRequest("s", caller.priority, b"%d" % caller.number), now
+        )
         queue = node.policy.queue("s")
-        if assessed.bearing.is_free:
-            admitted = queue.clear()
+        if assessed.service_load.has_free_capacity:
+            admitted = queue.admit_all()
         else:
-            ticket = queue.arrive(assessed.rank, assessed.share)
+            ticket = queue.add(assessed.rank, assessed.share)
             node.waiting[ticket] = caller
-            admitted = list(iter(queue.pass_next, None))
+            admitted = list(iter(queue.admit_next, None))
             if ticket not in admitted:
-                self.wait(node, ticket, node.policy.expected(assessed, "s", 0.05, now), now)
+                self.wait(
+                    node, ticket, node.policy.expected_admissions(assessed, "s", 0.05, now), now
+                )
         for other in admitted:
             self.send(node, node.waiting.pop(other), frozenset(), now)
-        if assessed.bearing.is_free:
+        if assessed.service_load.has_free_capacity:
             self.send(node, caller, frozenset(), now)
 
     def wait(self, node: Node, ticket: Ticket, expected: float, now: float) -> None:
-        is_soon = node.policy.queue("s").may_pass_within(ticket, expected)
-        until = now + WAIT_SHARE * TARGET_S if is_soon else now
+        is_soon = node.policy.queue("s").is_likely_admitted(ticket, expected)
+        until = now + MAX_WAIT_SHARE * TARGET_S if is_soon else now
         self.schedule(until, lambda later: self.give_up(node, ticket, later))
 
     def give_up(self, node: Node, ticket: Ticket, now: float) -> None:
@@ -212,14 +216,14 @@
             return
         key = str(next(self.sequence))
         node.capacity.reserve(key, Reservation(worker, Role.PLAIN, 0, now + 1))
-        node.capacity.plain.begin(worker, now)
+        node.capacity.plain_load.call_started(worker, now)
         number = int(worker[1:])
         end = None
         if number < self.load.workers(now):
             end = self.workers[number].accept(now, self.rng.expovariate(1 / WORK_S))
         if end is None:
             node.capacity.release(key)
-            node.capacity.plain.end(worker, CallEnd.REFUSED, now)
+            node.capacity.plain_load.call_ended(worker, CallOutcome.REFUSED, now)
             node.capacity.note_full(worker, now)
             if len(excluded) < WORKERS - 1:
                 self.send(node, caller, excluded | {worker}, now)
@@ -230,9 +234,9 @@
 
     def finish(self, node: Node, caller: Caller, key: str, worker: str, now: float) -> None:
         node.capacity.release(key)
-        node.capacity.plain.end(worker, CallEnd.RAN, now)
-        node.capacity.note_room(worker)
-        node.capacity.pace("s").note_plain(now - caller.arrived_at)
+        node.capacity.plain_load.call_ended(worker, CallOutcome.COMPLETED, now)
+        node.capacity.note_free_capacity(worker)
+        node.capacity.service_times("s").note_plain_call(now - caller.arrived_at)
         self.served[caller.number] += 1
         is_in_time = now - caller.arrived_at <= TARGET_S
         self.counts["in time" if is_in_time else "late", caller.priority] += 1
@@ -244,7 +248,9 @@
         wait_s = 0.5
         if self.has_admission:
             wait_s = retry_after_s(0.8, node.rng.random())
-            node.capacity.plain_returns.expect(b"%d" % caller.number, now + wait_s)
+            node.capacity.expected_plain_retries.note_own_refusal(
+                b"%d" % caller.number, now + wait_s
+            )
         retry_at = now + (0.01 if caller.abusive else wait_s)
         instance = self.rng.randrange(len(self.nodes))
         retried = caller._replace(
--- a/cleatlink/routing/plain_returns.py
+++ b/cleatlink/routing/plain_retries.py
@@ -8,7 +8,7 @@
 from enum import Enum, auto
 from typing import NamedTuple
 
-__all__ = ["PlainReturns", "RetryTiming"]
+__all__ = ["ExpectedPlainRetries", "RetryTiming"]
 
 # Time after its due time from which a retry counts as a new call, in seconds: the caller has
 # probably gone elsewhere.
@@ -48,7 +48,7 @@
     early: int = 0
 
 
-class PlainReturns:
+class ExpectedPlainRetries:
     """Refused calls that this instance knows of, its own and those that peers announced."""
 
     def __init__(self) -> None:
@@ -58,14 +58,14 @@
     def __len__(self) -> int:
         return len(self._expected)
 
-    def expect(self, identity: bytes, due: float) -> None:
+    def note_own_refusal(self, identity: bytes, due: float) -> None:
         """Record a call that this instance refused, to announce it to peers."""
-        self.expect_told(identity, due)
+        self.note_refusal(identity, due)
         self._unannounced[identity] = due
         if len(self._unannounced) > _MAX_UNANNOUNCED:
             del self._unannounced[next(iter(self._unannounced))]
 
-    def expect_told(self, identity: bytes, due: float) -> None:
+    def note_refusal(self, identity: bytes, due: float) -> None:
         """Record a call that this instance or a peer refused."""
         previous = self._expected.pop(identity, None)
         self._expected[identity] = _ExpectedRetry(
@@ -74,7 +74,7 @@
         if len(self._expected) > _MAX_REMEMBERED:
             del self._expected[next(iter(self._expected))]
 
-    def take(self, identity: bytes, now: float) -> RetryTiming:
+    def match_arrival(self, identity: bytes, now: float) -> RetryTiming:
         """Match an arriving call with an earlier refusal; one refusal matches one retry on time."""
         expected = self._expected.get(identity)
         if expected is None or now > expected.due + _LATE_TOLERANCE_S:
@@ -87,13 +87,13 @@
         del self._expected[identity]
         return RetryTiming.NEW_CALL if expected.early else RetryTiming.ON_TIME
 
-    def untold(self, max_count: int, now: float) -> list[tuple[bytes, float]]:
+    def take_unannounced(self, max_count: int, now: float) -> list[tuple[bytes, float]]:
         """Remove and return refused calls to announce, with seconds until retries are due."""
         announced = [(name, due - now) for name, due in self._unannounced.items() if due > now]
         self._unannounced = dict(list(self._unannounced.items())[max_count:])
         return announced[:max_count]
 
-    def forget(self, now: float) -> None:
+    def remove_expired(self, now: float) -> None:
         """Remove refused calls that were not retried in time."""
         expired = [
             name for name, item in self._expected.items() if item.due + _LATE_TOLERANCE_S < now
--- a/cleatlink/routing/plain_spread.py
+++ b/cleatlink/routing/plain_spread.py
@@ -12,7 +12,7 @@
 from cleatlink.routing.plain_admission import sustainable_rate
 from cleatlink.routing.plain_load import PlainLoad
 
-__all__ = ["plain_weights", "spread_share"]
+__all__ = ["sustainable_weights", "random_assignment_share"]
 
 # Share of the slots in use above which calls begin to queue at an endpoint with few slots.
 _QUEUEING_FILL = 0.4
@@ -20,7 +20,7 @@
 _RANDOM_FILL = 0.8
 
 
-def spread_share(endpoint: RoutedEndpoint, load: PlainLoad, now: float) -> float:
+def random_assignment_share(endpoint: RoutedEndpoint, load: PlainLoad, now: float) -> float:
     """Return the share of calls to assign at random instead of to the best endpoint.
 
     Load from this instance's own calls is known exactly, so it needs no random assignment.
@@ -30,7 +30,7 @@
         load: Load of plain calls from all instances.
         now: The current time.
     """
-    endpoint_load = load.endpoint(endpoint.name, now)
+    endpoint_load = load.endpoint_load(endpoint.name, now)
     running = (
         max(endpoint_load.running, float(endpoint.slots))
         if endpoint_load.refused
@@ -43,7 +43,7 @@
     return share * min(1.0, load.peers_running(endpoint.name, now) / running)
 
 
-def plain_weights(
+def sustainable_weights(
     endpoints: Sequence[RoutedEndpoint], capacity: Capacity, now: float
 ) -> list[float]:
     """Return the weights for random assignment: the call rate that each endpoint can sustain.
@@ -55,7 +55,9 @@
     """
     weights = [
         sustainable_rate(
-            endpoint, capacity.plain.endpoint(endpoint.name, now), capacity.plain_s(endpoint, now)
+            endpoint,
+            capacity.plain_load.endpoint_load(endpoint.name, now),
+            capacity.plain_call_s(endpoint, now),
         )
         for endpoint in endpoints
     ]
--- a/cleatlink/routing/own_pauses.py
+++ b/cleatlink/routing/process_pauses.py
@@ -7,14 +7,14 @@
 
 import math
 
-__all__ = ["OwnPauses"]
+__all__ = ["ProcessPauses"]
 
 # Delay of a check from which on it shows a pause, in seconds. Without a pause, timers are late by
 # only some ms, even on a busy machine.
 _MAX_DELAY_S = 0.1
 
 
-class OwnPauses:
+class ProcessPauses:
     """Pauses of this process; every method takes the time as an argument."""
 
     def __init__(self) -> None:
@@ -22,11 +22,11 @@
         self._due_at = math.inf
         self._ended_at = -math.inf
 
-    def expect_look(self, due_at: float) -> None:
+    def schedule_check(self, due_at: float) -> None:
         """Record when the next check is scheduled."""
         self._due_at = due_at
 
-    def look(self, now: float) -> float:
+    def check(self, now: float) -> float:
         """Run the periodic check; return the seconds of a pause that ends now, or 0."""
         late_s = now - self._due_at
         if late_s <= _MAX_DELAY_S:
@@ -34,6 +34,6 @@
         self._ended_at = now
         return late_s
 
-    def any_since(self, began_at: float, now: float) -> bool:
+    def has_paused_since(self, began_at: float, now: float) -> bool:
         """Check whether this process may have paused at some time since ``began_at``."""
         return self._ended_at >= began_at or now - self._due_at > _MAX_DELAY_S
--- a/cleatlink/routing/prompt_plan.py
+++ b/cleatlink/routing/prompt_plan.py
@@ -10,11 +10,11 @@
 from typing import NamedTuple
 
 from cleatlink.core.data import Role
-from cleatlink.core.routes import Inbound, Route, RoutedService
+from cleatlink.core.routes import InboundRequest, Route, RoutedService
 from cleatlink.routing.capacity import Capacity
 from cleatlink.routing.mechanisms import Mechanism
-from cleatlink.routing.pace import DIRECT_FACTOR
-from cleatlink.routing.relay_place import Seeker, estimate_output
+from cleatlink.routing.relay_placement import PlacementContext, estimate_output_tokens
+from cleatlink.routing.service_times import DECODE_PROMPT_FACTOR
 
 __all__ = ["PromptPlan", "plan_prompt"]
 
@@ -23,25 +23,25 @@
     """Where a prompt is to be computed.
 
     Attributes:
-        direct: Whether the decode endpoint computes the prompt.
+        computed_by_decode: Whether the decode endpoint computes the prompt.
         ready_s: Expected time until the prompt is computed, including the queue, in seconds.
         queue_s: Expected time until the computation begins, in seconds.
-        spare_s: Time for which the stream may still wait for capacity and be in time, in
+        slack_s: Time for which the stream may still wait for capacity and be in time, in
             seconds; negative if it can't be in time.
-        stay_s: Time for which the stream may still wait for capacity and be served before its
-            caller leaves, in seconds.
+        caller_slack_s: Time for which the stream may still wait for capacity and be served before
+            its caller leaves, in seconds.
     """
 
-    direct: bool
+    computed_by_decode: bool
     ready_s: float
     queue_s: float
-    spare_s: float
-    stay_s: float
+    slack_s: float
+    caller_slack_s: float
 
     @property
     def is_late(self) -> bool:
         """Whether the stream will be late even if it is placed now."""
-        return self.spare_s < 0
+        return self.slack_s < 0
 
 
 class _PrefillTime(NamedTuple):
@@ -57,24 +57,25 @@
 
 
 def plan_prompt(
-    inbound: Inbound,
+    inbound: InboundRequest,
     route: Route,
     service: RoutedService,
     capacity: Capacity,
-    seeker: Seeker,
+    seeker: PlacementContext,
 ) -> PromptPlan:
     """Decide where a stream's prompt is computed if the stream is placed now."""
     assert service.engine is not None, "only engines compute prompts"
-    pace = capacity.pace(service.name)
+    pace = capacity.service_times(service.name)
     idle_prompt_s = pace.prompt_s(inbound.prompt_tokens)
     age_s = seeker.now - inbound.arrived_at
-    target_slack_s = pace.bearable_s(route.target_s, idle_prompt_s) - age_s
+    target_slack_s = pace.achievable_limit_s(route.target_s, idle_prompt_s) - age_s
     # Callers leave if a stream does not begin in time, or if the time left is too short for its
     # output.
-    output_s = pace.token_s * estimate_output(inbound, pace)
+    output_s = pace.token_s * estimate_output_tokens(inbound, pace)
     time_limit_s = min(route.timeout_s, inbound.deadline - inbound.arrived_at)
     caller_slack_s = (
-        pace.bearable_s(min(route.patience_s, time_limit_s - output_s), idle_prompt_s) - age_s
+        pace.achievable_limit_s(min(route.abandon_after_s, time_limit_s - output_s), idle_prompt_s)
+        - age_s
     )
 
     def plan(direct: bool, queue_s: float, prompt_s: float, start_s: float) -> PromptPlan:
@@ -84,21 +85,21 @@
             direct, ready_s, queue_s, target_slack_s - first_token_s, caller_slack_s - first_token_s
         )
 
-    decode_prompt_s = DIRECT_FACTOR * idle_prompt_s
+    decode_prompt_s = DECODE_PROMPT_FACTOR * idle_prompt_s
     on_decode = plan(True, 0.0, decode_prompt_s, pace.token_s)
     earliest = _earliest_prefill(service.name, capacity, seeker, idle_prompt_s)
     if earliest is None:
         return on_decode
-    on_prefill = plan(False, earliest.queue_s, earliest.prompt_s, pace.start_s)
-    pause_s = pace.direct_pause_s(idle_prompt_s, service.engine.event_tokens)
-    may_use_decode = capacity.switches.uses(Mechanism.SHARED_PROMPTS)
-    if not on_prefill.is_late or pause_s > route.event_gap_s or not may_use_decode:
+    on_prefill = plan(False, earliest.queue_s, earliest.prompt_s, pace.first_event_s)
+    pause_s = pace.prompt_event_gap_s(idle_prompt_s, service.engine.event_tokens)
+    may_use_decode = capacity.switches.is_enabled(Mechanism.SHARED_PROMPTS)
+    if not on_prefill.is_late or pause_s > route.event_gap_target_s or not may_use_decode:
         return on_prefill
     return on_prefill if on_decode.is_late else on_decode
 
 
 def _earliest_prefill(
-    service: str, capacity: Capacity, seeker: Seeker, idle_prompt_s: float
+    service: str, capacity: Capacity, seeker: PlacementContext, idle_prompt_s: float
 ) -> _PrefillTime | None:
     """Return the times of the prefill endpoint that completes the prompt first, or None.
 
@@ -111,7 +112,8 @@
     names = (item.name for item in capacity.candidates(service, Role.PREFILL, seeker.now))
     times = (
         _PrefillTime(
-            capacity.begins_in_s(name, seeker.now), idle_prompt_s / capacity.speed(name, seeker.now)
+            capacity.prompt_starts_in_s(name, seeker.now),
+            idle_prompt_s / capacity.relative_speed(name, seeker.now),
         )
         for name in names
         if name not in seeker.excluded
--- a/cleatlink/routing/prompt_plan_test.py
+++ b/cleatlink/routing/prompt_plan_test.py
@@ -5,8 +5,8 @@
 
 from cleatlink.core.data import Role
 from cleatlink.core.routes import (
-    EngineTraits,
-    Inbound,
+    EngineProperties,
+    InboundRequest,
     Route,
     RoutedEndpoint,
     RoutedService,
@@ -14,10 +14,10 @@
 )
 from cleatlink.routing.capacity import Capacity
 from cleatlink.routing.prompt_plan import PromptPlan, plan_prompt
-from cleatlink.routing.relay_place import Seeker
+from cleatlink.routing.relay_placement import PlacementContext
 from cleatlink.routing.reservation import Reservation
 
-TRAITS = EngineTraits(64, 40_000, 0.5, 6.0, event_tokens=10)
+TRAITS = EngineProperties(64, 40_000, 0.5, 6.0, event_tokens=10)
 SERVICE = RoutedService("s", 100, TRAITS)
 PROMPT_TOKENS_PER_S = 20_000
 
@@ -28,20 +28,22 @@
     for number, role in enumerate(roles):
         endpoint = RoutedEndpoint(f"e{number}", "127.0.0.1:1", "a", "s", role, 64)
         capacity.set_endpoint(endpoint)
-    pace = capacity.pace("s")
+    pace = capacity.service_times("s")
     for _ in range(9):
         pace.note_prompt(2000, 0.0, 0.1)
-        pace.note_tokens(100, 0.5)
-        pace.note_start(0.05)
+        pace.note_segment(100, 0.5)
+        pace.note_first_event(0.05)
     return capacity
 
 
 def plan(
     capacity: Capacity, tokens: int = 2000, event_gap_s: float = 0.3, now: float = 0.0
 ) -> PromptPlan:
-    route = Route("r", "h", "/", RouteKind.STREAMING, 14.0, 0.9, 1, (), event_gap_s=event_gap_s)
-    inbound = Inbound("r", b"POST", b"/", "h", (), b"", 0.0, prompt_tokens=tokens)
-    seeker = Seeker("a", frozenset(), now, random.Random(1))
+    route = Route(
+        "r", "h", "/", RouteKind.STREAMING, 14.0, 0.9, 1, (), event_gap_target_s=event_gap_s
+    )
+    inbound = InboundRequest("r", b"POST", b"/", "h", (), b"", 0.0, prompt_tokens=tokens)
+    seeker = PlacementContext("a", frozenset(), now, random.Random(1))
     return plan_prompt(inbound, route, SERVICE, capacity, seeker)
 
 
@@ -53,51 +55,51 @@
 
 def test_prefill_computes_the_prompt_while_the_stream_is_in_time() -> None:
     capacity = make_capacity(Role.PREFILL, Role.DECODE)
-    assert not plan(capacity).direct
+    assert not plan(capacity).computed_by_decode
     occupy(capacity, "e0", 0.5)
     found = plan(capacity)
-    assert not found.direct
+    assert not found.computed_by_decode
     assert math.isclose(found.ready_s, 0.6, rel_tol=0.01)
-    assert math.isclose(found.spare_s, 0.25, rel_tol=0.01)
+    assert math.isclose(found.slack_s, 0.25, rel_tol=0.01)
 
 
 def test_decode_computes_the_prompt_when_every_prefill_is_too_busy() -> None:
     capacity = make_capacity(Role.PREFILL, Role.PREFILL, Role.DECODE)
     occupy(capacity, "e0", 2.0)
-    assert not plan(capacity).direct
+    assert not plan(capacity).computed_by_decode
     occupy(capacity, "e1", 1.5)
     found = plan(capacity)
-    assert found.direct
-    assert found.spare_s > 0
+    assert found.computed_by_decode
+    assert found.slack_s > 0
 
 
 def test_decode_does_not_delay_its_streams_beyond_the_limit_of_the_route() -> None:
     capacity = make_capacity(Role.PREFILL, Role.DECODE)
     occupy(capacity, "e0", 2.0)
-    assert plan(capacity, 2000).direct
+    assert plan(capacity, 2000).computed_by_decode
     large_prompt = plan(capacity, 4000)
-    assert not large_prompt.direct
-    assert large_prompt.spare_s < 0
-    assert plan(capacity, 4000, event_gap_s=1.0).direct
+    assert not large_prompt.computed_by_decode
+    assert large_prompt.slack_s < 0
+    assert plan(capacity, 4000, event_gap_s=1.0).computed_by_decode
 
 
 def test_decode_computes_every_prompt_without_a_prefill() -> None:
     found = plan(make_capacity(Role.DECODE), 30_000)
-    assert found.direct
-    assert found.spare_s < 0
+    assert found.computed_by_decode
+    assert found.slack_s < 0
 
 
 def test_stream_that_would_be_late_even_on_an_idle_fleet_is_served() -> None:
     capacity = make_capacity(Role.PREFILL, Role.DECODE)
     # 40 thousand tokens take 2 s; the target is 0.9 s.
     found = plan(capacity, 40_000)
-    assert not found.direct
-    assert found.spare_s > 0
+    assert not found.computed_by_decode
+    assert found.slack_s > 0
     occupy(capacity, "e0", 2.0)
-    assert plan(capacity, 40_000).spare_s < 0
+    assert plan(capacity, 40_000).slack_s < 0
 
 
 def test_prompt_of_a_late_stream_is_not_computed_by_a_decode() -> None:
     capacity = make_capacity(Role.PREFILL, Role.DECODE)
     occupy(capacity, "e0", 3.0)
-    assert not plan(capacity, now=2.0).direct
+    assert not plan(capacity, now=2.0).computed_by_decode
--- a/cleatlink/routing/queueing.py
+++ b/cleatlink/routing/queueing_model.py
@@ -7,14 +7,14 @@
 
 from functools import lru_cache
 
-__all__ = ["in_time_share"]
+__all__ = ["estimate_in_time_share"]
 
 # Share of late or rejected arrivals that is small enough to ignore.
 _NEGLIGIBLE_SHARE = 1e-12
 
 
 @lru_cache(maxsize=4096)
-def in_time_share(rate: float, service_s: float, servers: int, slack_s: float) -> float:
+def estimate_in_time_share(rate: float, service_s: float, servers: int, slack_s: float) -> float:
     """Estimate the share of arrivals that are served in time.
 
     Args:
--- a/cleatlink/routing/shed_limits.py
+++ b/cleatlink/routing/rejection_bounds.py
@@ -11,7 +11,7 @@
 import math
 from typing import NamedTuple
 
-__all__ = ["ShedLimits"]
+__all__ = ["RejectionBounds"]
 
 # Lifetime of a bound without another rejection. The estimate differs from the actual work by lost
 # or late messages, and heartbeats correct that within a second.
@@ -30,13 +30,13 @@
     expires_at: float
 
 
-class ShedLimits:
+class RejectionBounds:
     """Bounds by endpoint; methods that depend on time take it as an argument."""
 
     def __init__(self) -> None:
         self._bounds: dict[str, _Bound] = {}
 
-    def note_refused(self, name: str, held_tokens: int, tokens: int, now: float) -> bool:
+    def note_rejected(self, name: str, held_tokens: int, tokens: int, now: float) -> bool:
         """Record that an endpoint had no capacity for a stream.
 
         Args:
@@ -49,24 +49,24 @@
             Whether the bound is lower than the known one.
         """
         below_tokens = held_tokens + tokens
-        is_lower = below_tokens < self.below_tokens(name, now)
+        is_lower = below_tokens < self.bound_tokens(name, now)
         if is_lower or name not in self._bounds:
             self._bounds[name] = _Bound(below_tokens, now + _BOUND_LIFETIME_S)
         return is_lower
 
-    def note_held(self, name: str, held_tokens: int) -> None:
+    def note_accepted(self, name: str, held_tokens: int) -> None:
         """Record that an endpoint accepted a stream and now holds ``held_tokens``."""
         bound = self._bounds.get(name)
         if bound is not None and held_tokens >= bound.below_tokens:
             del self._bounds[name]
 
-    def below_tokens(self, name: str, now: float) -> float:
+    def bound_tokens(self, name: str, now: float) -> float:
         """Return the bound of an endpoint in tokens; infinite if there is none."""
         bound = self._bounds.get(name)
         if bound is None or bound.expires_at <= now:
             return math.inf
         return bound.below_tokens
 
-    def forget(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         """Delete the bound of an endpoint."""
         self._bounds.pop(name, None)
--- a/cleatlink/routing/shed_limits_test.py
+++ b/cleatlink/routing/rejection_bounds_test.py
@@ -6,14 +6,14 @@
 from hypothesis import strategies as st
 
 from cleatlink.core.data import Role
-from cleatlink.core.routes import EngineTraits, RoutedEndpoint
+from cleatlink.core.routes import EngineProperties, RoutedEndpoint
 from cleatlink.routing.capacity import Capacity
-from cleatlink.routing.mechanisms import Mechanism, Switches
-from cleatlink.routing.relay_place import Seeker, StreamSize, place_decode
+from cleatlink.routing.mechanisms import Mechanism, MechanismSwitches
+from cleatlink.routing.rejection_bounds import RejectionBounds
+from cleatlink.routing.relay_placement import PlacementContext, StreamSize, choose_decode
 from cleatlink.routing.reservation import Reservation
-from cleatlink.routing.shed_limits import ShedLimits
 
-TRAITS = EngineTraits(
+TRAITS = EngineProperties(
     slots=16, memory_tokens=27_000, handle_lifetime_s=0.5, event_tokens=14, role_switch_s=6.0
 )
 STREAM = StreamSize(3_200, 1_000, 5.0)
@@ -24,15 +24,15 @@
 
 
 def capacity_with(*names: str, without: frozenset[Mechanism] = frozenset()) -> Capacity:
-    capacity = Capacity(Switches(without))
+    capacity = Capacity(MechanismSwitches(without))
     for name in names:
         capacity.set_endpoint(decode(name))
     return capacity
 
 
 def place(capacity: Capacity, now: float, seed: int = 1) -> RoutedEndpoint | None:
-    seeker = Seeker("a", frozenset(), now, random.Random(seed))
-    return place_decode("s", STREAM, TRAITS, capacity, seeker)
+    seeker = PlacementContext("a", frozenset(), now, random.Random(seed))
+    return choose_decode("s", STREAM, TRAITS, capacity, seeker)
 
 
 def test_rejection_at_one_instance_keeps_other_instances_from_trying() -> None:
@@ -53,7 +53,9 @@
             if place(instances[step], now) is not None:
                 count += 1
                 for instance in instances:
-                    instance.note_shed("e1", STREAM.prompt + STREAM.output, now)
+                    instance.note_memory_refusal(
+                        "e1", STREAM.prompt_tokens + STREAM.output_tokens, now
+                    )
         return count
 
     assert count_attempts(frozenset({Mechanism.SHED_LIMITS})) == 82
@@ -64,7 +66,7 @@
     capacity = capacity_with("e1")
     for key in ("k1", "k2", "k3"):
         capacity.peer_reserve("p", key, Reservation("e1", Role.DECODE, 4_200, 9.0, 9.0))
-    capacity.note_shed("e1", 4_200, 1.0)
+    capacity.note_memory_refusal("e1", 4_200, 1.0)
     assert place(capacity, 1.1) is None
     capacity.peer_release("p", "k1")
     assert place(capacity, 1.1) is not None
@@ -77,26 +79,26 @@
     capacity = capacity_with("e1", "e2")
     for name in ("e1", "e2"):
         capacity.peer_reserve("p", name, Reservation(name, Role.DECODE, 4_200, 9.0, 9.0))
-    capacity.note_shed("e1", 4_200, 1.0)
+    capacity.note_memory_refusal("e1", 4_200, 1.0)
     chosen = place(capacity, 1.1)
     assert chosen is not None
     assert chosen.name == "e2"
-    assert capacity.free_tokens("e1", 1.1) == 4_200
+    assert capacity.free_memory_tokens("e1", 1.1) == 4_200
 
 
 def test_engine_without_known_work_is_tried_again_at_once() -> None:
     capacity = capacity_with("e1")
-    capacity.note_shed("e1", 4_200, 1.0)
+    capacity.note_memory_refusal("e1", 4_200, 1.0)
     assert place(capacity, 1.1) is not None
 
 
 def test_accepted_stream_that_reaches_the_bound_removes_it() -> None:
     capacity = capacity_with("e1")
     capacity.peer_reserve("p", "k", Reservation("e1", Role.DECODE, 4_200, 9.0, 9.0))
-    capacity.note_shed("e1", 4_200, 1.0)
+    capacity.note_memory_refusal("e1", 4_200, 1.0)
     assert place(capacity, 1.1) is None
     capacity.reserve("k", Reservation("e1", Role.DECODE, 4_200, 9.0, 9.0))
-    capacity.note_held("e1")
+    capacity.note_stream_accepted("e1")
     assert place(capacity, 1.1) is not None
 
 
@@ -108,10 +110,10 @@
 def test_bound_lasts_one_second_and_is_at_most_the_rejected_size(
     refusals: list[tuple[int, int, float]],
 ) -> None:
-    limits = ShedLimits()
+    limits = RejectionBounds()
     now = 0.0
     for held, tokens, pause_s in refusals:
         now += pause_s
-        limits.note_refused("e", held, tokens, now)
-        assert limits.below_tokens("e", now) <= held + tokens
-    assert limits.below_tokens("e", now + 1.0) > 40_000 + 10_000
+        limits.note_rejected("e", held, tokens, now)
+        assert limits.bound_tokens("e", now) <= held + tokens
+    assert limits.bound_tokens("e", now + 1.0) > 40_000 + 10_000
--- a/cleatlink/routing/shed.py
+++ b/cleatlink/routing/rejection_plan.py
@@ -9,7 +9,7 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-__all__ = ["ShedAction", "ShedPlan", "plan_after_shed"]
+__all__ = ["RejectionAction", "RejectionPlan", "plan_after_rejection"]
 
 # A full engine has capacity again after some decode steps.
 _FIRST_DELAY_S = 0.08
@@ -21,51 +21,54 @@
 _MAX_HANDLE_REJECTIONS = 1
 
 
-class ShedAction(StrEnum):
+class RejectionAction(StrEnum):
     """What to do with a rejected stream.
 
     Attributes:
-        ELSEWHERE: Send it to another endpoint.
-        AGAIN: Send it to the same endpoint again, after a delay.
+        OTHER_ENDPOINT: Send it to another endpoint.
+        SAME_ENDPOINT: Send it to the same endpoint again, after a delay.
         GIVE_UP: Fail the call.
     """
 
-    ELSEWHERE = "elsewhere"
-    AGAIN = "again"
+    OTHER_ENDPOINT = "elsewhere"
+    SAME_ENDPOINT = "again"
     GIVE_UP = "give up"
 
 
-class ShedPlan(NamedTuple):
+class RejectionPlan(NamedTuple):
     """The next step after a rejection.
 
     Attributes:
         action: What to do with the stream.
-        pause_s: Seconds to wait before the action.
+        delay_s: Seconds to wait before the action.
         keeps_handle: Whether to send the handle of the prompt's result again.
     """
 
-    action: ShedAction
-    pause_s: float = 0.0
+    action: RejectionAction
+    delay_s: float = 0.0
     keeps_handle: bool = True
 
 
-def plan_after_shed(
-    rejections: int, *, room_elsewhere: bool, handle_left_s: float, left_s: float
-) -> ShedPlan:
+def plan_after_rejection(
+    rejections: int, *, has_capacity_elsewhere: bool, handle_left_s: float, left_s: float
+) -> RejectionPlan:
     """Plan the next step after a rejection; the stream has not run.
 
     Args:
         rejections: Number of rejections of the stream, including this one.
-        room_elsewhere: Whether another decode endpoint that the stream may use has capacity now.
+        has_capacity_elsewhere: Whether another decode endpoint that the stream may use has capacity
+            now.
         handle_left_s: Seconds for which the result of the prompt is certain to be kept.
         left_s: Seconds for which the caller still waits.
     """
     keeps_handle = rejections <= _MAX_HANDLE_REJECTIONS and handle_left_s > 0
     if rejections > _MAX_REJECTIONS:
-        return ShedPlan(ShedAction.GIVE_UP, keeps_handle=False)
-    if room_elsewhere:
-        return ShedPlan(ShedAction.ELSEWHERE, keeps_handle=keeps_handle)
+        return RejectionPlan(RejectionAction.GIVE_UP, keeps_handle=False)
+    if has_capacity_elsewhere:
+        return RejectionPlan(RejectionAction.OTHER_ENDPOINT, keeps_handle=keeps_handle)
     delay_s = _FIRST_DELAY_S * _DELAY_FACTOR ** (rejections - 1)
     if delay_s >= left_s:
-        return ShedPlan(ShedAction.GIVE_UP, keeps_handle=False)
-    return ShedPlan(ShedAction.AGAIN, delay_s, keeps_handle and handle_left_s > delay_s)
+        return RejectionPlan(RejectionAction.GIVE_UP, keeps_handle=False)
+    return RejectionPlan(
+        RejectionAction.SAME_ENDPOINT, delay_s, keeps_handle and handle_left_s > delay_s
+    )
--- a/cleatlink/routing/relay_place.py
+++ b/cleatlink/routing/relay_placement.py
@@ -12,26 +12,26 @@
 from typing import NamedTuple
 
 from cleatlink.core.data import Role
-from cleatlink.core.routes import EngineTraits, Inbound, RoutedEndpoint
+from cleatlink.core.routes import EngineProperties, InboundRequest, RoutedEndpoint
 from cleatlink.routing.capacity import Capacity
 from cleatlink.routing.mechanisms import Mechanism
-from cleatlink.routing.pace import ServicePace
-from cleatlink.routing.plain_spread import plain_weights, spread_share
+from cleatlink.routing.plain_spread import random_assignment_share, sustainable_weights
 from cleatlink.routing.reservation import Reservation
+from cleatlink.routing.service_times import ServiceTimes
 
 __all__ = [
     "IMMEDIATELY",
-    "RUNS_APART",
-    "Seeker",
+    "MIN_CRASHES_TO_ISOLATE",
+    "PlacementContext",
     "SendTime",
     "StreamSize",
-    "count_places",
-    "estimate_output",
-    "longest_stream_s",
-    "place_decode",
-    "place_plain",
-    "place_plain_later",
-    "place_prefill",
+    "count_fitting_streams",
+    "estimate_output_tokens",
+    "estimate_longest_stream_s",
+    "choose_decode",
+    "choose_plain",
+    "choose_plain_within_wait",
+    "choose_prefill",
 ]
 
 # Added to the cost of an endpoint whose rate limit makes a stream wait: large enough that a stream
@@ -55,7 +55,7 @@
 _START_FACTOR = 2.0
 # Requests that were in progress at this number of endpoint crashes never share an endpoint: after
 # another crash it would still be unknown which of them caused it.
-RUNS_APART = 2
+MIN_CRASHES_TO_ISOLATE = 2
 # Added to the cost of an endpoint that runs a crash suspect, for a request that is itself a
 # suspect. Suspects that run together are present at the same crashes and can't be told apart, so
 # a suspect goes to another data centre rather than to an endpoint that runs another suspect.
@@ -77,7 +77,7 @@
 _TIE_BREAK_SHARE = 0.01
 
 
-class Seeker(NamedTuple):
+class PlacementContext(NamedTuple):
     """What a placement depends on besides the request and the endpoints' capacity.
 
     Attributes:
@@ -99,18 +99,18 @@
     """Expected resource use of a stream on a decode endpoint.
 
     Attributes:
-        prompt: Tokens of the prompt.
-        output: Estimated tokens of the answer.
+        prompt_tokens: Tokens of the prompt.
+        output_tokens: Estimated tokens of the answer.
         duration_s: Duration on an endpoint of the service's usual speed.
         remote_prefill_s: Part of the duration in which another endpoint computes the prompt.
     """
 
-    prompt: int
-    output: int
+    prompt_tokens: int
+    output_tokens: int
     duration_s: float
     remote_prefill_s: float = 0.0
 
-    def reserve(self, endpoint: str, now: float, speed: float = 1.0) -> Reservation:
+    def make_reservation(self, endpoint: str, now: float, speed: float = 1.0) -> Reservation:
         """Return the reservation of the stream on an endpoint.
 
         Args:
@@ -121,8 +121,10 @@
         duration_s = self.duration_s
         if speed != 1.0:
             duration_s = self.remote_prefill_s + (duration_s - self.remote_prefill_s) / speed
-        tokens = self.prompt + self.output
-        return Reservation(endpoint, Role.DECODE, tokens, now + duration_s, duration_s, self.output)
+        tokens = self.prompt_tokens + self.output_tokens
+        return Reservation(
+            endpoint, Role.DECODE, tokens, now + duration_s, duration_s, self.output_tokens
+        )
 
 
 class SendTime(NamedTuple):
@@ -141,7 +143,7 @@
 
 
 IMMEDIATELY = SendTime()
-NO_WAITS: Mapping[str, float] = MappingProxyType({})
+NO_PROMPT_WAITS: Mapping[str, float] = MappingProxyType({})
 
 
 class _Option(NamedTuple):
@@ -154,15 +156,17 @@
 _NO_OPTION = _Option(math.inf, None)
 
 
-def estimate_output(inbound: Inbound, pace: ServicePace) -> int:
+def estimate_output_tokens(inbound: InboundRequest, pace: ServiceTimes) -> int:
     """Estimate the number of tokens of a stream's answer."""
     output = inbound.max_output_tokens
-    if inbound.output_hint:
-        output = min(output, int(inbound.output_hint * pace.length_ratio))
+    if inbound.estimated_output_tokens:
+        output = min(output, int(inbound.estimated_output_tokens * pace.length_ratio))
     return output
 
 
-def longest_stream_s(inbound: Inbound, pace: ServicePace, ready_s: float = 0.0) -> float:
+def estimate_longest_stream_s(
+    inbound: InboundRequest, pace: ServiceTimes, ready_s: float = 0.0
+) -> float:
     """Estimate an upper bound of a stream's duration, which few streams exceed.
 
     Args:
@@ -174,23 +178,23 @@
         Seconds until its last event; infinite while the service's times are unknown.
     """
     output = inbound.max_output_tokens
-    if inbound.output_hint:
+    if inbound.estimated_output_tokens:
         long_factor = 1 + _LONG_ANSWER_DEVIATIONS * pace.length_spread
-        output = min(output, int(inbound.output_hint * pace.length_ratio * long_factor))
-    return _START_FACTOR * (ready_s + pace.start_s) + pace.slow_token_s * output
+        output = min(output, int(inbound.estimated_output_tokens * pace.length_ratio * long_factor))
+    return _START_FACTOR * (ready_s + pace.first_event_s) + pace.slow_token_s * output
 
 
-def place_decode(
+def choose_decode(
     service: str,
     stream: StreamSize,
-    traits: EngineTraits,
+    traits: EngineProperties,
     capacity: Capacity,
-    context: Seeker,
+    context: PlacementContext,
     *,
     computes_prompt: bool = False,
-    leaves_room: bool = False,
+    requires_spare_capacity: bool = False,
     send_time: SendTime = IMMEDIATELY,
-    prompt_waits: Mapping[str, float] = NO_WAITS,
+    prompt_wait_shares: Mapping[str, float] = NO_PROMPT_WAITS,
 ) -> RoutedEndpoint | None:
     """Return the decode endpoint with the most free capacity; None if none has enough.
 
@@ -202,14 +206,14 @@
         context: Data centre, time and call of the decision.
         computes_prompt: Whether the endpoint must compute the prompt too; an endpoint that
             computes another prompt is then skipped.
-        leaves_room: Whether an endpoint that is not idle must have capacity for a second such
-            stream.
+        requires_spare_capacity: Whether an endpoint that is not idle must have capacity for a
+            second such stream.
         send_time: When the stream is to be sent; decides how long it may wait for the rate
             limit of an endpoint.
-        prompt_waits: Waiting time of a prompt for the decodes of each data centre, as a share
+        prompt_wait_shares: Waiting time of a prompt for the decodes of each data centre, as a share
             of the stream's target.
     """
-    count = 2 if leaves_room else 1
+    count = 2 if requires_spare_capacity else 1
     jitter_s = _RETRY_JITTER_S * context.rng.random() if send_time.is_retry else 0.0
     # Endpoints of this instance's data centre (False) and of others (True).
     options: dict[bool, list[_Option]] = {False: [], True: []}
@@ -220,21 +224,21 @@
     for endpoint in candidates:
         if endpoint.name in context.excluded or capacity.is_full(endpoint.name, context.now):
             continue
-        due_in_s = capacity.limits.due_in_s(endpoint.name, context.now, jitter_s)
+        due_in_s = capacity.endpoint_limits.due_in_s(endpoint.name, context.now, jitter_s)
         if due_in_s > max(send_time.prompt_ready_in_s, send_time.latest_in_s):
             continue
         if computes_prompt and capacity.usage(endpoint.name, Role.PREFILL).running:
             continue
         if _must_isolate(endpoint, capacity, context):
             continue
-        speed = capacity.speed(endpoint.name, context.now)
-        added = [stream.reserve(endpoint.name, context.now, speed)] * count
+        speed = capacity.relative_speed(endpoint.name, context.now)
+        added = [stream.make_reservation(endpoint.name, context.now, speed)] * count
         load = _load_with(endpoint, added, traits, capacity, context.now)
         if load is None:
             continue
         # At the same load, a faster endpoint frees its memory sooner.
         weighted_load = load * slowest / _speed(endpoint, capacity, context)
-        extra_cost = prompt_waits.get(endpoint.data_centre, 0.0)
+        extra_cost = prompt_wait_shares.get(endpoint.data_centre, 0.0)
         if due_in_s > send_time.prompt_ready_in_s:
             extra_cost += _RATE_LIMIT_WAIT_COST + due_in_s
         extra_cost += _suspect_cost(endpoint, capacity, context)
@@ -242,10 +246,11 @@
         is_remote = _is_remote(endpoint, capacity, context)
         least_cost[is_remote] = min(least_cost[is_remote], load + extra_cost)
         options[is_remote].append(_Option(weighted_load + extra_cost, endpoint))
-    usable = options[capacity.spill_over.crosses(least_cost[False], least_cost[True])]
+    usable = options[capacity.spill_over.should_cross(least_cost[False], least_cost[True])]
     best = min(usable, default=_NO_OPTION, key=_cost)
     uses_two_choices = (
-        capacity.switches.uses(Mechanism.TWO_CHOICES) and capacity.waiting.is_large_group
+        capacity.switches.is_enabled(Mechanism.TWO_CHOICES)
+        and capacity.shared_wait_queues.is_large_group
     )
     if not uses_two_choices:
         return best.endpoint
@@ -271,19 +276,19 @@
     return min(rng.sample(similar, 2), key=_cost).endpoint
 
 
-def _speed(endpoint: RoutedEndpoint, capacity: Capacity, context: Seeker) -> float:
+def _speed(endpoint: RoutedEndpoint, capacity: Capacity, context: PlacementContext) -> float:
     """Return the speed by which an endpoint's load is weighted."""
-    return max(_MIN_SPEED, capacity.speed(endpoint.name, context.now))
+    return max(_MIN_SPEED, capacity.relative_speed(endpoint.name, context.now))
 
 
-def count_places(
+def count_fitting_streams(
     service: str,
     tokens: int,
-    traits: EngineTraits,
+    traits: EngineProperties,
     capacity: Capacity,
-    context: Seeker,
+    context: PlacementContext,
     *,
-    beside: Reservation,
+    placed_first: Reservation,
 ) -> int:
     """Return how many more streams fit on all decodes after one stream is placed.
 
@@ -293,18 +298,18 @@
         traits: Properties that the service's engines share.
         capacity: Estimated state of the endpoints.
         context: Data centre, time and call of the decision.
-        beside: Reservation of the stream that is placed first.
+        placed_first: Reservation of the stream that is placed first.
     """
     fitting = 0
-    spread = capacity.pace(service).length_spread
+    spread = capacity.service_times(service).length_spread
     for endpoint in capacity.candidates(service, Role.DECODE, context.now):
         if capacity.is_full(endpoint.name, context.now):
             continue
-        added = [beside] if endpoint.name == beside.endpoint else []
+        added = [placed_first] if endpoint.name == placed_first.endpoint else []
         running = capacity.usage(endpoint.name, Role.DECODE).running + len(added)
         held = capacity.peak_memory(endpoint.name, added, context.now, spread)
         added_tokens = sum(item.tokens for item in added)
-        limit = capacity.free_tokens(endpoint.name, context.now) - added_tokens
+        limit = capacity.free_memory_tokens(endpoint.name, context.now) - added_tokens
         free = min(traits.memory_tokens - held, limit)
         fitting += max(0, min(traits.slots - running, int(free // max(1, tokens))))
     return fitting
@@ -313,7 +318,7 @@
 def _load_with(
     endpoint: RoutedEndpoint,
     added: list[Reservation],
-    traits: EngineTraits,
+    traits: EngineProperties,
     capacity: Capacity,
     now: float,
 ) -> float | None:
@@ -324,10 +329,10 @@
         on an idle endpoint.
     """
     usage = capacity.usage(endpoint.name, Role.DECODE)
-    spread = capacity.pace(endpoint.service).length_spread
+    spread = capacity.service_times(endpoint.service).length_spread
     peak = capacity.peak_memory(endpoint.name, added, now, spread)
     is_full = usage.running + len(added) > traits.slots or peak > traits.memory_tokens
-    is_full = is_full or sum(item.tokens for item in added) >= capacity.free_tokens(
+    is_full = is_full or sum(item.tokens for item in added) >= capacity.free_memory_tokens(
         endpoint.name, now
     )
     if usage.running and is_full:
@@ -335,10 +340,10 @@
     return peak / traits.memory_tokens
 
 
-def place_prefill(
+def choose_prefill(
     service: str,
     capacity: Capacity,
-    context: Seeker,
+    context: PlacementContext,
     decode_data_centre: str,
     tokens: int = 0,
     *,
@@ -357,20 +362,22 @@
     """
     best: RoutedEndpoint | None = None
     best_cost = 0.0
-    pace = capacity.pace(service)
+    pace = capacity.service_times(service)
     remote_cost_s, compute_s = pace.prompt_s(_REMOTE_COST_TOKENS), pace.prompt_s(tokens)
     if capacity.spill_over.is_in_use and target_s < math.inf:
         remote_cost_s = max(remote_cost_s, capacity.spill_over.crossing_share * target_s)
     candidates = capacity.candidates(service, Role.PREFILL, context.now)
-    speeds_differ = any(capacity.speed(item.name, context.now) != 1.0 for item in candidates)
+    speeds_differ = any(
+        capacity.relative_speed(item.name, context.now) != 1.0 for item in candidates
+    )
     for endpoint in candidates:
         if endpoint.name in context.excluded or capacity.is_full(endpoint.name, context.now):
             continue
-        cost = capacity.begins_in_s(endpoint.name, context.now)
+        cost = capacity.prompt_starts_in_s(endpoint.name, context.now)
         # At equal speeds the computing time is the same on all endpoints and is left out.
         if speeds_differ:
             factor = _FIXED_TIME_SHARE + (1 - _FIXED_TIME_SHARE) * context.rng.expovariate(1.0)
-            cost += compute_s / capacity.speed(endpoint.name, context.now) * factor
+            cost += compute_s / capacity.relative_speed(endpoint.name, context.now) * factor
         cost += remote_cost_s * (endpoint.data_centre != decode_data_centre)
         cost += remote_cost_s * _TIE_BREAK_SHARE * context.rng.random()
         if best is None or cost < best_cost:
@@ -378,7 +385,9 @@
     return best
 
 
-def place_plain(service: str, capacity: Capacity, context: Seeker) -> RoutedEndpoint | None:
+def choose_plain(
+    service: str, capacity: Capacity, context: PlacementContext
+) -> RoutedEndpoint | None:
     """Return the plain endpoint with the fewest calls per slot, counting peers' calls.
 
     Reports of peers' calls arrive too late to rely on their number. While the endpoint with the
@@ -390,7 +399,7 @@
     usable = [
         endpoint
         for endpoint in _plain_candidates(service, capacity, context)
-        if not capacity.limits.due_in_s(endpoint.name, context.now)
+        if not capacity.endpoint_limits.due_in_s(endpoint.name, context.now)
     ]
     for endpoint in usable:
         usage = capacity.usage(endpoint.name, Role.PLAIN)
@@ -400,31 +409,31 @@
         cost += context.rng.random() * 0.02
         if best is None or cost < best_cost:
             best, best_cost = endpoint, cost
-    if best is None or not capacity.switches.uses(Mechanism.PLAIN_ADMISSION):
+    if best is None or not capacity.switches.is_enabled(Mechanism.PLAIN_ADMISSION):
         return best
-    share = spread_share(best, capacity.plain, context.now)
+    share = random_assignment_share(best, capacity.plain_load, context.now)
     if not share or context.rng.random() >= share:
         return best
     return _draw_plain(usable, capacity, context)
 
 
 def _draw_plain(
-    usable: list[RoutedEndpoint], capacity: Capacity, context: Seeker
+    usable: list[RoutedEndpoint], capacity: Capacity, context: PlacementContext
 ) -> RoutedEndpoint:
     """Draw two endpoints, weighted by the load that they sustain, and return the cheaper one."""
-    weights = plain_weights(usable, capacity, context.now)
+    weights = sustainable_weights(usable, capacity, context.now)
     drawn = context.rng.choices(usable, weights, k=2)
     return min(drawn, key=lambda endpoint: _drawn_cost(endpoint, capacity, context))
 
 
-def _drawn_cost(endpoint: RoutedEndpoint, capacity: Capacity, context: Seeker) -> float:
+def _drawn_cost(endpoint: RoutedEndpoint, capacity: Capacity, context: PlacementContext) -> float:
     """Return the cost of a drawn endpoint: its calls per slot, and whether it runs a suspect."""
     running = capacity.usage(endpoint.name, Role.PLAIN).running
     return running / max(1, endpoint.slots) + _suspect_cost(endpoint, capacity, context)
 
 
-def place_plain_later(
-    service: str, capacity: Capacity, context: Seeker, max_wait_s: float
+def choose_plain_within_wait(
+    service: str, capacity: Capacity, context: PlacementContext, max_wait_s: float
 ) -> RoutedEndpoint | None:
     """Return the plain endpoint whose rate limit allows the next call first.
 
@@ -438,7 +447,11 @@
         The endpoint; None if the call would wait longer.
     """
     due = [
-        (capacity.limits.due_in_s(endpoint.name, context.now), context.rng.random(), endpoint)
+        (
+            capacity.endpoint_limits.due_in_s(endpoint.name, context.now),
+            context.rng.random(),
+            endpoint,
+        )
         for endpoint in _plain_candidates(service, capacity, context)
     ]
     due_in_s, _, endpoint = min(due, default=(math.inf, 0.0, None))
@@ -446,7 +459,7 @@
 
 
 def _plain_candidates(
-    service: str, capacity: Capacity, context: Seeker
+    service: str, capacity: Capacity, context: PlacementContext
 ) -> Iterator[RoutedEndpoint]:
     """Yield the plain endpoints that a call may use, regardless of their rate limits."""
     for endpoint in capacity.candidates(service, Role.PLAIN, context.now):
@@ -455,22 +468,22 @@
         yield endpoint
 
 
-def _suspect_cost(endpoint: RoutedEndpoint, capacity: Capacity, context: Seeker) -> float:
+def _suspect_cost(endpoint: RoutedEndpoint, capacity: Capacity, context: PlacementContext) -> float:
     """Return the cost of sharing an endpoint with a request suspected of causing a crash."""
-    if not capacity.suspicion(endpoint.name):
+    if not capacity.max_suspicion(endpoint.name):
         return 0.0
     return _SUSPECT_BESIDE_SUSPECT_COST if context.suspicion else _BESIDE_SUSPECT_COST
 
 
-def _must_isolate(endpoint: RoutedEndpoint, capacity: Capacity, context: Seeker) -> bool:
+def _must_isolate(endpoint: RoutedEndpoint, capacity: Capacity, context: PlacementContext) -> bool:
     """Check whether an endpoint runs a suspect that must not run together with this request."""
-    if context.suspicion < RUNS_APART:
+    if context.suspicion < MIN_CRASHES_TO_ISOLATE:
         return False
-    return capacity.suspicion(endpoint.name) >= RUNS_APART
+    return capacity.max_suspicion(endpoint.name) >= MIN_CRASHES_TO_ISOLATE
 
 
-def _is_remote(endpoint: RoutedEndpoint, capacity: Capacity, context: Seeker) -> bool:
+def _is_remote(endpoint: RoutedEndpoint, capacity: Capacity, context: PlacementContext) -> bool:
     """Check whether an endpoint counts as located in another data centre."""
-    if not capacity.switches.uses(Mechanism.LOCALITY):
+    if not capacity.switches.is_enabled(Mechanism.LOCALITY):
         return False
     return endpoint.data_centre != context.data_centre
--- a/cleatlink/routing/relay_parts_test.py
+++ b/cleatlink/routing/relay_routing_test.py
@@ -11,31 +11,31 @@
 from cleatlink.core.revisions import StoreRevision
 from cleatlink.core.routes import (
     CallerLimits,
-    EngineTraits,
-    Inbound,
+    EngineProperties,
+    InboundRequest,
     Route,
     RoutedEndpoint,
     RouteKind,
     RouteTable,
     ServiceShare,
 )
-from cleatlink.request.shared_budget import SharedRetryBudget
+from cleatlink.request.shared_retry_budget import SharedRetryBudget
 from cleatlink.routing.capacity import Capacity
 from cleatlink.routing.fleet_records import EndpointRecord, FleetRecords
-from cleatlink.routing.pace import ServicePace
-from cleatlink.routing.relay_place import (
-    Seeker,
+from cleatlink.routing.relay_placement import (
+    PlacementContext,
     StreamSize,
-    estimate_output,
-    longest_stream_s,
-    place_decode,
-    place_plain,
-    place_prefill,
+    choose_decode,
+    choose_plain,
+    choose_prefill,
+    estimate_longest_stream_s,
+    estimate_output_tokens,
 )
 from cleatlink.routing.reservation import Reservation
 from cleatlink.routing.route_index import RouteIndex, choose_service
+from cleatlink.routing.service_times import ServiceTimes
 
-TRAITS = EngineTraits(slots=4, memory_tokens=1000, handle_lifetime_s=0.5, role_switch_s=6.0)
+TRAITS = EngineProperties(slots=4, memory_tokens=1000, handle_lifetime_s=0.5, role_switch_s=6.0)
 SEGMENTS = st.lists(st.sampled_from(["a", "b", "c"]), max_size=4)
 
 
@@ -55,8 +55,8 @@
     return StreamSize(prompt, output, duration_s)
 
 
-def make_seeker(now: float = 0.0, excluded: frozenset[str] = frozenset()) -> Seeker:
-    return Seeker("a", excluded, now, random.Random(1))
+def make_seeker(now: float = 0.0, excluded: frozenset[str] = frozenset()) -> PlacementContext:
+    return PlacementContext("a", excluded, now, random.Random(1))
 
 
 @given(st.lists(SEGMENTS, max_size=8), SEGMENTS, st.sampled_from(["", "x", "x/"]))
@@ -109,7 +109,9 @@
     records = FleetRecords()
     records.offer_record(EndpointRecord("old", StoreRevision(0, 3), make_endpoint("old")))
     records.offer_record(EndpointRecord("new", StoreRevision(0, 9), make_endpoint("new")))
-    assert [item.name for item in records.missing_since(set(), StoreRevision(0, 7))] == ["old"]
+    assert [item.name for item in records.removals_of_missing(set(), StoreRevision(0, 7))] == [
+        "old"
+    ]
 
 
 def test_decode_is_placed_where_memory_is_free() -> None:
@@ -118,13 +120,13 @@
     capacity.set_endpoint(make_endpoint("y"))
     capacity.reserve("1", Reservation("x", Role.DECODE, 700, 5.0))
     capacity.peer_reserve("p", "2", Reservation("y", Role.DECODE, 400, 6.0))
-    found = place_decode("s", make_size(400), TRAITS, capacity, make_seeker())
+    found = choose_decode("s", make_size(400), TRAITS, capacity, make_seeker())
     assert found is not None
     assert found.name == "y"
     capacity.peer_reserve("p", "3", Reservation("y", Role.DECODE, 400, 7.0))
-    assert place_decode("s", make_size(600), TRAITS, capacity, make_seeker()) is None
-    capacity.forget_peer("p")
-    found = place_decode("s", make_size(600), TRAITS, capacity, make_seeker())
+    assert choose_decode("s", make_size(600), TRAITS, capacity, make_seeker()) is None
+    capacity.remove_peer("p")
+    found = choose_decode("s", make_size(600), TRAITS, capacity, make_seeker())
     assert found is not None
     assert found.name == "y"
 
@@ -134,18 +136,18 @@
     capacity.set_endpoint(make_endpoint("x"))
     for number in range(4):
         capacity.reserve(str(number), Reservation("x", Role.DECODE, 1, 5.0))
-    assert place_decode("s", make_size(1), TRAITS, capacity, make_seeker()) is None
+    assert choose_decode("s", make_size(1), TRAITS, capacity, make_seeker()) is None
 
 
 def test_prefill_is_placed_at_the_shortest_queue_and_nearby_among_equals() -> None:
     capacity = Capacity()
     capacity.set_endpoint(make_endpoint("far", Role.PREFILL, "b"))
     capacity.set_endpoint(make_endpoint("near", Role.PREFILL, "a"))
-    found = place_prefill("s", capacity, make_seeker(), "a")
+    found = choose_prefill("s", capacity, make_seeker(), "a")
     assert found is not None
     assert found.name == "near"
     capacity.reserve("1", Reservation("near", Role.PREFILL, 5000, 1.0))
-    found = place_prefill("s", capacity, make_seeker(), "a")
+    found = choose_prefill("s", capacity, make_seeker(), "a")
     assert found is not None
     assert found.name == "far"
 
@@ -153,20 +155,20 @@
 def test_overdue_prompts_do_not_lengthen_the_estimated_queue_of_a_prefill() -> None:
     capacity = Capacity()
     capacity.set_endpoint(make_endpoint("p", Role.PREFILL))
-    pace = capacity.pace("s")
+    pace = capacity.service_times("s")
     for _ in range(9):
         pace.note_prompt(1000, 0.0, 0.1)
-    assert capacity.queue_s("p") == 0.0
+    assert capacity.prefill_queue_s("p") == 0.0
     now = 0.0
     for number in range(20):
         # Each prompt takes longer than expected for it and the prompts queued ahead of it.
-        expected_s = capacity.queue_s("p") + pace.prompt_s(1000)
+        expected_s = capacity.prefill_queue_s("p") + pace.prompt_s(1000)
         reservation = Reservation("p", Role.PREFILL, 1000, now + expected_s, expected_s)
         capacity.reserve(str(number), reservation)
         now += 0.2
         if number >= 3:
             capacity.release(str(number - 3))
-        assert capacity.queue_s("p") <= 0.4
+        assert capacity.prefill_queue_s("p") <= 0.4
 
 
 def test_failing_endpoint_is_avoided_longer_each_time_but_used_if_it_is_the_only_one() -> None:
@@ -174,17 +176,17 @@
     for name in ("x", "y"):
         capacity.set_endpoint(make_endpoint(name, Role.PLAIN))
     capacity.note_failure("x", 0.0)
-    assert {place_plain("s", capacity, make_seeker(0.1)) for _ in range(9)} == {
+    assert {choose_plain("s", capacity, make_seeker(0.1)) for _ in range(9)} == {
         make_endpoint("y", Role.PLAIN)
     }
     assert len(capacity.candidates("s", Role.PLAIN, 0.6)) == 2
     capacity.note_failure("x", 0.6)
     assert len(capacity.candidates("s", Role.PLAIN, 1.5)) == 1
-    capacity.note_misdirected("y")
+    capacity.note_address_mismatch("y")
     assert [item.name for item in capacity.candidates("s", Role.PLAIN, 1.5)] == ["x"]
     capacity.note_success("x", 2.0)
     capacity.remove_endpoint("x")
-    assert place_plain("s", capacity, make_seeker(9.0)) is None
+    assert choose_plain("s", capacity, make_seeker(9.0)) is None
 
 
 @given(
@@ -208,34 +210,42 @@
 
 
 def test_output_hint_limits_the_estimated_output_of_a_stream() -> None:
-    inbound = Inbound("r", b"POST", b"/", "h", (), b"", 0.0, prompt_tokens=100)
-    assert estimate_output(inbound._replace(max_output_tokens=1000), ServicePace()) == 1000
-    hinted = estimate_output(
-        inbound._replace(max_output_tokens=1000, output_hint=200), ServicePace()
+    inbound = InboundRequest("r", b"POST", b"/", "h", (), b"", 0.0, prompt_tokens=100)
+    assert estimate_output_tokens(inbound._replace(max_output_tokens=1000), ServiceTimes()) == 1000
+    hinted = estimate_output_tokens(
+        inbound._replace(max_output_tokens=1000, estimated_output_tokens=200), ServiceTimes()
     )
     assert 200 <= hinted < 300
     assert (
-        estimate_output(inbound._replace(max_output_tokens=50, output_hint=200), ServicePace())
+        estimate_output_tokens(
+            inbound._replace(max_output_tokens=50, estimated_output_tokens=200), ServiceTimes()
+        )
         == 50
     )
 
 
 def test_longest_stream_is_infinite_without_a_measured_pace_and_then_above_the_estimate() -> None:
-    pace = ServicePace()
-    inbound = Inbound("r", b"POST", b"/", "h", (), b"", 0.0, 9.0, 1000, 500, 100)
-    assert longest_stream_s(inbound, pace) == math.inf
+    pace = ServiceTimes()
+    inbound = InboundRequest("r", b"POST", b"/", "h", (), b"", 0.0, 9.0, 1000, 500, 100)
+    assert estimate_longest_stream_s(inbound, pace) == math.inf
     for _ in range(20):
-        pace.note_tokens(100, 0.2)
+        pace.note_segment(100, 0.2)
     # The prior of output lengths: two standard deviations of a half above the hint of 100.
-    assert longest_stream_s(inbound, pace) == pytest.approx(2 * pace.start_s + 200 * 0.002)
-    assert longest_stream_s(inbound, pace, 0.5) == pytest.approx(
-        1.0 + longest_stream_s(inbound, pace)
+    assert estimate_longest_stream_s(inbound, pace) == pytest.approx(
+        2 * pace.first_event_s + 200 * 0.002
+    )
+    assert estimate_longest_stream_s(inbound, pace, 0.5) == pytest.approx(
+        1.0 + estimate_longest_stream_s(inbound, pace)
     )
     # Never above the requested maximum.
     limited = inbound._replace(max_output_tokens=120)
-    assert longest_stream_s(limited, pace) == pytest.approx(2 * pace.start_s + 120 * 0.002)
-    unhinted = inbound._replace(output_hint=0)
-    assert longest_stream_s(unhinted, pace) == pytest.approx(2 * pace.start_s + 500 * 0.002)
+    assert estimate_longest_stream_s(limited, pace) == pytest.approx(
+        2 * pace.first_event_s + 120 * 0.002
+    )
+    unhinted = inbound._replace(estimated_output_tokens=0)
+    assert estimate_longest_stream_s(unhinted, pace) == pytest.approx(
+        2 * pace.first_event_s + 500 * 0.002
+    )
 
 
 def test_streams_that_end_at_different_times_share_memory() -> None:
@@ -243,15 +253,22 @@
     capacity.set_endpoint(make_endpoint("x"))
     # One has nearly ended when the other begins: 600 and 500 are never in use together.
     capacity.reserve("1", Reservation("x", Role.DECODE, 600, 1.0, 10.0, 400))
-    assert capacity.peak_memory("x", [make_size(100, 400, 10.0).reserve("x", 0.0)], 0.0) < 760
-    assert place_decode("s", make_size(100, 400, 10.0), TRAITS, capacity, make_seeker()) is not None
+    assert (
+        capacity.peak_memory("x", [make_size(100, 400, 10.0).make_reservation("x", 0.0)], 0.0) < 760
+    )
+    assert (
+        choose_decode("s", make_size(100, 400, 10.0), TRAITS, capacity, make_seeker()) is not None
+    )
     # If both begin together, they are.
     capacity.reserve("1", Reservation("x", Role.DECODE, 600, 10.0, 10.0, 400))
-    assert capacity.peak_memory("x", [make_size(100, 400, 10.0).reserve("x", 0.0)], 0.0) == 1100
-    assert place_decode("s", make_size(100, 400, 10.0), TRAITS, capacity, make_seeker()) is None
+    assert (
+        capacity.peak_memory("x", [make_size(100, 400, 10.0).make_reservation("x", 0.0)], 0.0)
+        == 1100
+    )
+    assert choose_decode("s", make_size(100, 400, 10.0), TRAITS, capacity, make_seeker()) is None
     # An overdue stream still holds its memory.
     capacity.reserve("1", Reservation("x", Role.DECODE, 950, -1.0, 10.0, 400))
-    assert place_decode("s", make_size(100, 0, 1.0), TRAITS, capacity, make_seeker()) is None
+    assert choose_decode("s", make_size(100, 0, 1.0), TRAITS, capacity, make_seeker()) is None
 
 
 STREAMS = st.lists(
@@ -279,7 +296,7 @@
     naive = max(
         sum(
             reservation.tokens
-            - reservation.grows * (reservation.ends_at - time) / reservation.duration_s
+            - reservation.growth_tokens * (reservation.ends_at - time) / reservation.duration_s
             for reservation in reservations
             if time <= reservation.ends_at
         )
@@ -299,7 +316,7 @@
         budget = budgets[index % members]
         budget.count_request(now)
         requests.append(now)
-        while budget.take(members, now):
+        while budget.try_spend(members, now):
             taken.append(now)
     for end in taken:
         taken_count = sum(end - 10.0 < at <= end for at in taken)
--- a/cleatlink/routing/shared_hints.py
+++ b/cleatlink/routing/report_quorum.py
@@ -6,13 +6,13 @@
 endpoints only to each other.
 """
 
-__all__ = ["SharedHints"]
+__all__ = ["ReportQuorum"]
 
 # Number of instances that have to agree, since a single one may be wrong.
 _MIN_REPORTERS = 2
 
 
-class SharedHints:
+class ReportQuorum:
     """Recent reports of one kind."""
 
     def __init__(self, window_s: float) -> None:
@@ -24,7 +24,7 @@
         self._window_s = window_s
         self._reports_by_endpoint: dict[str, dict[str, float]] = {}
 
-    def note(self, endpoint: str, instance: str, now: float) -> bool:
+    def add_report(self, endpoint: str, instance: str, now: float) -> bool:
         """Store a report and return whether enough instances agree on it."""
         self._remove_expired(now)
         reports = self._reports_by_endpoint.setdefault(endpoint, {})
--- a/cleatlink/routing/reservation.py
+++ b/cleatlink/routing/reservation.py
@@ -23,7 +23,7 @@
         tokens: Prompt tokens of a prefill; memory that a decode holds at its end, in tokens.
         ends_at: Time at which it is expected to end.
         duration_s: Expected duration.
-        grows: Part of the memory that is filled during the call, in tokens.
+        growth_tokens: Part of the memory that is filled during the call, in tokens.
         suspicion: Number of endpoint crashes at which its request was in progress.
     """
 
@@ -32,7 +32,7 @@
     tokens: int
     ends_at: float
     duration_s: float = 0.0
-    grows: int = 0
+    growth_tokens: int = 0
     suspicion: int = 0
 
     def expected_end(self, now: float) -> float:
@@ -43,11 +43,11 @@
 
     def memory_at(self, time: float) -> float:
         """Return the memory that it holds at a time, in tokens."""
-        return self.tokens - self._remaining_share(time) * self.grows
+        return self.tokens - self._remaining_share(time) * self.growth_tokens
 
     def uncertain_growth(self, now: float) -> float:
         """Return the part of its growth that is still an estimate, in tokens."""
-        return self.grows * max(_OVERDUE_SHARE, self._remaining_share(now))
+        return self.growth_tokens * max(_OVERDUE_SHARE, self._remaining_share(now))
 
     def _remaining_share(self, time: float) -> float:
         if not self.duration_s or time >= self.ends_at:
@@ -95,11 +95,11 @@
         self._squared_growth = sum(item.uncertain_growth(now) ** 2 for item in work)
 
     @property
-    def made_at(self) -> float:
+    def computed_at(self) -> float:
         """Time at which the profile was computed."""
         return self._made_at
 
-    def peak_with(self, added: Sequence[Reservation], now: float, spread: float) -> float:
+    def peak_with_added(self, added: Sequence[Reservation], now: float, spread: float) -> float:
         """Return the peak memory with some reservations added, in tokens.
 
         Args:
--- a/cleatlink/routing/reservation_test.py
+++ b/cleatlink/routing/reservation_test.py
@@ -31,7 +31,7 @@
     """
     profile = MemoryProfile(placed, NOW)
     expected = peak_memory([*placed, *added], NOW, spread)
-    assert profile.peak_with(added, NOW, spread) == pytest.approx(expected)
+    assert profile.peak_with_added(added, NOW, spread) == pytest.approx(expected)
 
 
 @given(st.lists(streams(), min_size=1, max_size=8), st.data())
--- a/cleatlink/routing/role_planner.py
+++ b/cleatlink/routing/role_planner.py
@@ -24,15 +24,15 @@
 
 from cleatlink.core.data import Role
 from cleatlink.core.routes import RoutedEndpoint
-from cleatlink.routing.demand import MEMORY_S, RoleDemand
+from cleatlink.routing.demand import WINDOW_S, RoleDemand
 
 __all__ = [
-    "PresenceWatch",
-    "RoleShift",
+    "EndpointLossTracker",
+    "RoleChange",
     "choose_prefills",
-    "most_changing",
+    "max_simultaneous_changes",
     "plan_role_change",
-    "plan_shifts",
+    "plan_role_changes",
 ]
 
 # Fewest streams on which a plan may be based.
@@ -50,12 +50,12 @@
 _MIN_CHEAP_PAYBACK_FACTOR = 10.0
 # Time within which a change must save more late streams than it causes, in seconds: the period
 # for which arrivals are remembered.
-_PAYBACK_S = MEMORY_S
+_PAYBACK_S = WINDOW_S
 # One endpoint of this many may change its role at a time.
 _ENDPOINTS_PER_CHANGE = 6
 
 
-class RoleShift(NamedTuple):
+class RoleChange(NamedTuple):
     """A planned change of an endpoint to another role.
 
     Attributes:
@@ -67,14 +67,14 @@
     role: Role
 
 
-class PresenceWatch:
+class EndpointLossTracker:
     """Records when an endpoint was last lost, since a lost endpoint may return soon."""
 
     def __init__(self) -> None:
         self._present: Set[str] = frozenset()
         self._last_loss_at = -math.inf
 
-    def note(self, present: Set[str], leaving: Set[str], now: float) -> None:
+    def update(self, present: Set[str], leaving: Set[str], now: float) -> None:
         """Update the set of present endpoints.
 
         Args:
@@ -86,12 +86,12 @@
             self._last_loss_at = now
         self._present = present
 
-    def settled(self, min_stable_s: float, now: float) -> bool:
+    def is_stable(self, min_stable_s: float, now: float) -> bool:
         """Check whether the last loss was at least ``min_stable_s`` seconds ago."""
         return now - self._last_loss_at >= min_stable_s
 
 
-def most_changing(count: int) -> int:
+def max_simultaneous_changes(count: int) -> int:
     """Return how many of ``count`` endpoints may change their role at a time."""
     return max(1, count // _ENDPOINTS_PER_CHANGE)
 
@@ -156,9 +156,9 @@
     target_roles: Mapping[str, Role] = MappingProxyType({}),
     *,
     change_s: float = 0.0,
-    settled: bool = True,
+    is_stable: bool = True,
     speeds: Mapping[str, float] = MappingProxyType({}),
-) -> RoleShift | None:
+) -> RoleChange | None:
     """Return the role change to make now; None if no change is justified.
 
     Args:
@@ -170,12 +170,12 @@
         target_roles: New roles of the endpoints that are changing already, by endpoint name; these
             endpoints count in their new roles and are not changed again.
         change_s: Seconds that a change takes after an endpoint has finished its work.
-        settled: Whether no endpoint was lost recently, since a lost endpoint may return soon;
+        is_stable: Whether no endpoint was lost recently, since a lost endpoint may return soon;
             a service without any decode does not wait for this.
         speeds: Speeds of endpoints relative to the usual speed of the service, where known.
     """
     endpoints = [*prefills, *decodes]
-    if decodes and not settled:
+    if decodes and not is_stable:
         return None
     changes = {
         role: _candidate_change(
@@ -217,7 +217,7 @@
     remaining_work_s: Mapping[str, float],
     target_roles: Mapping[str, Role],
     speeds: Mapping[str, float],
-) -> RoleShift | None:
+) -> RoleChange | None:
     """Return the best change to a role; None if no endpoint can take it."""
     eligible = [
         endpoint
@@ -227,21 +227,21 @@
     if not eligible:
         return None
     decode_counts = Counter(endpoint.data_centre for endpoint in decodes)
-    return RoleShift(_best_endpoint(eligible, role, decode_counts, remaining_work_s, speeds), role)
+    return RoleChange(_best_endpoint(eligible, role, decode_counts, remaining_work_s, speeds), role)
 
 
-def plan_shifts(
+def plan_role_changes(
     prefills: Sequence[RoutedEndpoint],
     decodes: Sequence[RoutedEndpoint],
     demand: RoleDemand | None,
     remaining_work_s: Mapping[str, float],
     target_roles: Mapping[str, Role] = MappingProxyType({}),
     *,
-    most: int,
+    max_changes: int,
     change_s: float = 0.0,
-    settled: bool = True,
+    is_stable: bool = True,
     speeds: Mapping[str, float] = MappingProxyType({}),
-) -> list[RoleShift]:
+) -> list[RoleChange]:
     """Return the role changes to make now, all to the same role.
 
     Each change must be justified by itself, given that the changes before it are made. Changes
@@ -254,14 +254,14 @@
         demand: Demand on the service; None while its paces are unknown.
         remaining_work_s: Seconds until an endpoint has finished its current work, by endpoint name.
         target_roles: New roles of the endpoints that are changing already, by endpoint name.
-        most: Maximum number of changes that may begin now.
+        max_changes: Maximum number of changes that may begin now.
         change_s: Seconds that a change takes after an endpoint has finished its work.
-        settled: Whether no endpoint was lost recently, since a lost endpoint may return soon.
+        is_stable: Whether no endpoint was lost recently, since a lost endpoint may return soon.
         speeds: Speeds of endpoints relative to the usual speed of the service, where known.
     """
-    changes: list[RoleShift] = []
+    changes: list[RoleChange] = []
     planned_targets = dict(target_roles)
-    while len(changes) < most:
+    while len(changes) < max_changes:
         change = plan_role_change(
             prefills,
             decodes,
@@ -269,7 +269,7 @@
             remaining_work_s,
             planned_targets,
             change_s=change_s,
-            settled=settled,
+            is_stable=is_stable,
             speeds=speeds,
         )
         if change is None or (changes and change.role is not changes[0].role):
@@ -281,11 +281,11 @@
 
 def _choose_change(
     roles: _RoleSpeeds,
-    changes: Mapping[Role, RoleShift | None],
+    changes: Mapping[Role, RoleChange | None],
     demand: RoleDemand | None,
     change_s: float,
     speeds: Mapping[str, float],
-) -> RoleShift | None:
+) -> RoleChange | None:
     """Return the best of the candidate changes; None if none is justified."""
     if len(roles.prefills) + len(roles.decodes) < 2:
         return changes[Role.DECODE] if roles.prefills else None
@@ -293,10 +293,10 @@
         return changes[Role.DECODE]
     if not roles.prefills:
         return changes[Role.PREFILL]
-    if demand is None or demand.requests < _MIN_REQUESTS or demand.seconds < _MIN_SECONDS:
+    if demand is None or demand.requests < _MIN_REQUESTS or demand.window_s < _MIN_SECONDS:
         return None
     lowest_late = roles.late_share(demand)
-    best: RoleShift | None = None
+    best: RoleChange | None = None
     for role, change in changes.items():
         # A role may need another endpoint even if no endpoint can take it now: then the best
         # choice is to make no change, rather than to change to the other role.
@@ -314,7 +314,7 @@
 
 def _pays_back(
     roles: _RoleSpeeds,
-    change: RoleShift,
+    change: RoleChange,
     demand: RoleDemand,
     change_s: float,
     speeds: Mapping[str, float],
--- a/cleatlink/routing/role_planner_test.py
+++ b/cleatlink/routing/role_planner_test.py
@@ -5,29 +5,29 @@
 from hypothesis import strategies as st
 
 from cleatlink.core.data import Role
-from cleatlink.core.routes import EngineTraits, RoutedEndpoint
+from cleatlink.core.routes import EngineProperties, RoutedEndpoint
 from cleatlink.routing.capacity import Capacity
 from cleatlink.routing.demand import (
-    MEMORY_S,
-    STEPS_A_SECOND,
+    STEPS_PER_SECOND,
+    WINDOW_S,
     DemandMeter,
+    LatencyTargets,
     RoleDemand,
-    StreamPromise,
 )
-from cleatlink.routing.queueing import in_time_share
+from cleatlink.routing.queueing_model import estimate_in_time_share
 from cleatlink.routing.reservation import Reservation
 from cleatlink.routing.role_planner import (
-    PresenceWatch,
-    RoleShift,
+    EndpointLossTracker,
+    RoleChange,
     choose_prefills,
-    most_changing,
+    max_simultaneous_changes,
     plan_role_change,
-    plan_shifts,
+    plan_role_changes,
 )
 from tools.kinds.catalogue import KINDS, Kind
 
 CHANGE_S = 6.0
-PROMISE = StreamPromise(0.9, 0.3)
+PROMISE = LatencyTargets(0.9, 0.3)
 
 
 def endpoints(role: Role, count: int) -> list[RoutedEndpoint]:
@@ -40,14 +40,14 @@
 def make_demand(prefill: float, decode: float, rate: float = 5.0, seconds: int = 30) -> RoleDemand:
     """Return demand that keeps ``prefill`` prefills and all slots of ``decode`` decodes busy."""
     slots = 10.0
-    rates = (rate,) * (seconds * STEPS_A_SECOND)
+    rates = (rate,) * (seconds * STEPS_PER_SECOND)
     requests = int(rate * seconds)
     return RoleDemand(
         rates, rates, prefill / rate, decode * slots / rate, slots, 0.5, True, requests
     )
 
 
-def plan(prefills: int, decodes: int, demand: RoleDemand | None) -> RoleShift | None:
+def plan(prefills: int, decodes: int, demand: RoleDemand | None) -> RoleChange | None:
     return plan_role_change(
         endpoints(Role.PREFILL, prefills),
         endpoints(Role.DECODE, decodes),
@@ -83,24 +83,24 @@
 def test_no_change_is_planned_while_a_lost_endpoint_may_return() -> None:
     long_answers = make_demand(0.1, 9.0)
     prefills, decodes = endpoints(Role.PREFILL, 2), endpoints(Role.DECODE, 2)
-    assert plan_role_change(prefills, decodes, long_answers, {}, settled=False) is None
-    assert plan_role_change([], decodes, long_answers, {}, settled=False) is None
+    assert plan_role_change(prefills, decodes, long_answers, {}, is_stable=False) is None
+    assert plan_role_change([], decodes, long_answers, {}, is_stable=False) is None
     # Without any decode the service serves no streams, so the change does not wait.
-    assert plan_role_change(prefills, [], long_answers, {}, settled=False) is not None
+    assert plan_role_change(prefills, [], long_answers, {}, is_stable=False) is not None
 
 
 def test_planning_waits_after_a_loss_but_not_after_an_announced_shutdown() -> None:
-    watch = PresenceWatch()
-    watch.note({"a", "b", "c"}, set(), 0.0)
-    assert watch.settled(6.0, 0.0)
-    watch.note({"a", "b"}, {"c"}, 1.0)
-    assert watch.settled(6.0, 1.0)
-    watch.note({"a"}, {"c"}, 2.0)
-    watch.note({"a"}, {"c"}, 7.9)
-    assert not watch.settled(6.0, 7.9)
-    assert watch.settled(6.0, 8.0)
-    watch.note({"a", "b"}, {"c"}, 9.0)
-    assert watch.settled(6.0, 9.0)
+    watch = EndpointLossTracker()
+    watch.update({"a", "b", "c"}, set(), 0.0)
+    assert watch.is_stable(6.0, 0.0)
+    watch.update({"a", "b"}, {"c"}, 1.0)
+    assert watch.is_stable(6.0, 1.0)
+    watch.update({"a"}, {"c"}, 2.0)
+    watch.update({"a"}, {"c"}, 7.9)
+    assert not watch.is_stable(6.0, 7.9)
+    assert watch.is_stable(6.0, 8.0)
+    watch.update({"a", "b"}, {"c"}, 9.0)
+    assert watch.is_stable(6.0, 9.0)
 
 
 def test_each_data_centre_keeps_a_decode() -> None:
@@ -178,8 +178,8 @@
     calm = make_demand(0.45, 0.5)
     assert plan(1, 4, calm) is None
     # Five times the prompts in a third of the time: on average, work for about one prefill.
-    rates = (4.0,) * (20 * STEPS_A_SECOND) + (25.0,) * (10 * STEPS_A_SECOND)
-    bursts = calm._replace(rates=rates, place_rates=(5.0,) * (30 * STEPS_A_SECOND))
+    rates = (4.0,) * (20 * STEPS_PER_SECOND) + (25.0,) * (10 * STEPS_PER_SECOND)
+    bursts = calm._replace(rates=rates, slot_rates=(5.0,) * (30 * STEPS_PER_SECOND))
     change = plan(1, 4, bursts)
     assert change is not None
     assert change.role is Role.PREFILL
@@ -243,22 +243,22 @@
             before = after
 
 
-def measured(kind: Kind, rate: float, seconds: int) -> tuple[Capacity, EngineTraits]:
+def measured(kind: Kind, rate: float, seconds: int) -> tuple[Capacity, EngineProperties]:
     """Return the measurements of a kind of engine after some seconds of streams."""
-    traits = EngineTraits(kind.slots or 64, kind.memory_tokens or 40_000, 0.5, CHANGE_S)
+    traits = EngineProperties(kind.slots or 64, kind.memory_tokens or 40_000, 0.5, CHANGE_S)
     capacity = Capacity()
     prompt, output = int(kind.prompt or 3000), 9 * int(kind.output or 71)
     step_s = (kind.step_ms or 5.0) / 1000
     prompt_s = prompt / (kind.prompt_tokens_ms or 33.0) / 1000
     for number, role in enumerate([Role.PREFILL] * 2 + [Role.DECODE] * 3):
         capacity.set_endpoint(RoutedEndpoint(f"e{number}", "127.0.0.1:1", "a", "s", role, 64))
-    pace = capacity.pace("s")
+    pace = capacity.service_times("s")
     for count in range(int(rate * seconds)):
         now = count / rate
         pace.note_prompt(prompt, 0.0, prompt_s)
-        pace.note_tokens(output, output * step_s)
+        pace.note_segment(output, output * step_s)
         work = Reservation("e4", Role.DECODE, prompt + output, now + 1.0, 1.0, output)
-        capacity.note_demand(work, now)
+        capacity.count_demand(work, now)
     return capacity, traits
 
 
@@ -271,8 +271,8 @@
     prompt, output = int(kind.prompt or 3000), 9 * int(kind.output or 71)
     assert demand.prompt_s == pytest.approx(prompt / (kind.prompt_tokens_ms or 33.0) / 1000)
     assert demand.stream_s > output * (kind.step_ms or 5.0) / 1000
-    assert demand.places <= traits.slots
-    assert demand.places * (prompt + output / 2) <= traits.memory_tokens * 1.01
+    assert demand.slots_per_decode <= traits.slots
+    assert demand.slots_per_decode * (prompt + output / 2) <= traits.memory_tokens * 1.01
 
 
 @pytest.mark.parametrize("kind", KINDS, ids=lambda kind: kind.name)
@@ -301,13 +301,13 @@
     meter = DemandMeter()
     for second in range(40):
         for _ in range(2):
-            meter.note(3000, 400, float(second))
-    assert meter.requests == 2 * (MEMORY_S + 1)
-    assert (meter.mean_prompt, meter.mean_output) == (3000, 400)
+            meter.count_stream(3000, 400, float(second))
+    assert meter.requests == 2 * (WINDOW_S + 1)
+    assert (meter.mean_prompt_tokens, meter.mean_output_tokens) == (3000, 400)
     rates = meter.rates(40.0)
     assert rates[-1] == 2.0
-    assert len(rates) == MEMORY_S * STEPS_A_SECOND
-    assert meter.rates(40.0 + 2 * MEMORY_S) == ()
+    assert len(rates) == WINDOW_S * STEPS_PER_SECOND
+    assert meter.rates(40.0 + 2 * WINDOW_S) == ()
     assert meter.requests == 0
 
 
@@ -315,7 +315,7 @@
     meter = DemandMeter()
     for second in range(20):
         for _ in range(10 if second in (17, 18, 19) else 2):
-            meter.note(3000, 400, second + 0.5)
+            meter.count_stream(3000, 400, second + 0.5)
     assert max(meter.rates(20.0)) == 10.0
     assert max(meter.rates(20.0, 10.0)) == pytest.approx((7 * 2 + 3 * 10) / 10)
 
@@ -334,7 +334,7 @@
     for step in range(20):
         meter, start = DemandMeter(), 100.0 + step / 20
         for at in arrivals:
-            meter.note(5300, 4400, start + at)
+            meter.count_stream(5300, 4400, start + at)
         rates, place_rates = meter.rates(start + 10.1), meter.rates(start + 10.1, 3.5)
         demand = RoleDemand(rates, place_rates, 0.1, 3.5, 11.9, 0.79, True, meter.requests)
         estimates.append(demand.late_share(2, 3))
@@ -342,7 +342,9 @@
 
 
 def test_in_time_share_decreases_with_load_to_the_service_capacity() -> None:
-    shares = [in_time_share(rate, 0.1, 1, 0.5) for rate in (0.0, 3.0, 6.0, 9.0, 12.0, 24.0, 99.0)]
+    shares = [
+        estimate_in_time_share(rate, 0.1, 1, 0.5) for rate in (0.0, 3.0, 6.0, 9.0, 12.0, 24.0, 99.0)
+    ]
     assert shares[0] == 1.0
     assert shares == sorted(shares, reverse=True)
     # One server with five waiting places: the M/M/1/K formula, and the limit at overload.
@@ -350,9 +352,9 @@
     assert shares[2] == pytest.approx(1 - load**6 * (1 - load) / (1 - load**7))
     assert shares[-1] == pytest.approx(10 / 99, rel=0.01)
     # No waiting place: Erlang's loss formula for two servers.
-    assert in_time_share(2.0, 1.0, 2, 0.0) == pytest.approx(1 - 2 / 5)
-    assert in_time_share(1.0, 0.1, 0, 1.0) == 0.0
-    assert in_time_share(1.0, 0.1, 1, -0.1) == 0.0
+    assert estimate_in_time_share(2.0, 1.0, 2, 0.0) == pytest.approx(1 - 2 / 5)
+    assert estimate_in_time_share(1.0, 0.1, 0, 1.0) == 0.0
+    assert estimate_in_time_share(1.0, 0.1, 1, -0.1) == 0.0
 
 
 def test_changing_endpoints_count_in_their_new_roles() -> None:
@@ -379,14 +381,16 @@
     """
     demand = make_demand(4.6, 33.0, rate=35.0)
     prefills, decodes = endpoints(Role.PREFILL, 16), endpoints(Role.DECODE, 29)
-    changes = plan_shifts(prefills, decodes, demand, {}, most=7, change_s=CHANGE_S)
+    changes = plan_role_changes(prefills, decodes, demand, {}, max_changes=7, change_s=CHANGE_S)
     assert len(changes) == 7
     assert {change.role for change in changes} == {Role.DECODE}
     assert len({change.endpoint.name for change in changes}) == 7
-    assert plan_shifts(prefills, decodes, demand, {}, most=0, change_s=CHANGE_S) == []
+    assert plan_role_changes(prefills, decodes, demand, {}, max_changes=0, change_s=CHANGE_S) == []
     # Changing endpoints already count as decodes: enough prefills remain for the prompts.
     targets = {f"prefill{number}": Role.DECODE for number in range(7)}
-    more = plan_shifts(prefills, decodes, demand, {}, targets, most=7, change_s=CHANGE_S)
+    more = plan_role_changes(
+        prefills, decodes, demand, {}, targets, max_changes=7, change_s=CHANGE_S
+    )
     assert 16 - len(targets) - len(more) >= 5
     assert targets.keys().isdisjoint(change.endpoint.name for change in more)
 
@@ -403,7 +407,9 @@
 ) -> None:
     on_prefill, on_decode = endpoints(Role.PREFILL, prefills), endpoints(Role.DECODE, decodes)
     demand = make_demand(prompts, answers, seconds=4)
-    changes = plan_shifts(on_prefill, on_decode, demand, {}, most=most, change_s=CHANGE_S)
+    changes = plan_role_changes(
+        on_prefill, on_decode, demand, {}, max_changes=most, change_s=CHANGE_S
+    )
     targets: dict[str, Role] = {}
     for change in changes:
         assert (
@@ -416,7 +422,14 @@
 
 
 def test_number_of_simultaneous_changes_grows_with_the_fleet() -> None:
-    assert [most_changing(count) for count in (2, 5, 11, 12, 22, 100)] == [1, 1, 1, 2, 3, 16]
+    assert [max_simultaneous_changes(count) for count in (2, 5, 11, 12, 22, 100)] == [
+        1,
+        1,
+        1,
+        2,
+        3,
+        16,
+    ]
 
 
 def test_plan_considers_the_speeds_of_engines() -> None:
@@ -464,8 +477,11 @@
     demand = make_demand(prompts, answers, seconds=4)
     prefills, decodes = endpoints(Role.PREFILL, prefill_count), endpoints(Role.DECODE, decode_count)
     speeds = {endpoint.name: 1.0 for endpoint in (*prefills, *decodes)}
-    without_speeds = plan_shifts(prefills, decodes, demand, {}, most=most)
-    assert plan_shifts(prefills, decodes, demand, {}, most=most, speeds=speeds) == without_speeds
+    without_speeds = plan_role_changes(prefills, decodes, demand, {}, max_changes=most)
+    assert (
+        plan_role_changes(prefills, decodes, demand, {}, max_changes=most, speeds=speeds)
+        == without_speeds
+    )
     if without_speeds and prefill_count and decode_count:
         change = 1 if without_speeds[0].role is Role.PREFILL else -1
         assert (
--- a/cleatlink/routing/pace.py
+++ b/cleatlink/routing/service_times.py
@@ -10,14 +10,14 @@
 from collections import deque
 from typing import NamedTuple
 
-from cleatlink.routing.estimates import LEARN_SHARE, SETTLED, Estimate, PromptTime
-from cleatlink.routing.mechanisms import Mechanism, Switches
+from cleatlink.routing.estimates import LEARN_SHARE, MIN_MEASUREMENTS, Estimate, PromptTime
+from cleatlink.routing.mechanisms import Mechanism, MechanismSwitches
 
-__all__ = ["DIRECT_FACTOR", "PaceSummary", "ServicePace"]
+__all__ = ["DECODE_PROMPT_FACTOR", "ServiceTimeSummary", "ServiceTimes"]
 
 # Time that a decode endpoint takes for a prompt, relative to a prefill endpoint: about double,
 # because it computes the prompt between tokens of other streams.
-DIRECT_FACTOR = 2.2
+DECODE_PROMPT_FACTOR = 2.2
 
 # Priors until a route or a measurement replaces them: the middle of the usual range of engines
 # (0.2 to 20 ms per output token, 5 to 60 prompt tokens per millisecond).
@@ -55,14 +55,14 @@
 _MIN_LENGTH_SPREAD = 0.02
 
 
-class PaceSummary(NamedTuple):
+class ServiceTimeSummary(NamedTuple):
     """Measured service times, sent to instances that have no measurements of their own yet.
 
     Attributes:
         token_s: Seconds between two tokens of the output.
         prompt_base_s: Seconds that every prompt takes, whatever its length.
         prompt_token_s: Additional seconds for each token of a prompt.
-        start_s: Seconds from the hand-over to a decode endpoint until its first event.
+        first_event_s: Seconds from the hand-over to a decode endpoint until its first event.
         length_ratio: Output length as a share of the caller's estimate.
         length_variance: Mean squared relative deviation from that share.
     """
@@ -70,17 +70,17 @@
     token_s: float
     prompt_base_s: float
     prompt_token_s: float
-    start_s: float
+    first_event_s: float
     length_ratio: float
     length_variance: float
 
 
-class ServicePace:
+class ServiceTimes:
     """Service times of the endpoints of one service, as this instance estimates them."""
 
-    def __init__(self, switches: Switches | None = None) -> None:
-        self._switches = switches or Switches()
-        learning_rate = LEARN_SHARE if self._switches.uses(Mechanism.LEARNED_PACE) else 0.0
+    def __init__(self, switches: MechanismSwitches | None = None) -> None:
+        self._switches = switches or MechanismSwitches()
+        learning_rate = LEARN_SHARE if self._switches.is_enabled(Mechanism.LEARNED_PACE) else 0.0
         self._token_s = Estimate(_PRIOR_TOKEN_S, learning_rate)
         self._prompt_s = PromptTime(_PRIOR_PROMPT_TOKEN_S, learning_rate)
         self._first_event_s = Estimate(_PRIOR_START_S, learning_rate)
@@ -99,7 +99,7 @@
 
     @property
     def _is_measured(self) -> bool:
-        return min(self._token_s.count, self._prompt_s.count) >= SETTLED
+        return min(self._token_s.count, self._prompt_s.count) >= MIN_MEASUREMENTS
 
     @property
     def token_s(self) -> float:
@@ -119,7 +119,7 @@
         return max(_SLOW_FACTOR * self._token_s.value, *segments_s, 0.0)
 
     @property
-    def start_s(self) -> float:
+    def first_event_s(self) -> float:
         """Seconds from the hand-over to a decode endpoint until its first event."""
         return self._first_event_s.value
 
@@ -131,16 +131,16 @@
     @property
     def length_spread(self) -> float:
         """Standard deviation of the output length, as a share of the expected length."""
-        if not self._switches.uses(Mechanism.SPREAD_ROOM):
+        if not self._switches.is_enabled(Mechanism.SPREAD_ROOM):
             return 0.0
         return math.sqrt(self._length_variance.value)
 
     @property
-    def plain_s(self) -> float:
+    def plain_call_s(self) -> float:
         """Mean duration of recent plain calls in seconds; 0 before the first call."""
         return self._plain_call_s.value
 
-    def summary(self, now: float) -> tuple[PaceSummary, float] | None:
+    def summary(self, now: float) -> tuple[ServiceTimeSummary, float] | None:
         """Return the summary for peers and its age in seconds.
 
         None if there are no measurements, or only old ones.
@@ -149,7 +149,7 @@
         if age_s > _SUMMARY_MAX_AGE_S:
             return None
         base_s, token_s = self._prompt_s.line
-        summary = PaceSummary(
+        summary = ServiceTimeSummary(
             self._token_s.value,
             base_s,
             token_s,
@@ -159,7 +159,7 @@
         )
         return summary, age_s
 
-    def adopt(self, summary: PaceSummary, age_s: float, now: float) -> None:
+    def adopt_peer_summary(self, summary: ServiceTimeSummary, age_s: float, now: float) -> None:
         """Adopt a peer's summary unless this instance has enough measurements of its own.
 
         Args:
@@ -171,13 +171,13 @@
         if self._is_measured or measured_at <= self._peer_measured_at:
             return
         self._peer_measured_at = measured_at
-        self._token_s.adopt(summary.token_s)
-        self._prompt_s.adopt(summary.prompt_base_s, summary.prompt_token_s)
-        self._first_event_s.adopt(summary.start_s)
-        self._length_ratio.adopt(summary.length_ratio)
-        self._length_variance.adopt(summary.length_variance)
+        self._token_s.adopt_peer_value(summary.token_s)
+        self._prompt_s.adopt_peer_line(summary.prompt_base_s, summary.prompt_token_s)
+        self._first_event_s.adopt_peer_value(summary.first_event_s)
+        self._length_ratio.adopt_peer_value(summary.length_ratio)
+        self._length_variance.adopt_peer_value(summary.length_variance)
 
-    def expect(self, target_s: float, event_gap_s: float, event_tokens: int) -> None:
+    def set_priors(self, target_s: float, event_gap_s: float, event_tokens: int) -> None:
         """Derive priors from a route's targets; measurements take precedence.
 
         Args:
@@ -186,15 +186,15 @@
             event_tokens: Tokens per event.
         """
         if math.isfinite(event_gap_s):
-            self._token_s.expect(_PRIOR_EVENT_GAP_SHARE * event_gap_s / max(1, event_tokens))
+            self._token_s.set_prior(_PRIOR_EVENT_GAP_SHARE * event_gap_s / max(1, event_tokens))
         if math.isfinite(target_s):
-            self._first_event_s.expect(_PRIOR_START_SHARE * target_s)
+            self._first_event_s.set_prior(_PRIOR_START_SHARE * target_s)
 
-    def stream_s(self, output_tokens: int) -> float:
+    def stream_duration_s(self, output_tokens: int) -> float:
         """Estimate how long a stream occupies a decode slot."""
-        return self.start_s + self.token_s * output_tokens
+        return self.first_event_s + self.token_s * output_tokens
 
-    def bearable_s(self, limit_s: float, prompt_s: float) -> float:
+    def achievable_limit_s(self, limit_s: float, prompt_s: float) -> float:
         """Return the time limit for the start of a stream, extended if the engines are too slow.
 
         Where even idle engines exceed a limit, refusing the stream would not help.
@@ -203,25 +203,25 @@
             limit_s: Time within which the stream should begin.
             prompt_s: Seconds that a prefill endpoint takes for its prompt.
         """
-        return max(limit_s, _IDLE_LATENCY_FACTOR * (prompt_s + self.start_s))
+        return max(limit_s, _IDLE_LATENCY_FACTOR * (prompt_s + self.first_event_s))
 
-    def direct_pause_s(self, prompt_s: float, event_tokens: int) -> float:
+    def prompt_event_gap_s(self, prompt_s: float, event_tokens: int) -> float:
         """Estimate the event gap of a decode endpoint's streams while it computes a prompt.
 
         Args:
             prompt_s: Seconds that a prefill endpoint takes for the prompt.
             event_tokens: Tokens per event of a stream.
         """
-        return DIRECT_FACTOR * prompt_s + event_tokens * self.token_s
+        return DECODE_PROMPT_FACTOR * prompt_s + event_tokens * self.token_s
 
     def prompt_s(self, tokens: int) -> float:
         """Estimate how long a prefill endpoint takes for a prompt."""
         return self._prompt_s.estimate(tokens)
 
-    def note_tokens(self, tokens: int, seconds: float) -> None:
+    def note_segment(self, tokens: int, seconds: float) -> None:
         """Record a stream segment."""
         if tokens > 0:
-            self._token_s.note(seconds / tokens)
+            self._token_s.note_measurement(seconds / tokens)
             self.note_short_segment(tokens, seconds)
 
     def note_short_segment(self, tokens: int, seconds: float) -> None:
@@ -229,11 +229,11 @@
         if tokens > 0:
             self._segments_s.append(seconds / tokens)
 
-    def note_start(self, seconds: float) -> None:
+    def note_first_event(self, seconds: float) -> None:
         """Record the time to the first event of a stream whose prompt was computed elsewhere."""
-        self._first_event_s.note(seconds)
+        self._first_event_s.note_measurement(seconds)
 
-    def note_length(self, estimated: int, tokens: int) -> None:
+    def note_output_length(self, estimated: int, tokens: int) -> None:
         """Record the output length of a complete stream.
 
         Args:
@@ -243,10 +243,10 @@
         if estimated <= 0 or tokens < _MIN_LENGTH_RATIO * estimated:
             return
         ratio = tokens / estimated
-        self._length_variance.note(
+        self._length_variance.note_measurement(
             max(_MIN_LENGTH_SPREAD, abs(ratio / self._length_ratio.value - 1)) ** 2
         )
-        self._length_ratio.note(ratio)
+        self._length_ratio.note_measurement(ratio)
 
     def note_prompt(self, tokens: int, queue_s: float, seconds: float) -> None:
         """Record the duration of a prefill.
@@ -260,12 +260,12 @@
             queue_s: Expected duration of the queue ahead of it, in seconds.
             seconds: Seconds that the queue and the prompt took.
         """
-        if self._prompt_s.count < SETTLED:
+        if self._prompt_s.count < MIN_MEASUREMENTS:
             alone_s = self.prompt_s(tokens)
-            self._prompt_s.note(tokens, seconds * alone_s / (queue_s + alone_s))
+            self._prompt_s.note_measurement(tokens, seconds * alone_s / (queue_s + alone_s))
         elif not queue_s:
-            self._prompt_s.note(tokens, seconds)
+            self._prompt_s.note_measurement(tokens, seconds)
 
-    def note_plain(self, seconds: float) -> None:
+    def note_plain_call(self, seconds: float) -> None:
         """Record the duration of a plain call that was answered or abandoned."""
-        self._plain_call_s.note(seconds)
+        self._plain_call_s.note_measurement(seconds)
--- a/cleatlink/routing/shared_waiting.py
+++ b/cleatlink/routing/shared_wait_queues.py
@@ -18,23 +18,23 @@
 from collections.abc import Callable, Sequence
 from typing import NamedTuple
 
-from cleatlink.routing.fleet_sizes import FEW_PEERS
+from cleatlink.routing.fleet_sizes import MAX_DIRECT_PEERS
 
 __all__ = [
-    "HEAD_START_S",
-    "NOBODY_AHEAD",
-    "Ahead",
-    "Claim",
-    "LeftRoom",
-    "SharedWaiting",
+    "HEAD_START_PER_POINT_S",
+    "NONE_AHEAD",
+    "QueuedAhead",
+    "QueuedStream",
+    "YieldLimit",
+    "SharedWaitQueues",
     "WaitingGroup",
-    "WaitingReport",
-    "due_at",
-    "rank",
+    "WaitQueueReport",
+    "compute_effective_arrival",
+    "urgency_of",
 ]
 
 # Head start for each point of urgency, in seconds.
-HEAD_START_S = 0.1
+HEAD_START_PER_POINT_S = 0.1
 # Points of urgency for each priority level. Urgent streams that wait for less than this head
 # start can still be in time, and other streams wait at most about twice as long.
 _POINTS_PER_PRIORITY = 20
@@ -67,7 +67,7 @@
         streams: Number of waiting streams.
         tokens: Total memory that they hold when they end, in tokens.
         oldest_s: Seconds since the oldest of them arrived.
-        spare_s: Longest time that any of them can still wait and be in time, in seconds.
+        slack_s: Longest time that any of them can still wait and be in time, in seconds.
     """
 
     service: str
@@ -76,10 +76,10 @@
     streams: int
     tokens: int
     oldest_s: float
-    spare_s: float = math.inf
+    slack_s: float = math.inf
 
 
-class WaitingReport(NamedTuple):
+class WaitQueueReport(NamedTuple):
     """The wait queue of one instance.
 
     Attributes:
@@ -97,7 +97,7 @@
     groups: tuple[WaitingGroup, ...]
 
 
-class Claim(NamedTuple):
+class QueuedStream(NamedTuple):
     """A stream that asks for capacity now.
 
     Attributes:
@@ -111,7 +111,7 @@
     is_late: bool
 
 
-class Ahead(NamedTuple):
+class QueuedAhead(NamedTuple):
     """The streams that are queued ahead of a stream.
 
     Attributes:
@@ -131,10 +131,10 @@
         return self.streams <= capacity
 
 
-NOBODY_AHEAD = Ahead(0, 0)
+NONE_AHEAD = QueuedAhead(0, 0)
 
 
-class LeftRoom:
+class YieldLimit:
     """Limits how long one stream leaves free capacity to others that do not take it."""
 
     def __init__(self) -> None:
@@ -143,11 +143,11 @@
         self._yield_count = 0
 
     @property
-    def openings(self) -> int:
+    def yield_count(self) -> int:
         """The number of times that the stream left free capacity to others."""
         return self._yield_count
 
-    def may_take(self, ahead: Ahead, capacity: int, now: float) -> bool:
+    def may_take(self, ahead: QueuedAhead, capacity: int, now: float) -> bool:
         """Check whether the stream may take the capacity that is free now.
 
         Args:
@@ -164,7 +164,7 @@
         self._last_seen_at = now
         return now - self._yielding_since >= _MAX_YIELD_S
 
-    def note_none(self) -> None:
+    def note_no_capacity(self) -> None:
         """Note that no capacity is free: other streams took it."""
         self._yielding_since = None
 
@@ -172,11 +172,11 @@
 class _ReceivedReport(NamedTuple):
     """A report and the time at which it was received."""
 
-    report: WaitingReport
+    report: WaitQueueReport
     received_at: float
 
 
-def rank(priority: int, route_priority: int = 0) -> int:
+def urgency_of(priority: int, route_priority: int = 0) -> int:
     """Return the urgency of a stream in a fleet of many instances; larger values go first.
 
     Args:
@@ -189,7 +189,9 @@
     return -(_POINTS_PER_PRIORITY * priority + route_points)
 
 
-def due_at(arrived_at: float, urgency: int, head_start_s: float = HEAD_START_S) -> float:
+def compute_effective_arrival(
+    arrived_at: float, urgency: int, head_start_s: float = HEAD_START_PER_POINT_S
+) -> float:
     """Return the arrival time less the head start; streams with smaller values go first.
 
     Args:
@@ -200,7 +202,7 @@
     return arrived_at - urgency * head_start_s
 
 
-class SharedWaiting:
+class SharedWaitQueues:
     """The wait queues of other instances; methods take the current time as an argument."""
 
     def __init__(self, *, is_on: bool = True) -> None:
@@ -218,49 +220,49 @@
     @property
     def is_large_group(self) -> bool:
         """Whether there are so many instances that few have two or more waiting streams."""
-        return self._peer_count > FEW_PEERS
+        return self._peer_count > MAX_DIRECT_PEERS
 
     @property
     def is_in_use(self) -> bool:
         """Whether instances report their wait queues to each other."""
         return self._is_on and self.is_large_group
 
-    def note_peers(self, peer_count: int) -> None:
+    def set_peer_count(self, peer_count: int) -> None:
         """Set the number of other instances."""
         self._peer_count = peer_count
 
-    def listen(self, on_change: Callable[[], None]) -> None:
+    def set_change_listener(self, on_change: Callable[[], None]) -> None:
         """Register the function to call when the local wait queue has changed."""
         self._on_change = on_change
 
-    def attach(self, local_source: Callable[[], Sequence[WaitingGroup]]) -> None:
+    def set_local_source(self, local_source: Callable[[], Sequence[WaitingGroup]]) -> None:
         """Set the function that returns the groups in the local wait queue."""
         self._local_source = local_source
 
-    def note_changed(self) -> None:
+    def notify_change(self) -> None:
         """Note that the local wait queue has changed."""
         if self.is_in_use:
             self._on_change()
 
-    def own(self) -> Sequence[WaitingGroup]:
+    def local_groups(self) -> Sequence[WaitingGroup]:
         """Return the groups in the local wait queue."""
         return self._local_source()
 
-    def note(self, report: WaitingReport, now: float) -> None:
+    def add_report(self, report: WaitQueueReport, now: float) -> None:
         """Store an instance's report; ignore one that is not newer than the known one."""
         known = self._received.get(report.name)
         if known is not None and _report_order(report) <= _report_order(known.report):
             return
         self._received[report.name] = _ReceivedReport(report, now)
 
-    def forget(self, name: str) -> None:
+    def remove_report(self, name: str) -> None:
         """Delete the report of an instance."""
         self._received.pop(name, None)
 
-    def ahead(self, claim: Claim, now: float) -> Ahead:
+    def queued_ahead(self, claim: QueuedStream, now: float) -> QueuedAhead:
         """Return the streams at other instances that are queued ahead of a stream."""
         if not self._is_on:
-            return NOBODY_AHEAD
+            return NONE_AHEAD
         count = tokens = 0.0
         for received in self._received.values():
             weight = _report_weight(now - received.received_at)
@@ -274,7 +276,7 @@
                 tokens += share * group.tokens
         # A weighted count of up to half a stream counts as none.
         stream_count = round(count)
-        return Ahead(stream_count, int(tokens / count)) if stream_count else NOBODY_AHEAD
+        return QueuedAhead(stream_count, int(tokens / count)) if stream_count else NONE_AHEAD
 
     def draw_urgency(self, service: str, urgency: int, rng: random.Random, now: float) -> int:
         """Return a stream's urgency; a random share of all streams gets the highest one.
@@ -321,7 +323,7 @@
     """Do nothing; called on changes until a listener is registered."""
 
 
-def _report_order(report: WaitingReport) -> tuple[int, int]:
+def _report_order(report: WaitQueueReport) -> tuple[int, int]:
     return report.incarnation, report.number
 
 
@@ -332,17 +334,19 @@
     return max(0.0, (_MAX_REPORT_AGE_S - age_s) / (_MAX_REPORT_AGE_S - _FULL_WEIGHT_AGE_S))
 
 
-def _share_ahead_of(group: WaitingGroup, received_at: float, claim: Claim, now: float) -> float:
+def _share_ahead_of(
+    group: WaitingGroup, received_at: float, claim: QueuedStream, now: float
+) -> float:
     """Return the share of a group that is queued ahead of a stream.
 
     Only the arrival of the oldest stream of a group is known; the others are assumed to have
     arrived at even intervals since.
     """
-    is_late = group.is_late or now - received_at > group.spare_s
+    is_late = group.is_late or now - received_at > group.slack_s
     if is_late != claim.is_late:
         return 0.0 if is_late else 1.0
-    oldest = due_at(received_at - group.oldest_s, group.urgency)
-    newest = due_at(received_at, group.urgency)
+    oldest = compute_effective_arrival(received_at - group.oldest_s, group.urgency)
+    newest = compute_effective_arrival(received_at, group.urgency)
     if claim.effective_arrival <= oldest:
         return 0.0
     if claim.effective_arrival >= newest or group.streams == 1:
--- a/cleatlink/routing/shared_waiting_test.py
+++ b/cleatlink/routing/shared_wait_queues_test.py
@@ -16,22 +16,27 @@
 from hypothesis import strategies as st
 
 from cleatlink.core.data import Role
-from cleatlink.core.routes import EngineTraits, RoutedEndpoint
+from cleatlink.core.routes import EngineProperties, RoutedEndpoint
 from cleatlink.routing.capacity import Capacity
-from cleatlink.routing.relay_place import Seeker, StreamSize, count_places, place_decode
-from cleatlink.routing.shared_waiting import (
-    HEAD_START_S,
-    NOBODY_AHEAD,
-    Ahead,
-    Claim,
-    LeftRoom,
-    SharedWaiting,
+from cleatlink.routing.relay_placement import (
+    PlacementContext,
+    StreamSize,
+    choose_decode,
+    count_fitting_streams,
+)
+from cleatlink.routing.shared_wait_queues import (
+    HEAD_START_PER_POINT_S,
+    NONE_AHEAD,
+    QueuedAhead,
+    QueuedStream,
+    SharedWaitQueues,
     WaitingGroup,
-    WaitingReport,
-    due_at,
-    rank,
+    WaitQueueReport,
+    YieldLimit,
+    compute_effective_arrival,
+    urgency_of,
 )
-from cleatlink.routing.waiting import WaitingRoom
+from cleatlink.routing.wait_queue import WaitQueue
 
 INSTANCE_COUNTS = [8, 60, 90, 360]
 TICK_S = 0.05
@@ -56,21 +61,21 @@
         self.waits_s: dict[Arrival, float] = {}
         self.disconnected: set[int] = set()
         self._rng = random.Random(seed)
-        self._shared = [SharedWaiting(is_on=shared) for _ in range(instances)]
-        self._queues = [WaitingRoom() for _ in range(instances)]
+        self._shared = [SharedWaitQueues(is_on=shared) for _ in range(instances)]
+        self._queues = [WaitQueue() for _ in range(instances)]
         for shared_waiting, queue in zip(self._shared, self._queues, strict=True):
-            shared_waiting.note_peers(10_000)
+            shared_waiting.set_peer_count(10_000)
             if shared:
-                queue.head_start_s = HEAD_START_S
+                queue.head_start_s = HEAD_START_PER_POINT_S
         self._is_shared = shared
         self._free_slots = places
         self._pending: list[Arrival] = []
-        self._yield_limits: dict[Arrival, tuple[LeftRoom, float]] = {}
+        self._yield_limits: dict[Arrival, tuple[YieldLimit, float]] = {}
         self._full_at = -1.0
         self._step = 0
         self._now = 0.0
         self._end_times: list[float] = []
-        self._reports_in_transit: list[tuple[float, int, WaitingReport]] = []
+        self._reports_in_transit: list[tuple[float, int, WaitQueueReport]] = []
         self._numbers: dict[int, int] = defaultdict(int)
         self._reported: set[int] = set()
 
@@ -95,7 +100,7 @@
             for instance in order:
                 self._now = now
                 if self._free_slots and len(self._queues[instance]):
-                    self._queues[instance].offer()
+                    self._queues[instance].place_waiting()
                 if self._is_shared and (step + instance) % int(REPORT_INTERVAL_S / TICK_S) == 0:
                     self._send_report(instance, now)
 
@@ -114,7 +119,7 @@
         self._now = now
         urgency = -arrival.priority
         if self._is_shared:
-            urgency = rank(arrival.priority)
+            urgency = urgency_of(arrival.priority)
             shared = self._shared[arrival.instance]
             urgency = shared.draw_urgency("s", urgency, self._rng, now)
         queue = self._queues[arrival.instance]
@@ -135,15 +140,15 @@
         """Try to place a stream; a stream whose caller has left ends its wait unplaced."""
         if self._now - arrival.at > CALLER_TIMEOUT_S:
             return True
-        yield_limit, tried_at = self._yield_limits.get(arrival, (LeftRoom(), self._now))
+        yield_limit, tried_at = self._yield_limits.get(arrival, (YieldLimit(), self._now))
         self._yield_limits[arrival] = yield_limit, self._now
         if self._full_at >= tried_at:
-            yield_limit.note_none()
+            yield_limit.note_no_capacity()
         if self._free_slots < 1:
             return False
         is_late = self._now - arrival.at > TARGETS_S[arrival.priority]
-        claim = Claim("s", due_at(arrival.at, urgency), is_late)
-        ahead = self._shared[arrival.instance].ahead(claim, self._now)
+        claim = QueuedStream("s", compute_effective_arrival(arrival.at, urgency), is_late)
+        ahead = self._shared[arrival.instance].queued_ahead(claim, self._now)
         if not yield_limit.may_take(ahead, self._free_slots - 1, self._now):
             return False
         self._free_slots -= 1
@@ -163,7 +168,7 @@
             self._reported.remove(instance)
         self._numbers[instance] += 1
         number = self._numbers[instance]
-        report = WaitingReport(str(instance), 1, number, "a", groups)
+        report = WaitQueueReport(str(instance), 1, number, "a", groups)
         for other in range(len(self._queues)):
             is_dropped = self._rng.random() < 0.1 or {instance, other} & self.disconnected
             if other != instance and not is_dropped:
@@ -173,7 +178,7 @@
         due = [item for item in self._reports_in_transit if item[0] <= now]
         self._reports_in_transit = [item for item in self._reports_in_transit if item[0] > now]
         for _, other, report in due:
-            self._shared[other].note(report, now)
+            self._shared[other].add_report(report, now)
 
 
 def draw_arrivals(
@@ -266,7 +271,7 @@
     streams=st.integers(1, 5),
     tokens=st.integers(1, 9_000),
     oldest_s=st.floats(0.0, 20.0),
-    spare_s=st.floats(-5.0, 5.0),
+    slack_s=st.floats(-5.0, 5.0),
 )
 
 
@@ -276,47 +281,48 @@
     now = 100.0
     shared_by_group = []
     for own, _ in enumerate(groups):
-        shared = SharedWaiting()
+        shared = SharedWaitQueues()
         for number, group in enumerate(groups):
             if number != own:
-                report = WaitingReport(str(number), 1, 1, "a", (group,))
-                shared.note(report, now)
+                report = WaitQueueReport(str(number), 1, 1, "a", (group,))
+                shared.add_report(report, now)
         shared_by_group.append(shared)
     claims = [
-        Claim(
+        QueuedStream(
             "s",
-            due_at(now - group.oldest_s, group.urgency),
-            group.is_late or group.spare_s < 0,
+            compute_effective_arrival(now - group.oldest_s, group.urgency),
+            group.is_late or group.slack_s < 0,
         )
         for group in groups
     ]
     ahead = [
-        shared.ahead(claim, now) for shared, claim in zip(shared_by_group, claims, strict=True)
+        shared.queued_ahead(claim, now)
+        for shared, claim in zip(shared_by_group, claims, strict=True)
     ]
-    assert NOBODY_AHEAD in ahead
+    assert NONE_AHEAD in ahead
 
 
 @given(GROUPS, st.floats(1.0, 60.0))
 def test_expired_report_delays_no_stream(group: WaitingGroup, age_s: float) -> None:
-    shared = SharedWaiting()
-    shared.note(WaitingReport("n1", 1, 1, "a", (group,)), 0.0)
-    assert shared.ahead(Claim("s", 1e9, True), age_s) == NOBODY_AHEAD
+    shared = SharedWaitQueues()
+    shared.add_report(WaitQueueReport("n1", 1, 1, "a", (group,)), 0.0)
+    assert shared.queued_ahead(QueuedStream("s", 1e9, True), age_s) == NONE_AHEAD
 
 
 def test_older_and_repeated_reports_are_ignored() -> None:
     group = WaitingGroup("s", 0, False, 3, 300, 1.0)
-    shared = SharedWaiting()
-    claim = Claim("s", 100.0, False)
-    shared.note(WaitingReport("n1", 1, 2, "a", (group,)), 0.0)
-    shared.note(WaitingReport("n1", 1, 1, "a", ()), 0.0)
-    shared.note(WaitingReport("n1", 1, 2, "a", ()), 0.0)
-    assert shared.ahead(claim, 0.1) == Ahead(3, 100)
+    shared = SharedWaitQueues()
+    claim = QueuedStream("s", 100.0, False)
+    shared.add_report(WaitQueueReport("n1", 1, 2, "a", (group,)), 0.0)
+    shared.add_report(WaitQueueReport("n1", 1, 1, "a", ()), 0.0)
+    shared.add_report(WaitQueueReport("n1", 1, 2, "a", ()), 0.0)
+    assert shared.queued_ahead(claim, 0.1) == QueuedAhead(3, 100)
     assert shared.count_by_data_centre("s", 0.1) == {"a": 3}
-    shared.note(WaitingReport("n1", 2, 1, "a", ()), 0.0)
-    assert shared.ahead(claim, 0.1) == NOBODY_AHEAD
-    shared.note(WaitingReport("n2", 1, 1, "a", (group,)), 0.0)
-    shared.forget("n2")
-    assert shared.ahead(claim, 0.1) == NOBODY_AHEAD
+    shared.add_report(WaitQueueReport("n1", 2, 1, "a", ()), 0.0)
+    assert shared.queued_ahead(claim, 0.1) == NONE_AHEAD
+    shared.add_report(WaitQueueReport("n2", 1, 1, "a", (group,)), 0.0)
+    shared.remove_report("n2")
+    assert shared.queued_ahead(claim, 0.1) == NONE_AHEAD
 
 
 def test_priority_of_an_organisation_outweighs_that_of_its_routes() -> None:
@@ -325,21 +331,21 @@
     The priorities of routes were ignored, and the most urgent streams did worse than the least
     urgent ones.
     """
-    assert rank(1, 0) > rank(1, 1) > rank(1, 2) > rank(2, 0)
-    assert rank(1, 2) == rank(1, 9)
-    assert rank(0) > rank(1) > rank(2)
+    assert urgency_of(1, 0) > urgency_of(1, 1) > urgency_of(1, 2) > urgency_of(2, 0)
+    assert urgency_of(1, 2) == urgency_of(1, 9)
+    assert urgency_of(0) > urgency_of(1) > urgency_of(2)
 
 
 def test_few_instances_do_not_share_their_wait_queues() -> None:
-    shared = SharedWaiting()
-    shared.note_peers(16)
+    shared = SharedWaitQueues()
+    shared.set_peer_count(16)
     assert not shared.is_in_use
     assert shared.draw_urgency("s", -2, random.Random(1), 0.0) == -2
-    shared.note_peers(17)
+    shared.set_peer_count(17)
     assert shared.is_in_use
 
 
-TRAITS = EngineTraits(slots=6, memory_tokens=1000, handle_lifetime_s=0.5, role_switch_s=6.0)
+TRAITS = EngineProperties(slots=6, memory_tokens=1000, handle_lifetime_s=0.5, role_switch_s=6.0)
 
 
 @given(
@@ -357,17 +363,19 @@
         name = f"e{number}"
         capacity.set_endpoint(RoutedEndpoint(name, "127.0.0.1:1", "a", "s", Role.DECODE, 6))
         for key, placed_tokens in enumerate(stream_tokens):
-            reservation = StreamSize(placed_tokens, 0, 1.0).reserve(name, 0.0)
+            reservation = StreamSize(placed_tokens, 0, 1.0).make_reservation(name, 0.0)
             capacity.reserve(f"{name}/{key}", reservation)
-    seeker = Seeker("a", frozenset(), 0.0, random.Random(1))
-    found = place_decode("s", size, TRAITS, capacity, seeker)
+    seeker = PlacementContext("a", frozenset(), 0.0, random.Random(1))
+    found = choose_decode("s", size, TRAITS, capacity, seeker)
     if found is None:
         return
-    own_reservation = size.reserve(found.name, 0.0)
-    count = count_places("s", tokens, TRAITS, capacity, seeker, beside=own_reservation)
+    own_reservation = size.make_reservation(found.name, 0.0)
+    count = count_fitting_streams(
+        "s", tokens, TRAITS, capacity, seeker, placed_first=own_reservation
+    )
     capacity.reserve("own", own_reservation)
     for key in range(count):
         other = StreamSize(tokens, 0, 1.0)
-        place = place_decode("s", other, TRAITS, capacity, seeker)
+        place = choose_decode("s", other, TRAITS, capacity, seeker)
         assert place is not None
-        capacity.reserve(f"ahead/{key}", other.reserve(place.name, 0.0))
+        capacity.reserve(f"ahead/{key}", other.make_reservation(place.name, 0.0))
--- a/cleatlink/routing/spill_over.py
+++ b/cleatlink/routing/spill_over.py
@@ -14,9 +14,9 @@
 import math
 from collections.abc import Mapping
 
-from cleatlink.routing.fleet_sizes import FEW_PEERS
+from cleatlink.routing.fleet_sizes import MAX_DIRECT_PEERS
 
-__all__ = ["CROSSING_SHARE", "CROSS_ONLY_IF_FULL_COST", "SpillOver", "prompt_waits"]
+__all__ = ["CROSSING_SHARE", "CROSS_ONLY_IF_FULL_COST", "SpillOver", "prompt_wait_shares"]
 
 # Default cost of a crossing, as a share of a stream's target, for the round trip and the risk of
 # a network partition. Callers of urgent streams accept a delay of a quarter of the target.
@@ -46,13 +46,13 @@
     @property
     def is_in_use(self) -> bool:
         """Whether streams cross before their own data centre is full."""
-        return self._is_on and self._peers > FEW_PEERS
+        return self._is_on and self._peers > MAX_DIRECT_PEERS
 
-    def note_peers(self, peers: int) -> None:
+    def set_peer_count(self, peers: int) -> None:
         """Set the number of other instances."""
         self._peers = peers
 
-    def crosses(self, local_cost: float, remote_cost: float) -> bool:
+    def should_cross(self, local_cost: float, remote_cost: float) -> bool:
         """Check whether a stream goes to another data centre.
 
         Args:
@@ -66,7 +66,7 @@
         return remote_cost + crossing_cost < local_cost
 
 
-def prompt_waits(
+def prompt_wait_shares(
     queues_s: Mapping[str, float], data_centres: set[str], target_s: float, crossing_share: float
 ) -> dict[str, float]:
     """Return the waiting time of a prompt for the decodes of each data centre.
