--- a/cleatlink/routing/spill_over_test.py
+++ b/cleatlink/routing/spill_over_test.py
@@ -16,21 +16,26 @@
 from hypothesis import strategies as st
 
 from cleatlink.core.data import Role
-from cleatlink.core.routes import EngineTraits, RoutedEndpoint
+from cleatlink.core.routes import EngineProperties, RoutedEndpoint
 from cleatlink.routing.capacity import Capacity
-from cleatlink.routing.mechanisms import Mechanism, Switches
-from cleatlink.routing.relay_place import Seeker, StreamSize, place_decode, place_prefill
+from cleatlink.routing.mechanisms import Mechanism, MechanismSwitches
+from cleatlink.routing.relay_placement import (
+    PlacementContext,
+    StreamSize,
+    choose_decode,
+    choose_prefill,
+)
 from cleatlink.routing.reservation import Reservation
 from cleatlink.routing.spill_over import (
     CROSS_ONLY_IF_FULL_COST,
     CROSSING_SHARE,
     SpillOver,
-    prompt_waits,
+    prompt_wait_shares,
 )
 
 DATA_CENTRES = ("a", "b", "c")
 MEMORY = 1000
-TRAITS = EngineTraits(slots=40, memory_tokens=MEMORY, handle_lifetime_s=0.5, role_switch_s=6.0)
+TRAITS = EngineProperties(slots=40, memory_tokens=MEMORY, handle_lifetime_s=0.5, role_switch_s=6.0)
 SIZE = StreamSize(100, 0, 1.0)
 RETRY_S = 0.1
 LATE_S = 0.05
@@ -67,14 +72,14 @@
         self.crossed = 0
         self._rng = random.Random(3)
         self._local_delay_s = local_delay_s
-        switches = Switches(frozenset() if without is None else frozenset({without}))
+        switches = MechanismSwitches(frozenset() if without is None else frozenset({without}))
         count = max(1, instances // len(DATA_CENTRES))
         self._views = {
             data_centre: [Capacity(switches) for _ in range(count)] for data_centre in DATA_CENTRES
         }
         for view in itertools.chain(*self._views.values()):
-            view.spill_over.note_peers(60)
-            view.waiting.note_peers(60)
+            view.spill_over.set_peer_count(60)
+            view.shared_wait_queues.set_peer_count(60)
             for data_centre, number in itertools.product(DATA_CENTRES, range(engines)):
                 name = f"{data_centre}{number}"
                 endpoint = RoutedEndpoint(name, "127.0.0.1:1", data_centre, "s", Role.DECODE, 40)
@@ -104,21 +109,23 @@
     def _arrive(self, arrival: Arrival, now: float) -> None:
         views = self._views[arrival.origin]
         view = views[arrival.instance % len(views)]
-        context = Seeker(arrival.origin, frozenset(), now, self._rng)
-        found = place_decode("s", SIZE, TRAITS, view, context)
-        if found is None or self._held[found.name] + SIZE.prompt > MEMORY:
+        context = PlacementContext(arrival.origin, frozenset(), now, self._rng)
+        found = choose_decode("s", SIZE, TRAITS, view, context)
+        if found is None or self._held[found.name] + SIZE.prompt_tokens > MEMORY:
             if found is not None:
                 view.note_full(found.name, now)
             self._schedule(now + RETRY_S, self._arrive, arrival)
             return
         self.waits_s[arrival] = now - arrival.at
         self.crossed += found.data_centre != arrival.origin
-        self._held[found.name] += SIZE.prompt
+        self._held[found.name] += SIZE.prompt_tokens
         self._schedule(now + SIZE.duration_s, self._end, found.name)
-        self._report(str(arrival.number), SIZE.reserve(found.name, now), arrival.origin, view, now)
+        self._report(
+            str(arrival.number), SIZE.make_reservation(found.name, now), arrival.origin, view, now
+        )
 
     def _end(self, name: str, now: float) -> None:
-        self._held[name] -= SIZE.prompt
+        self._held[name] -= SIZE.prompt_tokens
 
     def _report(
         self, key: str, reservation: Reservation, data_centre: str, own: Capacity, now: float
@@ -197,7 +204,7 @@
     """Return a spill-over that is in use, as in a large group of instances."""
     spill_over = SpillOver()
     spill_over.crossing_share = crossing_share
-    spill_over.note_peers(60)
+    spill_over.set_peer_count(60)
     return spill_over
 
 
@@ -206,29 +213,29 @@
     one: float, other: float, crossing_share: float
 ) -> None:
     spill_over = make_spill_over(crossing_share)
-    assert not (spill_over.crosses(one, other) and spill_over.crosses(other, one))
+    assert not (spill_over.should_cross(one, other) and spill_over.should_cross(other, one))
 
 
 @given(st.floats(0.0, 9.0), st.floats(0.0, 9.0))
 def test_small_groups_cross_only_when_own_data_centre_is_full(local: float, remote: float) -> None:
     spill_over = SpillOver()
-    spill_over.note_peers(16)
-    assert spill_over.crosses(local, remote) == (remote + CROSS_ONLY_IF_FULL_COST < local)
+    spill_over.set_peer_count(16)
+    assert spill_over.should_cross(local, remote) == (remote + CROSS_ONLY_IF_FULL_COST < local)
 
 
 def test_configured_crossing_share_decides_whether_streams_cross() -> None:
-    assert make_spill_over().crosses(0.95, 0.4)
-    assert not make_spill_over().crosses(0.95, 0.8)
-    assert not make_spill_over().crosses(0.8, 0.0)
-    assert not make_spill_over(1.0).crosses(0.95, 0.0)
-    assert make_spill_over(1.0).crosses(math.inf, 0.9)
+    assert make_spill_over().should_cross(0.95, 0.4)
+    assert not make_spill_over().should_cross(0.95, 0.8)
+    assert not make_spill_over().should_cross(0.8, 0.0)
+    assert not make_spill_over(1.0).should_cross(0.95, 0.0)
+    assert make_spill_over(1.0).should_cross(math.inf, 0.9)
 
 
 def test_prompt_waits_count_as_shares_of_the_target() -> None:
-    waits = prompt_waits({"a": 0.6, "b": 0.1}, {"a", "b", "c"}, 1.0, 0.25)
+    waits = prompt_wait_shares({"a": 0.6, "b": 0.1}, {"a", "b", "c"}, 1.0, 0.25)
     assert waits == pytest.approx({"a": 0.35, "b": 0.1, "c": 0.35})
-    assert prompt_waits({}, {"a"}, 1.0, 0.25) == {}
-    assert prompt_waits({"a": 0.6}, {"a"}, math.inf, 0.25) == {}
+    assert prompt_wait_shares({}, {"a"}, 1.0, 0.25) == {}
+    assert prompt_wait_shares({"a": 0.6}, {"a"}, math.inf, 0.25) == {}
 
 
 def test_prompt_crosses_only_if_it_saves_more_than_the_crossing_costs() -> None:
@@ -242,16 +249,16 @@
         name = f"p{location}"
         capacity.set_endpoint(RoutedEndpoint(name, "127.0.0.1:1", location, "s", Role.PREFILL, 4))
     capacity.reserve("k", Reservation("pa", Role.PREFILL, 4000, 1.0, 1.0))
-    queue_s = capacity.queue_s("pa")
-    context = Seeker("a", frozenset(), 0.0, random.Random(1))
-    assert queue_s > capacity.pace("s").prompt_s(1500)
+    queue_s = capacity.prefill_queue_s("pa")
+    context = PlacementContext("a", frozenset(), 0.0, random.Random(1))
+    assert queue_s > capacity.service_times("s").prompt_s(1500)
 
     def chosen_data_centre(target_s: float) -> str:
-        found = place_prefill("s", capacity, context, "a", target_s=target_s)
+        found = choose_prefill("s", capacity, context, "a", target_s=target_s)
         assert found is not None
         return found.data_centre
 
     assert chosen_data_centre(1.0) == "b"
-    capacity.spill_over.note_peers(60)
+    capacity.spill_over.set_peer_count(60)
     assert chosen_data_centre(1.0) == "a"
     assert chosen_data_centre(0.3) == "b"
--- a/cleatlink/routing/table_knowledge.py
+++ b/cleatlink/routing/table_tracker.py
@@ -6,7 +6,7 @@
 import math
 from enum import StrEnum
 
-__all__ = ["TableKnowledge", "TableStanding"]
+__all__ = ["TableTracker", "TableFreshness"]
 
 
 # Seconds for which a table counts as current after the last response of the configuration service.
@@ -14,7 +14,7 @@
 _CONFIRMATION_LIFETIME_S = 4.0
 
 
-class TableStanding(StrEnum):
+class TableFreshness(StrEnum):
     """Whether the route table in force is the newest one.
 
     Attributes:
@@ -29,7 +29,7 @@
     UNCONFIRMED = "unconfirmed"
 
 
-class TableKnowledge:
+class TableTracker:
     """The known revisions of route tables; methods that depend on time take it as an argument."""
 
     def __init__(self) -> None:
@@ -41,12 +41,12 @@
         self._absent_at_service = 0
 
     @property
-    def in_force(self) -> int:
+    def revision_in_force(self) -> int:
         """Revision of the table in force; 0 before the first one."""
         return self._in_force
 
     @property
-    def newest(self) -> int:
+    def newest_revision(self) -> int:
         """Highest revision that the service or any peer reported."""
         return self._newest
 
@@ -55,36 +55,36 @@
         """Whether a newer table than the one in force exists."""
         return self._newest > self._in_force
 
-    def standing(self, now: float) -> TableStanding:
+    def freshness(self, now: float) -> TableFreshness:
         """Return whether the table in force is current, so that it may refuse requests for good."""
         if self.is_behind:
-            return TableStanding.BEHIND
+            return TableFreshness.BEHIND
         if self._in_force == 0 or now - self._confirmed_at > _CONFIRMATION_LIFETIME_S:
-            return TableStanding.UNCONFIRMED
-        return TableStanding.CURRENT
+            return TableFreshness.UNCONFIRMED
+        return TableFreshness.CURRENT
 
-    def confirm(self, now: float) -> None:
+    def note_service_response(self, now: float) -> None:
         """Record a response of the service to this instance, or to a peer with no older table."""
         self._confirmed_at = now
 
-    def note_service(self, revision: int, now: float) -> None:
+    def note_service_revision(self, revision: int, now: float) -> None:
         """Record the revision that the service holds; it overrides the reports of peers.
 
         Args:
             revision: Revision of the service's table; 0 if it has none.
             now: The current time.
         """
-        self.confirm(now)
+        self.note_service_response(now)
         if self._newest > max(revision, self._in_force):
             self._absent_at_service = self._newest
             self._newest = self._in_force
-        self.hear(revision, now)
+        self.note_revision(revision, now)
 
     def behind_s(self, now: float) -> float:
         """Return the seconds since a newer table became known; 0 if there is none."""
         return now - self._behind_since if self.is_behind else 0.0
 
-    def hear(self, revision: int, now: float) -> bool:
+    def note_revision(self, revision: int, now: float) -> bool:
         """Record that a revision exists; return whether it is the newest known one."""
         if revision <= max(self._newest, self._absent_at_service):
             return False
@@ -93,7 +93,7 @@
         self._newest = revision
         return True
 
-    def use(self, revision: int, now: float) -> None:
+    def set_in_force(self, revision: int, now: float) -> None:
         """Record that a table is in force from now on."""
-        self.hear(revision, now)
+        self.note_revision(revision, now)
         self._in_force = max(self._in_force, revision)
--- a/cleatlink/routing/unequal_test.py
+++ b/cleatlink/routing/unequal_speeds_test.py
@@ -18,26 +18,31 @@
 
 from cleatlink.core.data import Role
 from cleatlink.core.routes import (
-    EngineTraits,
-    Inbound,
+    EngineProperties,
+    InboundRequest,
     Route,
     RoutedEndpoint,
     RoutedService,
     RouteKind,
 )
 from cleatlink.routing.capacity import Capacity
-from cleatlink.routing.endpoint_pace import PaceKind, PaceSample
-from cleatlink.routing.forecast import RoomForecast, StreamDemand
-from cleatlink.routing.mechanisms import Mechanism, Switches
-from cleatlink.routing.pace import PaceSummary
+from cleatlink.routing.endpoint_speeds import SpeedSample, SpeedSampleKind
+from cleatlink.routing.forecast import CapacityForecast, StreamDemand
+from cleatlink.routing.mechanisms import Mechanism, MechanismSwitches
 from cleatlink.routing.prompt_plan import plan_prompt
-from cleatlink.routing.relay_place import Seeker, StreamSize, place_decode, place_prefill
+from cleatlink.routing.relay_placement import (
+    PlacementContext,
+    StreamSize,
+    choose_decode,
+    choose_prefill,
+)
 from cleatlink.routing.reservation import Reservation
+from cleatlink.routing.service_times import ServiceTimeSummary
 
 SPEEDS = (0.7, 0.7, 1.7)
-TRAITS = EngineTraits(16, 27_000, 0.5, 6.0, event_tokens=4)
+TRAITS = EngineProperties(16, 27_000, 0.5, 6.0, event_tokens=4)
 PROMPT_TOKENS = 3_000
-PACE = PaceSummary(0.002, 0.0, 0.0001, 0.05, 1.0, 0.01)
+PACE = ServiceTimeSummary(0.002, 0.0, 0.0001, 0.05, 1.0, 0.01)
 USUAL_S = 0.3
 # Delay of reports to peers; a lost report is repeated with a heartbeat.
 REPORT_DELAY_S = 0.05
@@ -45,18 +50,18 @@
 
 
 def make_capacity(role: Role, count: int, without: Set[Mechanism] = frozenset()) -> Capacity:
-    capacity = Capacity(Switches(without))
+    capacity = Capacity(MechanismSwitches(without))
     for number in range(count):
         endpoint = RoutedEndpoint(f"e{number}", "127.0.0.1:1", "a", "s", role, TRAITS.slots)
         capacity.set_endpoint(endpoint)
-    capacity.pace("s").adopt(PACE, 0.0, 0.0)
+    capacity.service_times("s").adopt_peer_summary(PACE, 0.0, 0.0)
     return capacity
 
 
 def add_speed_samples(capacity: Capacity, name: str, speed: float, at: float = 0.0) -> None:
     for sender in range(10):
-        sample = PaceSample(at, PaceKind.PROMPT, -math.log(speed))
-        capacity.endpoint_paces.take(f"i{sender}", name, [sample])
+        sample = SpeedSample(at, SpeedSampleKind.PROMPT, -math.log(speed))
+        capacity.endpoint_speeds.replace_peer_samples(f"i{sender}", name, [sample])
 
 
 class _PromptEvent(NamedTuple):
@@ -102,12 +107,14 @@
             return
         own = capacities[event.instance]
         own.release(key)
-        own.note_duration(event.endpoint, PaceKind.PROMPT, event.seconds, USUAL_S, event.at)
-        samples = own.endpoint_paces.own(event.endpoint, event.at)
+        own.note_duration(event.endpoint, SpeedSampleKind.PROMPT, event.seconds, USUAL_S, event.at)
+        samples = own.endpoint_speeds.own_samples(event.endpoint, event.at)
         for other in others:
             other.peer_release("peer", key)
             if rng.random() >= loss:
-                other.endpoint_paces.take(f"i{event.instance}", event.endpoint, samples)
+                other.endpoint_speeds.replace_peer_samples(
+                    f"i{event.instance}", event.endpoint, samples
+                )
 
     while now < 30.0:
         now += rng.expovariate(15.0)
@@ -116,15 +123,15 @@
             process(heapq.heappop(events))
         instance = rng.randrange(instances)
         own = capacities[instance]
-        context = Seeker("a", frozenset(), now, random.Random(number))
-        chosen = place_prefill("s", own, context, "a", PROMPT_TOKENS)
+        context = PlacementContext("a", frozenset(), now, random.Random(number))
+        chosen = choose_prefill("s", own, context, "a", PROMPT_TOKENS)
         assert chosen is not None
         engine = int(chosen.name[1:])
         starts_at = max(now, free_at[engine])
         free_at[engine] = starts_at + USUAL_S / speeds(engine, now)
         late += free_at[engine] - now > 1.0
-        queue_s = own.begins_in_s(chosen.name, now)
-        expected_s = queue_s + USUAL_S / own.speed(chosen.name, now)
+        queue_s = own.prompt_starts_in_s(chosen.name, now)
+        expected_s = queue_s + USUAL_S / own.relative_speed(chosen.name, now)
         reservation = Reservation(
             chosen.name, Role.PREFILL, PROMPT_TOKENS, now + expected_s, expected_s
         )
@@ -182,13 +189,13 @@
     for name, speed in zip(("e0", "e1", "e2"), SPEEDS, strict=True):
         add_speed_samples(capacity, name, speed)
         capacity.reserve(name, Reservation(name, Role.DECODE, 6_000, 3.0, 3.0, 500))
-    context = Seeker("a", frozenset(), 0.5, random.Random(1))
+    context = PlacementContext("a", frozenset(), 0.5, random.Random(1))
     size = StreamSize(PROMPT_TOKENS, 500, 3.0, 1.0)
-    chosen = place_decode("s", size, TRAITS, capacity, context)
+    chosen = choose_decode("s", size, TRAITS, capacity, context)
     assert chosen is not None
     assert chosen.name == "e2"
     # Another endpoint computes the prompt, so the decode's speed does not change that time.
-    reservation = size.reserve("e2", 0.5, capacity.speed("e2", 0.5))
+    reservation = size.make_reservation("e2", 0.5, capacity.relative_speed("e2", 0.5))
     assert reservation.duration_s == pytest.approx(1.0 + 2.0 / 1.7)
 
 
@@ -198,15 +205,15 @@
         capacity = make_capacity(Role.DECODE, 1)
         add_speed_samples(capacity, "e0", speed)
         stream = StreamDemand(20_000, 3.4)
-        forecast = RoomForecast("s", TRAITS, capacity, 0.5)
-        forecasts_s.append(forecast.room_in_s(stream, [stream]))
+        forecast = CapacityForecast("s", TRAITS, capacity, 0.5)
+        forecasts_s.append(forecast.wait_s(stream, [stream]))
     assert forecasts_s == [pytest.approx(3.4), pytest.approx(2.0)]
 
 
 def test_prompt_plan_uses_the_fastest_prefill() -> None:
-    route = Route("r", "h", "/", RouteKind.STREAMING, 14.0, 0.4, 1, (), event_gap_s=0.01)
-    inbound = Inbound("r", b"POST", b"/", "h", (), b"", 0.0, prompt_tokens=PROMPT_TOKENS)
-    context = Seeker("a", frozenset(), 0.0, random.Random(1))
+    route = Route("r", "h", "/", RouteKind.STREAMING, 14.0, 0.4, 1, (), event_gap_target_s=0.01)
+    inbound = InboundRequest("r", b"POST", b"/", "h", (), b"", 0.0, prompt_tokens=PROMPT_TOKENS)
+    context = PlacementContext("a", frozenset(), 0.0, random.Random(1))
     plans = []
     for without in (frozenset[Mechanism](), WITHOUT_SPEEDS):
         capacity = make_capacity(Role.PREFILL, 3, without)
@@ -237,11 +244,13 @@
             for key, (number, tokens, ends_s) in enumerate(work):
                 item = Reservation(f"e{number}", role, tokens, ends_s, ends_s, tokens // 9)
                 capacity.reserve(str(key), item)
-            context = Seeker("a", frozenset(), 0.5, random.Random(seed))
-            decisions.append(place_prefill("s", capacity, context, "a", PROMPT_TOKENS))
-            decisions.append(place_decode("s", StreamSize(900, 90, 2.0), TRAITS, capacity, context))
-            forecast = RoomForecast("s", TRAITS, capacity, 0.5)
-            decisions.append(forecast.room_in_s(StreamDemand(9_000, 2.0, 0.3)))
+            context = PlacementContext("a", frozenset(), 0.5, random.Random(seed))
+            decisions.append(choose_prefill("s", capacity, context, "a", PROMPT_TOKENS))
+            decisions.append(
+                choose_decode("s", StreamSize(900, 90, 2.0), TRAITS, capacity, context)
+            )
+            forecast = CapacityForecast("s", TRAITS, capacity, 0.5)
+            decisions.append(forecast.wait_s(StreamDemand(9_000, 2.0, 0.3)))
             decisions.append(context.rng.random())
         decisions_by_mode.append(decisions)
     assert decisions_by_mode[0] == decisions_by_mode[1]
@@ -257,18 +266,18 @@
     1.7 times the usual speed held nine tenths of their memory and engines elsewhere were idle.
     """
     capacity = make_capacity(Role.DECODE, 3, without)
-    capacity.spill_over.note_peers(60)
+    capacity.spill_over.set_peer_count(60)
     for name, speed in zip(("e0", "e1", "e2"), SPEEDS, strict=True):
         add_speed_samples(capacity, name, speed)
         capacity.reserve(name, Reservation(name, Role.DECODE, 24_000, 9.0, 9.0, 0))
     remote = RoutedEndpoint("far", "127.0.0.1:1", "b", "s", Role.DECODE, TRAITS.slots)
     capacity.set_endpoint(remote)
-    context = Seeker("a", frozenset(), 0.5, random.Random(1))
+    context = PlacementContext("a", frozenset(), 0.5, random.Random(1))
     size = StreamSize(500, 100, 1.0)
-    chosen = place_decode("s", size, TRAITS, capacity, context)
+    chosen = choose_decode("s", size, TRAITS, capacity, context)
     assert chosen == remote
     # The stream stays if any engine of its data centre has capacity, also if it is a slow one.
     capacity.release("e0")
-    chosen = place_decode("s", size, TRAITS, capacity, context)
+    chosen = choose_decode("s", size, TRAITS, capacity, context)
     assert chosen is not None
     assert chosen.data_centre == "a"
--- a/cleatlink/routing/uploads.py
+++ b/cleatlink/routing/uploads.py
@@ -9,7 +9,7 @@
 
 from typing import NamedTuple
 
-__all__ = ["UNKNOWN_PACE", "ReadRate", "TakenBytes", "Upload", "UploadPaces"]
+__all__ = ["DEFAULT_READ_RATE", "ReadRate", "AcceptedBytes", "Upload", "ReadRates"]
 
 # Usual size of a receive buffer: bytes that an endpoint's kernel accepts before the endpoint reads.
 _BUFFER_BYTES = 131_072
@@ -27,7 +27,7 @@
 _DISPROOF_FACTOR = 2.0
 
 
-class TakenBytes(NamedTuple):
+class AcceptedBytes(NamedTuple):
     """Bytes of a request that the kernel of either side has accepted.
 
     Attributes:
@@ -54,7 +54,7 @@
 
 
 # Assumed for a link that was not measured: 4 Mbit/s.
-UNKNOWN_PACE = ReadRate(500_000.0, False)
+DEFAULT_READ_RATE = ReadRate(500_000.0, False)
 
 
 class Upload:
@@ -82,28 +82,28 @@
         return self._size
 
     @property
-    def taken(self) -> int:
+    def accepted_bytes(self) -> int:
         """Bytes of the body that are known to have been accepted."""
         return self._accepted_bytes
 
     @property
-    def is_whole(self) -> bool:
+    def is_accepted(self) -> bool:
         """Whether all of the body has been accepted."""
         return self._accepted_bytes >= self._size
 
     @property
-    def measured(self) -> ReadRate | None:
+    def measured_rate(self) -> ReadRate | None:
         """Read rate by this body alone; None if it could not be measured."""
         return ReadRate(self._measured_rate, True) if self._measured_rate else None
 
     @property
-    def pace(self) -> ReadRate:
+    def read_rate(self) -> ReadRate:
         """Read rate by this body or else by earlier ones.
 
         A kernel that has enlarged its buffer accepts bytes faster than they are read, so a measured
         rate is not raised before a response confirms the higher rate.
         """
-        measured = self.measured
+        measured = self.measured_rate
         if measured is None or (self._usual_rate.is_measured and self._usual_rate < measured):
             return self._usual_rate
         return measured
@@ -115,7 +115,7 @@
         An endpoint does not count as silent before this time.
         """
         return max(
-            self._progress_at, self._began_at + self._accepted_bytes / self.pace.bytes_a_second
+            self._progress_at, self._began_at + self._accepted_bytes / self.read_rate.bytes_a_second
         )
 
     def begin(self, size: int, now: float) -> None:
@@ -128,7 +128,7 @@
         self._size = size
         self._began_at = self._progress_at = now
 
-    def note_taken(self, accepted: TakenBytes, now: float) -> None:
+    def note_accepted(self, accepted: AcceptedBytes, now: float) -> None:
         """Record the bytes that have been accepted by now."""
         self._is_acknowledged = accepted.is_acknowledged
         if accepted.size > self._accepted_bytes:
@@ -153,7 +153,7 @@
         if read_bytes >= _MIN_READ_BYTES and seconds > 0:
             self._measured_rate = max(self._measured_rate, read_bytes / seconds)
 
-    def served_s(self, began_at: float, now: float) -> float | None:
+    def processing_s(self, began_at: float, now: float) -> float | None:
         """Return for how long an endpoint that responds now has worked on the request.
 
         Args:
@@ -166,10 +166,10 @@
         """
         if not self._size:
             return now - began_at
-        if not self.is_whole:
+        if not self.is_accepted:
             return None
         total_s, served_s = now - began_at, now - self._progress_at
-        read_at = self.read_by if self.pace.is_measured else self._progress_at
+        read_at = self.read_by if self.read_rate.is_measured else self._progress_at
         if read_at - began_at <= _SHORT_TRANSFER_SHARE * total_s:
             # The progress is checked up to 20 ms late. Subtracting the transfer would make fast
             # endpoints appear faster than they are.
@@ -179,14 +179,14 @@
         return served_s
 
 
-class UploadPaces:
+class ReadRates:
     """Read rates of endpoints, as measured by this instance."""
 
     def __init__(self) -> None:
         """Start without known rates."""
         self._rates: dict[str, ReadRate] = {}
 
-    def pace(self, endpoint: str) -> ReadRate:
+    def read_rate(self, endpoint: str) -> ReadRate:
         """Return the read rate of an endpoint.
 
         An unknown endpoint is assumed to be as slow as the slowest measured one: often the
@@ -196,7 +196,7 @@
         if known is not None:
             return known
         measured = (item for item in self._rates.values() if item.is_measured)
-        slowest = min([UNKNOWN_PACE, *measured])
+        slowest = min([DEFAULT_READ_RATE, *measured])
         return slowest._replace(is_measured=False)
 
     def note_answered(self, endpoint: str, upload: Upload, seconds: float) -> None:
@@ -207,9 +207,9 @@
             upload: The upload.
             seconds: Time from the start of sending until the response.
         """
-        if not upload.size or not upload.is_whole or seconds <= 0:
+        if not upload.size or not upload.is_accepted or seconds <= 0:
             return
-        rate, min_rate = upload.pace, upload.size / seconds
+        rate, min_rate = upload.read_rate, upload.size / seconds
         if min_rate > rate.bytes_a_second:
             is_measured = rate.is_measured and min_rate < _DISPROOF_FACTOR * rate.bytes_a_second
             self._rates[endpoint] = ReadRate(min_rate, is_measured)
--- a/cleatlink/routing/waiting.py
+++ b/cleatlink/routing/wait_queue.py
@@ -12,9 +12,9 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from cleatlink.routing.shared_waiting import WaitingGroup, due_at
+from cleatlink.routing.shared_wait_queues import WaitingGroup, compute_effective_arrival
 
-__all__ = ["DEFAULT_HEAD_START_S", "RequestTraits", "WaitingRequest", "WaitingRoom"]
+__all__ = ["DEFAULT_HEAD_START_S", "RequestTraits", "WaitingRequest", "WaitQueue"]
 
 # Head start for each point of urgency in a fleet of few instances, in seconds.
 DEFAULT_HEAD_START_S = 0.1
@@ -64,7 +64,7 @@
     return False
 
 
-class WaitingRoom:
+class WaitQueue:
     """All requests of one instance that wait for capacity."""
 
     def __init__(self) -> None:
@@ -83,7 +83,7 @@
             urgency: Urgency of the arriving request; larger values go first.
             arrived_at: Time at which it arrived.
         """
-        effective_arrival = due_at(arrived_at, urgency, self.head_start_s)
+        effective_arrival = compute_effective_arrival(arrived_at, urgency, self.head_start_s)
         return any(
             request.effective_arrival <= effective_arrival
             and request.request_class == request_class
@@ -99,7 +99,7 @@
             arrived_at: Time at which the request arrived.
             is_late: Whether the request will be late.
         """
-        effective_arrival = due_at(arrived_at, urgency, self.head_start_s)
+        effective_arrival = compute_effective_arrival(arrived_at, urgency, self.head_start_s)
         return sum(
             (request.effective_arrival <= effective_arrival and request.is_late() == is_late)
             or (is_late and not request.is_late())
@@ -129,7 +129,7 @@
             late_at: Time from which the request will be late even if it is placed at once.
         """
         self._last_sequence_number += 1
-        effective_arrival = due_at(arrived_at, urgency, self.head_start_s)
+        effective_arrival = compute_effective_arrival(arrived_at, urgency, self.head_start_s)
         traits = RequestTraits(urgency, arrived_at, tokens, late_at)
         request = WaitingRequest(
             effective_arrival, self._last_sequence_number, request_class, attempt, is_late, traits
@@ -163,7 +163,7 @@
             )
         ]
 
-    def offer(self) -> None:
+    def place_waiting(self) -> None:
         """Try to place the waiting requests in order, after a change of capacity."""
         failures: Counter[str] = Counter()
         late = []
--- a/cleatlink/routing/waiting_test.py
+++ b/cleatlink/routing/wait_queue_test.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cleatlink.routing.waiting import DEFAULT_HEAD_START_S, WaitingRoom
+from cleatlink.routing.wait_queue import DEFAULT_HEAD_START_S, WaitQueue
 
 
 class Slots:
@@ -26,13 +26,13 @@
 
         return attempt
 
-    def free_slots(self, queue: WaitingRoom, count: int) -> None:
+    def free_slots(self, queue: WaitQueue, count: int) -> None:
         self.free = count
-        queue.offer()
+        queue.place_waiting()
 
 
 def test_urgent_request_overtakes_recent_ones_but_no_long_waiting_one() -> None:
-    queue, slots = WaitingRoom(), Slots()
+    queue, slots = WaitQueue(), Slots()
     queue.add("lm", 10, 0.0, slots.attempt_for("old tagging"))
     queue.add("lm", 10, 19.0, slots.attempt_for("new tagging"))
     queue.add("lm", 100, 20.0, slots.attempt_for("translation"))
@@ -43,7 +43,7 @@
 
 
 def test_new_request_must_wait_behind_those_that_it_does_not_overtake() -> None:
-    queue = WaitingRoom()
+    queue = WaitQueue()
     request = queue.add("lm", 50, 10.0, lambda: False)
     assert queue.must_wait("lm", 50, 10.0)
     assert queue.must_wait("lm", 10, 11.0)
@@ -55,7 +55,7 @@
 
 
 def test_class_without_capacity_does_not_delay_another() -> None:
-    queue, slots = WaitingRoom(), Slots()
+    queue, slots = WaitQueue(), Slots()
     for number in range(10):
         queue.add("full", 100, float(number), lambda: False)
     queue.add("free", 0, 50.0, slots.attempt_for("free"))
@@ -66,7 +66,7 @@
 
 def test_class_that_waits_for_prefill_does_not_delay_one_that_needs_none() -> None:
     """Long requests wait for a free prefill endpoint; short ones of the same service need none."""
-    queue, slots = WaitingRoom(), Slots()
+    queue, slots = WaitQueue(), Slots()
     for number in range(6):
         queue.add("verdict", 60, float(number), lambda: False)
     assert not queue.must_wait("question", 80, 100.0)
@@ -76,7 +76,7 @@
 
 
 def test_late_requests_are_served_last_in_order_of_arrival() -> None:
-    queue, slots = WaitingRoom(), Slots()
+    queue, slots = WaitQueue(), Slots()
     queue.add("lm", 0, 0.0, slots.attempt_for("first late"), lambda: True)
     queue.add("lm", 0, 1.0, slots.attempt_for("second late"), lambda: True)
     queue.add("lm", 0, 2.0, slots.attempt_for("in time"))
@@ -89,7 +89,7 @@
 
 
 def test_lateness_is_not_checked_after_the_last_allowed_failure_of_a_class() -> None:
-    queue = WaitingRoom()
+    queue = WaitQueue()
     checked: list[int] = []
 
     def is_late(number: int) -> bool:
@@ -98,14 +98,14 @@
 
     for number in range(30):
         queue.add("lm", 0, float(number), lambda: False, partial(is_late, number))
-    queue.offer()
+    queue.place_waiting()
     assert checked == [0, 1, 2, 3]
 
 
 @given(st.lists(st.integers(0, 100), min_size=1, max_size=60))
 def test_no_request_waits_longer_than_the_greatest_head_start(priorities: list[int]) -> None:
     """With one arrival and one free slot a second, only a head start makes a request wait."""
-    queue, slots = WaitingRoom(), Slots()
+    queue, slots = WaitQueue(), Slots()
     arrived: dict[str, float] = {}
     queue.add("lm", 0, 0.0, slots.attempt_for("first"))
     arrived["first"] = 0.0
@@ -119,7 +119,7 @@
 
 
 def test_count_of_requests_queued_ahead() -> None:
-    queue = WaitingRoom()
+    queue = WaitQueue()
     queue.add("a", 0, 1.0, lambda: False)
     queue.add("a", 0, 3.0, lambda: False)
     queue.add("a", 0, 2.0, lambda: False, lambda: True)
--- a/cleatlink/routing/workload.py
+++ b/cleatlink/routing/workload.py
@@ -39,7 +39,7 @@
         self._suspects = 0
 
     @property
-    def own(self) -> dict[str, Reservation]:
+    def own_reservations(self) -> dict[str, Reservation]:
         """This instance's reservations by key."""
         return self._own
 
@@ -80,15 +80,15 @@
             if key not in known or not _is_same(known[key], reservation):
                 self.peer_reserve(peer, key, reservation)
 
-    def has_work_of(self, peer: str) -> bool:
+    def has_reservations(self, peer: str) -> bool:
         """Check whether a peer has any reservations."""
         return bool(self._peers.get(peer))
 
-    def knows(self, peer: str, key: str) -> bool:
+    def has_reservation(self, peer: str, key: str) -> bool:
         """Check whether a peer has a reservation under a key."""
         return key in self._peers.get(peer, {})
 
-    def forget_peer(self, peer: str) -> None:
+    def remove_peer(self, peer: str) -> None:
         """Remove all work of a peer."""
         self.peer_replace(peer, {})
         self._peers.pop(peer, None)
@@ -113,32 +113,32 @@
         """Return the usage of an endpoint in a role: running work and its tokens."""
         return self._usage.get((name, role), _NO_USAGE)
 
-    def placed(self, name: str, role: Role) -> list[Reservation]:
+    def assigned(self, name: str, role: Role) -> list[Reservation]:
         """Return the work assigned to an endpoint in a role."""
         return self._assigned.get((name, role), [])
 
     def free_at(self, name: str, role: Role, now: float) -> float:
         """Return when all work of an endpoint in a role is expected to end."""
-        return max((work.expected_end(now) for work in self.placed(name, role)), default=now)
+        return max((work.expected_end(now) for work in self.assigned(name, role)), default=now)
 
     def peak_memory(
         self, name: str, work: Sequence[Reservation], now: float, spread: float = 0.0
     ) -> float:
         """Return the peak memory of a decode endpoint if it accepts additional work, in tokens."""
         profile = self._profiles.get(name)
-        if profile is None or not 0 <= now - profile.made_at <= _PROFILE_CACHE_S:
-            profile = MemoryProfile(self.placed(name, Role.DECODE), now)
+        if profile is None or not 0 <= now - profile.computed_at <= _PROFILE_CACHE_S:
+            profile = MemoryProfile(self.assigned(name, Role.DECODE), now)
             self._profiles[name] = profile
-        return profile.peak_with(work, now, spread)
+        return profile.peak_with_added(work, now, spread)
 
-    def suspicion(self, name: str) -> int:
+    def max_suspicion(self, name: str) -> int:
         """Return the highest suspicion among an endpoint's requests, 0 without work.
 
         The suspicion of a request is the number of crashes at which it was in progress.
         """
         if not self._suspects:
             return 0
-        work = (item for role in Role for item in self.placed(name, role))
+        work = (item for role in Role for item in self.assigned(name, role))
         return max((item.suspicion for item in work), default=0)
 
     def _add(self, reservation: Reservation, sign: int) -> None:
@@ -169,6 +169,6 @@
         and known.role is reported.role
         and known.tokens == reported.tokens
         and known.duration_s == reported.duration_s
-        and known.grows == reported.grows
+        and known.growth_tokens == reported.growth_tokens
         and known.suspicion == reported.suspicion
     )
--- a/cleatlink/scripts/commands.py
+++ b/cleatlink/scripts/commands.py
@@ -12,7 +12,7 @@
 import click
 import trio
 
-from cleatlink.clock import SuspensionClock, unix_ms
+from cleatlink.clock import SuspendAwareClock, unix_ms
 from cleatlink.core.address import Address, parse_address
 from cleatlink.core.errors import ConfigurationError, ListenError
 from cleatlink.platform import (
@@ -124,7 +124,7 @@
             load,
             PROTOCOL,
             lambda settings: PlatformStore(settings.store),
-            clock=SuspensionClock(),
+            clock=SuspendAwareClock(),
         )
     except* SettingsError as group:
         faults = [fault for error in _leaves(group) for fault in error.faults]
@@ -166,7 +166,7 @@
     if faults:
         raise click.UsageError("; ".join(faults))
     logs.write_logs()
-    trio.run(serving.run_daemon, settings, _print_addresses, clock=SuspensionClock())
+    trio.run(serving.run_daemon, settings, _print_addresses, clock=SuspendAwareClock())
 
 
 def _print_addresses(callers: Address, peers: Address) -> None:
--- a/cleatlink/serving/callers.py
+++ b/cleatlink/serving/callers.py
@@ -17,12 +17,12 @@
 from werkzeug.exceptions import HTTPException, RequestEntityTooLarge
 
 from cleatlink.core.data import Configuration, Refusal, ServiceKind
-from cleatlink.core.errors import ANSWERS, ErrorKind, RequestError
-from cleatlink.request import find_home, is_repeatable, parse_key_time
+from cleatlink.core.errors import ERROR_RESPONSES, ErrorKind, RequestError
+from cleatlink.request import find_home_data_centre, is_repeatable, parse_key_time
 from cleatlink.request.classify import (
     KEY_HEADER,
-    Arrival,
-    ModelOrder,
+    ClassifiedRequest,
+    IncomingRequest,
     classify_call,
     classify_model,
 )
@@ -223,7 +223,7 @@
     raw = await _read_body(configuration.limits.body_bytes)
     visit = _visit()
     name = visit.begin(parts)
-    order = classify_model(raw, chat, Arrival(name, _headers(), arrived), configuration)
+    order = classify_model(raw, chat, IncomingRequest(name, _headers(), arrived), configuration)
     flight = ModelFlight(order, parts.flight_parts())
     visit.attach(flight)
     parts.metrics.count_request(order.request.request_class)
@@ -236,7 +236,7 @@
     """Passes one flight's answer on to the caller and settles it."""
 
     def __init__(
-        self, flight: ModelFlight, order: ModelOrder, parts: CallerParts, arrived: float
+        self, flight: ModelFlight, order: ClassifiedRequest, parts: CallerParts, arrived: float
     ) -> None:
         self._flight = flight
         self._order = order
@@ -309,7 +309,7 @@
     headers = _headers()
     name = _visit().begin(parts)
     request_, request_class, service = classify_call(
-        service_name, Arrival(name, headers, arrived), configuration
+        service_name, IncomingRequest(name, headers, arrived), configuration
     )
     parts.metrics.count_request(request_class.name)
     repeatable = is_repeatable(service.unrepeatable, request.method, path)
@@ -334,7 +334,7 @@
     flight_parts = parts.flight_parts()
     if key is None or order.repeatable:
         return await CallFlight(order, flight_parts).run()
-    home = find_home(key, configuration.data_centres)
+    home = find_home_data_centre(key, configuration.data_centres)
     if parse_key_time(key) is None or home is None:
         detail = f"{KEY_HEADER} must be a UUIDv7, or data-centre:UUIDv7"
         return Refusal(ErrorKind.BAD_REQUEST, detail)
@@ -418,7 +418,7 @@
 
 def _refuse(parts: CallerParts, refusal: Refusal) -> Response:
     """Answer with an error; the table says how."""
-    answer = ANSWERS[refusal.kind]
+    answer = ERROR_RESPONSES[refusal.kind]
     response = _json(_error_body(parts, refusal), answer.status)
     response.headers["X-Ran"] = answer.ran
     retry_after_s = _retry_after_s(refusal)
@@ -430,7 +430,7 @@
 
 def _error_body(parts: CallerParts, refusal: Refusal) -> dict[str, Any]:
     parts.metrics.count_refusal(refusal.kind)
-    answer = ANSWERS[refusal.kind]
+    answer = ERROR_RESPONSES[refusal.kind]
     return {
         "error": {
             "message": refusal.detail,
@@ -446,10 +446,10 @@
 def _retry_after_s(refusal: Refusal) -> float | None:
     if refusal.retry_after_s is not None:
         return refusal.retry_after_s
-    return ANSWERS[refusal.kind].retry_after_s
+    return ERROR_RESPONSES[refusal.kind].retry_after_s
 
 
-def _join_answer(order: ModelOrder, events: list[bytes]) -> dict[str, Any]:
+def _join_answer(order: ClassifiedRequest, events: list[bytes]) -> dict[str, Any]:
     """Join a stream's events into the whole-answer form."""
     text = join_text(events, order.chat)
     last = msgspec.json.decode(events[-1]) if events else {"choices": [{}]}
--- a/cleatlink/serving/calls.py
+++ b/cleatlink/serving/calls.py
@@ -6,24 +6,30 @@
 import trio
 import xxhash
 
-from cleatlink.core.data import Endpoint, Ran, Refusal, Request, RequestClass
+from cleatlink.core.data import Endpoint, ExecutionStatus, Refusal, Request, RequestClass
 from cleatlink.core.errors import (
     EndpointError,
     ErrorKind,
 )
-from cleatlink.request import CallMachine, Claim, ClaimState, StoredAnswer
-from cleatlink.request.call import Answered, CallAction, CallEvent, Found, Send
+from cleatlink.request import CallMachine, ClaimResult, ClaimState, StoredAnswer
+from cleatlink.request.call_machine import (
+    AnswerReceived,
+    CallAction,
+    CallEvent,
+    EndpointFound,
+    SendCall,
+)
 from cleatlink.request.events import (
-    Cause,
+    CountRetry,
     DeadlinePassed,
-    Failed,
+    FailureCause,
+    FindPlacement,
     Finish,
-    Place,
+    OrderFailed,
+    PlacementFailed,
     Refuse,
-    Retried,
-    Unplaced,
 )
-from cleatlink.routing import Context, place_call
+from cleatlink.routing import Context, place_plain_call
 from cleatlink.serving.endpoints import PlainAnswer
 from cleatlink.serving.flight import PLACE_LIFETIME_S, FlightParts, cause_of
 from cleatlink.serving.peers import ClaimOrder, Peers, Settlement
@@ -61,7 +67,7 @@
     @property
     def surely_not_run(self) -> bool:
         """Whether no byte of the call can have left."""
-        return self._machine.ran is Ran.NO
+        return self._machine.ran is ExecutionStatus.NO
 
     async def run(self) -> PlainAnswer | Refusal:
         """Run the call to its end."""
@@ -75,7 +81,7 @@
                     return PlainAnswer(answer.status, answer.headers, answer.body)
                 case Refuse(refusal):
                     return refusal
-                case Retried(reason):
+                case CountRetry(reason):
                     self._parts.metrics.count_retry(reason)
                 case _:
                     actions += await self._perform(action)
@@ -87,9 +93,9 @@
         return self._machine.handle(event)
 
     async def _ask(self, action: CallAction) -> CallEvent:
-        if isinstance(action, Place):
+        if isinstance(action, FindPlacement):
             return await self._place(action.excluded)
-        assert isinstance(action, Send)
+        assert isinstance(action, SendCall)
         return await self._send(action.attempt, action.endpoint)
 
     async def _place(self, excluded: frozenset[str]) -> CallEvent:
@@ -97,26 +103,26 @@
         while True:
             now = trio.current_time()
             context = Context(self._parts.data_centre, excluded, now, self._parts.rng)
-            found = place_call(self._order.request_class, self._parts.view, context)
+            found = place_plain_call(self._order.request_class, self._parts.view, context)
             if isinstance(found, Endpoint):
                 self._placed_at = now
-                return Found(found)
+                return EndpointFound(found)
             if now >= give_up_at:
-                return Unplaced(found)
+                return PlacementFailed(found)
             with trio.move_on_at(give_up_at):
                 await self._parts.news.wait()
 
     async def _send(self, attempt: int, endpoint: Endpoint) -> CallEvent:
         if trio.current_time() - self._placed_at > PLACE_LIFETIME_S:
-            return Failed(attempt, endpoint, Cause.UNREACHABLE)
+            return OrderFailed(attempt, endpoint, FailureCause.UNREACHABLE)
         order = self._order
         try:
             answer = await self._parts.client.call(
                 endpoint, order.method, order.path, order.headers, order.body
             )
         except EndpointError as error:
-            return Failed(attempt, endpoint, cause_of(error))
-        return Answered(attempt, answer.status, answer.headers, answer.body)
+            return OrderFailed(attempt, endpoint, cause_of(error))
+        return AnswerReceived(attempt, answer.status, answer.headers, answer.body)
 
 
 async def run_keyed_call(
@@ -137,16 +143,16 @@
     return result
 
 
-async def _claim(order: CallOrder, key: str, home: str, peers: Peers) -> Claim:
+async def _claim(order: CallOrder, key: str, home: str, peers: Peers) -> ClaimResult:
     """Claim a key; while another copy of the call runs, wait for its answer."""
-    claim = Claim(ClaimState.RUNNING)
+    claim = ClaimResult(ClaimState.RUNNING)
     with trio.move_on_at(order.request.deadline):
         while claim.state is ClaimState.RUNNING:
             claim = await peers.claim(ClaimOrder(key, order.fingerprint), home)
     return claim
 
 
-def _answer_claim(claim: Claim) -> PlainAnswer | Refusal:
+def _answer_claim(claim: ClaimResult) -> PlainAnswer | Refusal:
     """Answer a claim that was not granted."""
     if claim.answer is not None:
         headers = {"content-type": claim.answer.content_type, "x-replayed": "true"}
--- a/cleatlink/serving/docs_test.py
+++ b/cleatlink/serving/docs_test.py
@@ -3,7 +3,7 @@
 import re
 from pathlib import Path
 
-from cleatlink.core.errors import ANSWERS
+from cleatlink.core.errors import ERROR_RESPONSES
 from cleatlink.serving.metrics import Metrics
 
 PAGES = Path(__file__).parents[2] / "docs/operators"
@@ -26,4 +26,4 @@
         name: (int(cells[0]), cells[1], None if cells[2] == "-" else float(cells[2]))
         for name, cells in rows("refusals.md").items()
     }
-    assert described == {kind.value: tuple(answer) for kind, answer in ANSWERS.items()}
+    assert described == {kind.value: tuple(answer) for kind, answer in ERROR_RESPONSES.items()}
--- a/cleatlink/serving/documents.py
+++ b/cleatlink/serving/documents.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from cleatlink.config import Adopter, Adoption, Published
+from cleatlink.config import ActiveConfiguration, OfferResult, PublishedConfiguration
 from cleatlink.core.data import Configuration, Fleet
 from cleatlink.core.errors import PlatformError
 from cleatlink.serving.logs import Log
@@ -32,12 +32,12 @@
         self._metrics = metrics
         self._on_configuration = on_configuration
         self._on_fleet = on_fleet
-        self._adopter = Adopter()
+        self._adopter = ActiveConfiguration()
         self._fleet: Document | None = None
         self._log = Log("config")
 
     @property
-    def adopter(self) -> Adopter:
+    def adopter(self) -> ActiveConfiguration:
         """The configuration in force and how it came about."""
         return self._adopter
 
@@ -54,7 +54,7 @@
     def revision(self, kind: DocumentKind) -> int:
         """Give the revision of a document; 0 before the first."""
         if kind is DocumentKind.CONFIG:
-            return self._adopter.highest_seen
+            return self._adopter.highest_validated_revision
         return self._fleet.revision if self._fleet else 0
 
     def offer(self, kind: DocumentKind, document: Document) -> bool:
@@ -67,17 +67,17 @@
         if not isinstance(document.value, str):
             self._log.say("configuration is no text.", revision=document.revision)
             return False
-        outcome = self._adopter.offer(Published(document.revision, document.value))
+        outcome = self._adopter.offer(PublishedConfiguration(document.revision, document.value))
         self._metrics.count_adoption(outcome.value, self._adopter.revision)
-        if outcome is Adoption.INVALID:
+        if outcome is OfferResult.INVALID:
             faults = [str(fault) for fault in self._adopter.faults[:10]]
             self._log.say("configuration refused.", revision=document.revision, faults=faults)
-        elif outcome is Adoption.CONFLICT:
+        elif outcome is OfferResult.CONFLICT:
             self._log.say("two configurations have one revision.", revision=document.revision)
-        elif outcome is Adoption.ADOPTED and self._adopter.configuration is not None:
+        elif outcome is OfferResult.ADOPTED and self._adopter.configuration is not None:
             self._log.say("configuration in force.", revision=document.revision)
             self._on_configuration(self._adopter.configuration)
-        return outcome is Adoption.ADOPTED
+        return outcome is OfferResult.ADOPTED
 
     def _offer_fleet(self, document: Document) -> bool:
         if self._fleet is not None and document.revision <= self._fleet.revision:
--- a/cleatlink/serving/endpoints.py
+++ b/cleatlink/serving/endpoints.py
@@ -15,16 +15,16 @@
 import msgspec
 import trio
 
-from cleatlink.core.data import CacheNews, Endpoint, FencedOrder, KvHandle, LoadReport, Role
+from cleatlink.core.data import CacheUpdate, Endpoint, FencedCommand, KvHandle, LoadReport, Role
 from cleatlink.core.errors import (
     EndpointError,
     EndpointRefusedError,
     EndpointUnreachableError,
-    FenceError,
     OutcomeUnknownError,
+    StaleFenceError,
     StreamBrokenError,
 )
-from cleatlink.core.notices import read_rest_s
+from cleatlink.core.notices import parse_backoff_s
 
 __all__ = [
     "EndpointClient",
@@ -88,7 +88,7 @@
     """An endpoint's answer to one question for its state."""
 
     load: LoadReport
-    cache: CacheNews
+    cache: CacheUpdate
 
 
 class PlainAnswer(NamedTuple):
@@ -143,7 +143,7 @@
         """Ask for an endpoint's load, and for its cache events after a number."""
 
     @abstractmethod
-    async def give_order(self, endpoint: Endpoint, order: FencedOrder) -> None:
+    async def give_order(self, endpoint: Endpoint, order: FencedCommand) -> None:
         """Order a desired state.
 
         Raises:
@@ -311,12 +311,12 @@
         except (httpx.HTTPError, msgspec.MsgspecError, TypeError, ValueError) as error:
             raise EndpointError(f"no load report: {error!r}") from error
 
-    async def give_order(self, endpoint: Endpoint, order: FencedOrder) -> None:
+    async def give_order(self, endpoint: Endpoint, order: FencedCommand) -> None:
         """Order a desired state."""
         try:
             response = await self._send(endpoint.address, "/v1/orders", order._asdict(), {})
         except EndpointRefusedError as error:
-            raise FenceError(str(error)) from error
+            raise StaleFenceError(str(error)) from error
         await response.aclose()
 
     async def call(
@@ -382,7 +382,7 @@
         if error["ran"] == "no":
             values = (value.encode() for value in response.headers.get_list("retry-after"))
             leaving = error["code"] == "leaving"
-            return EndpointRefusedError(str(error["code"]), leaving, read_rest_s(values))
+            return EndpointRefusedError(str(error["code"]), leaving, parse_backoff_s(values))
     except (httpx.HTTPError, msgspec.MsgspecError, KeyError, TypeError):
         pass
     return OutcomeUnknownError(f"status {response.status_code}")
@@ -405,7 +405,7 @@
     )
 
 
-def read_cache_news(data: Mapping[str, Any], after: int) -> CacheNews:
+def read_cache_news(data: Mapping[str, Any], after: int) -> CacheUpdate:
     """Read cache events; an endpoint without them has none.
 
     Numbers without a hole mean that nothing was lost. An endpoint that counts
@@ -415,7 +415,7 @@
     numbers = [int(event["number"]) for event in events]
     last = int(data.get("last_event", after))
     expected = range(after + 1, max(last, after) + 1)
-    return CacheNews(
+    return CacheUpdate(
         tuple(int(event["prefix"]) for event in events if event["stored"]),
         tuple(int(event["prefix"]) for event in events if not event["stored"]),
         last,
--- a/cleatlink/serving/entry.py
+++ b/cleatlink/serving/entry.py
@@ -13,9 +13,9 @@
 
 from cleatlink.core.data import Configuration, Fleet, Refusal, Role
 from cleatlink.core.errors import EndpointError, ErrorKind
-from cleatlink.members import Members, State
+from cleatlink.members import MembershipView, ReportedState
 from cleatlink.request import RetryBudget
-from cleatlink.routing import FleetView, WaitingRoom, place_request
+from cleatlink.routing import FleetView, WaitQueue, place_request
 from cleatlink.serving.callers import CallerApp, CallerParts, build_caller_app
 from cleatlink.serving.cancels import Canceller
 from cleatlink.serving.documents import DocumentStore, watch_platform
@@ -65,12 +65,12 @@
         self._metrics = Metrics()
         self._view = FleetView()
         self._news = News()
-        self._room = WaitingRoom()
+        self._room = WaitQueue()
         self._rng = random.Random(settings.seed)
         self._budget = RetryBudget(_DEFAULT_RETRY_SHARE)
         self._canceller = Canceller(self._client, self._metrics)
         self._store = DocumentStore(self._metrics, self._use_configuration, self._use_fleet)
-        self._members = Members(settings.name, settings.data_centre, trio.current_time())
+        self._members = MembershipView(settings.name, settings.data_centre, trio.current_time())
         parts = PeerParts(
             settings,
             outside.link,
@@ -125,11 +125,11 @@
     async def stop(self) -> None:
         """Stop as planned: take nothing new and finish everything."""
         self._stopping = True
-        self._peers.set_state(State.LEAVING)
+        self._peers.set_state(ReportedState.LEAVING)
         self._log.say("stops when its work is done.", in_flight=self._in_flight)
         while self._in_flight or self._canceller.pending:
             await trio.sleep(_STOP_POLL_S)
-        self._peers.set_state(State.LEAVING)
+        self._peers.set_state(ReportedState.LEAVING)
         self._log.say("has stopped.")
 
     def _use_configuration(self, configuration: Configuration) -> None:
@@ -158,10 +158,10 @@
     def _change(self) -> None:
         """Let those who wait try again."""
         self._news.spread()
-        self._room.offer()
+        self._room.place_waiting()
 
     def _use_fleet(self, fleet: Fleet) -> None:
-        self._view.set_fleet(fleet)
+        self._view.update_fleet(fleet)
         self._members.set_instances(fleet.instances, trio.current_time())
         self._change()
 
@@ -195,7 +195,7 @@
         """Count a request in and name it; names are unique over all instances."""
         self._in_flight += 1
         self._request_count += 1
-        self._budget.earn()
+        self._budget.count_request()
         self._metrics.set_in_flight(self._in_flight)
         settings = self._settings
         return f"{settings.name}-{settings.incarnation:x}-{self._request_count:x}"
@@ -218,7 +218,7 @@
                 await self._ask_peers(nursery)
         await self._poll_once()
         self._ready = True
-        self._peers.set_state(State.READY)
+        self._peers.set_state(ReportedState.READY)
         self._log.say("is ready.", revision=self._store.adopter.revision)
 
     async def _ask_platform(self, nursery: trio.Nursery) -> None:
@@ -264,10 +264,10 @@
         try:
             endpoint = self._view.endpoint(name)
             if endpoint is not None:
-                after = self._view.last_event(name)
+                after = self._view.last_event_number(name)
                 report = await self._client.report(endpoint, role, after)
-                self._view.report(report.load, trio.current_time())
-                self._view.cache_news(name, report.cache)
+                self._view.add_report(report.load, trio.current_time())
+                self._view.apply_cache_events(name, report.cache)
                 self._change()
         except EndpointError:
             # Its last report grows old, and with it the endpoint unusable.
@@ -286,7 +286,7 @@
             "waiting": len(self._room),
             "cancels_pending": self._canceller.pending,
             "endpoints": {
-                endpoint.name: "usable" if self._view.usable(endpoint, now) else "not usable"
+                endpoint.name: "usable" if self._view.is_usable(endpoint, now) else "not usable"
                 for endpoint in self._view.fleet.endpoints
             },
             "refusals": self._metrics.refusals(),
--- a/cleatlink/serving/flight.py
+++ b/cleatlink/serving/flight.py
@@ -30,39 +30,39 @@
     ErrorKind,
     StreamBrokenError,
 )
-from cleatlink.request.budget import RetryBudget
-from cleatlink.request.classify import ModelOrder
+from cleatlink.request.classify import ClassifiedRequest
 from cleatlink.request.events import (
     Action,
-    Broken,
-    CallerGone,
+    CallerDisconnected,
     Cancel,
-    Cause,
+    CountRetry,
+    CountWastedPrefill,
     DeadlinePassed,
-    Decode,
     Event,
-    Failed,
+    FailureCause,
+    FindPlacement,
     Finish,
-    Opened,
-    Place,
-    Placed,
-    Prefill,
+    ForwardEvent,
+    OrderFailed,
+    PlacementFailed,
+    PlacementFound,
     PrefillDone,
-    Read,
-    Received,
+    ReadStreamEvent,
     Refuse,
-    Relay,
-    Resume,
-    Retried,
-    Unplaced,
-    Wasted,
+    ResumeStream,
+    SendDecode,
+    SendPrefill,
+    StreamBroken,
+    StreamEventReceived,
+    StreamOpened,
 )
-from cleatlink.request.machine import ModelMachine
+from cleatlink.request.model_machine import ModelRequestMachine
+from cleatlink.request.retry_budget import RetryBudget
 from cleatlink.routing import (
     Context,
     FleetView,
-    WaitingRoom,
-    note_decode,
+    WaitQueue,
+    note_decode_started,
     place_request,
     release_request,
     reserve_request,
@@ -139,7 +139,7 @@
     canceller: Canceller
     view: FleetView
     news: News
-    room: WaitingRoom
+    room: WaitQueue
     on_change: Callable[[], None]
     metrics: Metrics
     budget: RetryBudget
@@ -155,11 +155,11 @@
 class ModelFlight:
     """One model request on its way."""
 
-    def __init__(self, order: ModelOrder, parts: FlightParts) -> None:
+    def __init__(self, order: ClassifiedRequest, parts: FlightParts) -> None:
         self._order = order
         self._request = order.request
         self._parts = parts
-        self._machine = ModelMachine(order.request.name, parts.limits, parts.budget)
+        self._machine = ModelRequestMachine(order.request.name, parts.limits, parts.budget)
         self._actions: deque[Action] = deque(self._machine.start())
         self._stream: EventStream | None = None
         self._relayed: list[bytes] = []
@@ -183,14 +183,14 @@
         while True:
             action = self._actions.popleft()
             match action:
-                case Read(attempt):
+                case ReadStreamEvent(attempt):
                     received = self._take_waiting(attempt)
                     if received is None and out:
                         self._actions.appendleft(action)
                         return Tokens(out)
                     event = received or await self._read(attempt)
                     self._actions.extend(self._machine.handle(event))
-                case Relay(position, data):
+                case ForwardEvent(position, data):
                     self._relayed.append(data)
                     out.append((position, data))
                 case Finish() | Refuse() if out:
@@ -209,8 +209,8 @@
         if self._closed:
             return
         self._closed = True
-        for action in [*self._actions, *self._machine.handle(CallerGone())]:
-            if isinstance(action, Cancel | Wasted):
+        for action in [*self._actions, *self._machine.handle(CallerDisconnected())]:
+            if isinstance(action, Cancel | CountWastedPrefill):
                 self._carry_out(action)
         release_request(self._parts.view, self._request, trio.current_time())
         self._parts.on_change()
@@ -224,14 +224,14 @@
             with trio.CancelScope(shield=True, deadline=trio.current_time() + 1.0):
                 await stream.close()
 
-    def _take_waiting(self, attempt: int) -> Received | None:
+    def _take_waiting(self, attempt: int) -> StreamEventReceived | None:
         """Take an event that has arrived already."""
         event = self._stream.take_waiting() if self._stream is not None else None
-        return None if event is None else Received(attempt, *event)
+        return None if event is None else StreamEventReceived(attempt, *event)
 
     async def _perform(self, action: Action) -> None:
         """Carry one action out; what comes of it goes to the machine."""
-        if isinstance(action, Cancel | Wasted | Retried):
+        if isinstance(action, Cancel | CountWastedPrefill | CountRetry):
             self._carry_out(action)
             return
         event: Event = DeadlinePassed()
@@ -241,13 +241,13 @@
 
     async def _ask(self, action: Action) -> Event:
         match action:
-            case Place(excluded):
+            case FindPlacement(excluded):
                 return await self._place(excluded)
-            case Prefill():
+            case SendPrefill():
                 return await self._prefill(action)
-            case Decode():
+            case SendDecode():
                 return await self._decode(action)
-            case Resume():
+            case ResumeStream():
                 return await self._resume(action)
         raise AssertionError(f"not an action to wait for: {action}")
 
@@ -256,9 +256,9 @@
         match action:
             case Cancel(endpoint, attempt):
                 self._parts.canceller.cancel(endpoint.address, self._request.name, attempt)
-            case Wasted():
+            case CountWastedPrefill():
                 self._parts.metrics.count_wasted(self._request.prompt_tokens)
-            case Retried(reason):
+            case CountRetry(reason):
                 self._parts.metrics.count_retry(reason)
                 _LOG.say("is tried again.", request=self._request.name, reason=reason)
 
@@ -272,7 +272,7 @@
             found = self._try_place(excluded)
         if isinstance(found, Refusal) and found.kind in _WORTH_WAITING:
             found = await self._wait_for_place(excluded, found)
-        return Placed(found) if isinstance(found, Placement) else Unplaced(found)
+        return PlacementFound(found) if isinstance(found, Placement) else PlacementFailed(found)
 
     async def _wait_for_place(
         self, excluded: frozenset[str], found: Placement | Refusal
@@ -304,18 +304,18 @@
         wanted, view, request = self._order.request_class, self._parts.view, self._request
         if self.attempts:
             # It has been taken in and cost a prefill: late is better than never.
-            request = request._replace(first_token_by=math.inf)
+            request = request._replace(first_token_deadline=math.inf)
         found = self._parts.place(request, wanted, view, context)
         if isinstance(found, Placement):
             reserve_request(view, request, found, now)
             self._placed_at = now
         return found
 
-    async def _prefill(self, action: Prefill) -> Event:
+    async def _prefill(self, action: SendPrefill) -> Event:
         placement, attempt = action.placement, action.attempt
         self._send_note(attempt, placement)
         if trio.current_time() - self._placed_at > PLACE_LIFETIME_S:
-            return Failed(attempt, placement.prefill, Cause.UNREACHABLE)
+            return OrderFailed(attempt, placement.prefill, FailureCause.UNREACHABLE)
         self._parts.metrics.count_prefill(self._request.prompt_tokens)
         order = self._make_order(placement.prefill, attempt, action.position)
         try:
@@ -323,15 +323,15 @@
                 kv = await self._parts.client.prefill(order)
         except (EndpointError, trio.TooSlowError) as error:
             return self._fail(attempt, placement.prefill, error)
-        note_decode(self._parts.view, self._request, trio.current_time())
+        note_decode_started(self._parts.view, self._request, trio.current_time())
         self._parts.on_change()
         return PrefillDone(attempt, kv)
 
-    async def _decode(self, action: Decode) -> Event:
+    async def _decode(self, action: SendDecode) -> Event:
         order = self._make_order(action.placement.decode, action.attempt, action.position)
         return await self._open(order, action.kv)
 
-    async def _resume(self, action: Resume) -> Event:
+    async def _resume(self, action: ResumeStream) -> Event:
         return await self._open(self._make_order(action.endpoint, action.attempt, action.position))
 
     async def _open(self, order: Order, kv: KvHandle | None = None) -> Event:
@@ -346,31 +346,31 @@
                     self._stream = await client.decode(order, kv)
         except (EndpointError, trio.TooSlowError) as error:
             return self._fail(order.attempt, order.endpoint, error)
-        return Opened(order.attempt)
+        return StreamOpened(order.attempt)
 
     async def _read(self, attempt: int) -> Event:
         """Read the next event; this runs for each token, so it has one scope only."""
         if self._stream is None:
-            return Broken(attempt)
+            return StreamBroken(attempt)
         deadline = self._request.deadline
         stalled_at = trio.current_time() + self._parts.stall_timeout_s
         with trio.CancelScope(deadline=min(deadline, stalled_at)) as scope:
             try:
-                return Received(attempt, *await self._stream.read())
+                return StreamEventReceived(attempt, *await self._stream.read())
             except StreamBrokenError:
-                return Broken(attempt)
+                return StreamBroken(attempt)
         assert scope.cancelled_caught
-        return DeadlinePassed() if deadline <= stalled_at else Broken(attempt)
+        return DeadlinePassed() if deadline <= stalled_at else StreamBroken(attempt)
 
-    def _fail(self, attempt: int, endpoint: Endpoint, error: Exception) -> Failed:
+    def _fail(self, attempt: int, endpoint: Endpoint, error: Exception) -> OrderFailed:
         view, now = self._parts.view, trio.current_time()
         if not isinstance(error, EndpointRefusedError):
             view.note_failure(endpoint.name, now)
         elif error.leaving:
-            view.refuse_leaving(endpoint.name, now)
+            view.note_leaving_refusal(endpoint.name, now)
         elif error.rest_s:
-            view.note_rest(endpoint.name, error.rest_s, now)
-        return Failed(attempt, endpoint, cause_of(error))
+            view.note_backoff(endpoint.name, error.rest_s, now)
+        return OrderFailed(attempt, endpoint, cause_of(error))
 
     def _make_order(self, endpoint: Endpoint, attempt: int, position: int) -> Order:
         text = join_text(self._relayed, self._order.chat) if position else ""
@@ -384,11 +384,11 @@
         self._parts.send_note(self._request.name, attempt, addresses, left)
 
 
-def cause_of(error: Exception) -> Cause:
+def cause_of(error: Exception) -> FailureCause:
     """Tell what an endpoint's failure says about whether the order ran."""
     if isinstance(error, EndpointUnreachableError):
-        return Cause.UNREACHABLE
-    return Cause.REFUSED if isinstance(error, EndpointRefusedError) else Cause.UNKNOWN
+        return FailureCause.UNREACHABLE
+    return FailureCause.REFUSED if isinstance(error, EndpointRefusedError) else FailureCause.UNKNOWN
 
 
 def join_text(events: list[bytes], chat: bool) -> str:
--- a/cleatlink/serving/parsers_test.py
+++ b/cleatlink/serving/parsers_test.py
@@ -6,18 +6,18 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cleatlink.core.data import CacheNews, Endpoint, Role
+from cleatlink.core.data import CacheUpdate, Endpoint, Role
 from cleatlink.core.errors import ConfigurationError, PlatformError, StreamBrokenError
-from cleatlink.members import Heartbeat, State
-from cleatlink.request import Note
+from cleatlink.members import Heartbeat, ReportedState
+from cleatlink.request import InFlightNote
 from cleatlink.serving.endpoints import StreamEvent, parse_event, read_cache_news, read_report
 from cleatlink.serving.flight import join_text
 from cleatlink.serving.peer_link import Message, decode_message, encode_message
 from cleatlink.serving.platform import Document, read_fleet
 from cleatlink.serving.settings import Address, Settings, check_settings, parse_address
 
-BEAT = Heartbeat("e1", 1, "a", "127.0.0.1:1", State.READY, 3, ("d1",), 7)
-NOTE = Note("r", "e1", 1, 0, ("p1",), 3.5)
+BEAT = Heartbeat("e1", 1, "a", "127.0.0.1:1", ReportedState.READY, 3, ("d1",), 7)
+NOTE = InFlightNote("r", "e1", 1, 0, ("p1",), 3.5)
 
 
 def test_events() -> None:
@@ -54,7 +54,7 @@
     data = bytearray(encode_message(Message("beat", BEAT)))
     data[at % len(data)] = value
     message = decode_message(bytes(data))
-    assert message is None or isinstance(message.value, Heartbeat | Note | str)
+    assert message is None or isinstance(message.value, Heartbeat | InFlightNote | str)
 
 
 def test_fleet_is_read_or_refused() -> None:
@@ -78,11 +78,11 @@
         return {"number": number, "prefix": 10 + number, "stored": number % 2 == 1}
 
     whole = {"cache_events": [event(4), event(5)], "last_event": 5}
-    assert read_cache_news(whole, 3) == CacheNews((15,), (14,), 5, False)
+    assert read_cache_news(whole, 3) == CacheUpdate((15,), (14,), 5, False)
     assert read_cache_news(whole, 2).gap
     assert read_cache_news({"cache_events": [event(5)], "last_event": 5}, 3).gap
     assert read_cache_news({"cache_events": [], "last_event": 1}, 3).gap
-    assert read_cache_news({}, 3) == CacheNews((), (), 3, False)
+    assert read_cache_news({}, 3) == CacheUpdate((), (), 3, False)
 
 
 @given(st.lists(st.binary(max_size=30)), st.booleans())
--- a/cleatlink/serving/peer_link.py
+++ b/cleatlink/serving/peer_link.py
@@ -15,7 +15,7 @@
 
 from cleatlink.core.errors import PeerError, PeerUnreachableError
 from cleatlink.members import Heartbeat
-from cleatlink.request import Note
+from cleatlink.request import InFlightNote
 from cleatlink.serving.settings import Address, parse_address
 
 __all__ = ["HttpPeerLink", "Message", "PeerLink", "decode_message", "encode_message"]
@@ -23,7 +23,7 @@
 # No datagram is larger.
 _MAX_BYTES = 65_536
 _TIMEOUT_S = 5.0
-_KINDS: dict[str, type] = {"beat": Heartbeat, "note": Note, "ack": str, "drop": str}
+_KINDS: dict[str, type] = {"beat": Heartbeat, "note": InFlightNote, "ack": str, "drop": str}
 
 
 class Message(NamedTuple):
--- a/cleatlink/serving/peer_link_test.py
+++ b/cleatlink/serving/peer_link_test.py
@@ -2,7 +2,7 @@
 
 import trio
 
-from cleatlink.members import Heartbeat, State
+from cleatlink.members import Heartbeat, ReportedState
 from cleatlink.serving.peer_link import HttpPeerLink, Message, encode_message
 from cleatlink.serving.settings import Address
 from standins.ports import free_port
@@ -11,7 +11,7 @@
 def heartbeat(leaving: int) -> Message:
     """Make a heartbeat that names so many endpoints that leave."""
     names = tuple(f"endpoint-of-a-usual-name-{number}" for number in range(leaving))
-    return Message("beat", Heartbeat("e1", 1, "a", "127.0.0.1:1", State.READY, 3, names, 0))
+    return Message("beat", Heartbeat("e1", 1, "a", "127.0.0.1:1", ReportedState.READY, 3, names, 0))
 
 
 async def test_heartbeat_that_names_many_leaving_endpoints_is_heard() -> None:
--- a/cleatlink/serving/peers.py
+++ b/cleatlink/serving/peers.py
@@ -11,9 +11,16 @@
 import trio
 
 from cleatlink.core.errors import PeerError, PeerUnreachableError
-from cleatlink.members import Heartbeat, Members, Peer, PeerState, State
-from cleatlink.members.view import HEARTBEAT_S
-from cleatlink.request import Claim, ClaimState, KeyRegistry, Note, NoteBook, StoredAnswer
+from cleatlink.members import Heartbeat, MembershipView, Peer, PeerState, ReportedState
+from cleatlink.members.membership import HEARTBEAT_INTERVAL_S
+from cleatlink.request import (
+    ClaimResult,
+    ClaimState,
+    IdempotencyKeyRegistry,
+    InFlightNote,
+    InFlightNotes,
+    StoredAnswer,
+)
 from cleatlink.routing import FleetView
 from cleatlink.serving.cancels import Canceller
 from cleatlink.serving.documents import DocumentStore
@@ -84,13 +91,13 @@
 class Peers:
     """This instance among the others."""
 
-    def __init__(self, parts: PeerParts, members: Members) -> None:
+    def __init__(self, parts: PeerParts, members: MembershipView) -> None:
         self._parts = parts
         self._members = members
-        self._notes = NoteBook()
-        self._keys = KeyRegistry()
-        self._state = State.STARTING
-        self._unconfirmed: dict[tuple[str, str], Note] = {}
+        self._notes = InFlightNotes()
+        self._keys = IdempotencyKeyRegistry()
+        self._state = ReportedState.STARTING
+        self._unconfirmed: dict[tuple[str, str], InFlightNote] = {}
         self._keepers: dict[str, list[Peer]] = {}
         # Highest revision of a configuration that peers have in force.
         self._newest_told = 0
@@ -102,19 +109,19 @@
         self._log = Log("peers")
 
     @property
-    def members(self) -> Members:
+    def members(self) -> MembershipView:
         """The membership as this instance sees it."""
         return self._members
 
     @property
-    def state(self) -> State:
+    def state(self) -> ReportedState:
         """What this instance says of itself."""
         return self._state
 
     @property
     def knows_newer_configuration(self) -> bool:
         """Whether a peer told of a configuration that this instance has not seen yet."""
-        return self._newest_told > self._parts.store.adopter.highest_seen
+        return self._newest_told > self._parts.store.adopter.highest_validated_revision
 
     def start(self, nursery: trio.Nursery) -> None:
         """Beat and listen in a nursery from now on."""
@@ -123,7 +130,7 @@
         nursery.start_soon(self._listen_always, nursery)
         nursery.start_soon(self._watch_always)
 
-    def set_state(self, state: State) -> None:
+    def set_state(self, state: ReportedState) -> None:
         """Say something else of this instance, and say it at once."""
         self._state = state
         self._beat()
@@ -134,9 +141,11 @@
         """Tell two peers of a request in flight, before its order leaves."""
         now = trio.current_time()
         settings = self._parts.settings
-        note = Note(name, settings.name, settings.incarnation, attempt, endpoints, expires_in_s)
+        note = InFlightNote(
+            name, settings.name, settings.incarnation, attempt, endpoints, expires_in_s
+        )
         if name not in self._keepers:
-            self._keepers[name] = self._members.note_keepers(name, now)
+            self._keepers[name] = self._members.choose_note_keepers(name, now)
         for peer in self._keepers[name]:
             self._unconfirmed[peer.address, name] = note
             self._send(peer.address, "note", note)
@@ -147,21 +156,21 @@
             self._unconfirmed.pop((peer.address, name), None)
             self._send(peer.address, "drop", name)
 
-    async def claim(self, order: ClaimOrder, home: str) -> Claim:
+    async def claim(self, order: ClaimOrder, home: str) -> ClaimResult:
         """Ask a key's owner for leave to run it."""
         owner = self._members.owner(order.key, home, trio.current_time())
         if owner is None:
-            return Claim(ClaimState.UNAVAILABLE)
+            return ClaimResult(ClaimState.UNAVAILABLE)
         if owner.name == self._members.name:
             return await self._claim_here(order)
         try:
             data = await self._ask(owner.address, _CLAIM, order)
-            return msgspec.msgpack.decode(data, type=Claim)
+            return msgspec.msgpack.decode(data, type=ClaimResult)
         except PeerUnreachableError:
-            return Claim(ClaimState.UNAVAILABLE)
+            return ClaimResult(ClaimState.UNAVAILABLE)
         except (PeerError, msgspec.MsgspecError):
             # The owner may have granted the key to this claim and its answer was lost.
-            return Claim(ClaimState.UNKNOWN)
+            return ClaimResult(ClaimState.UNKNOWN)
 
     async def settle(self, settlement: Settlement, home: str) -> None:
         """Tell a key's owner how the call ended; a loss leaves it unknown."""
@@ -229,7 +238,7 @@
             return None
         raise PeerError(f"no such question: {path}")
 
-    async def _claim_here(self, order: ClaimOrder) -> Claim:
+    async def _claim_here(self, order: ClaimOrder) -> ClaimResult:
         """Judge a claim; one for a key that is being run waits a little."""
         claim = self._judge_claim(order)
         with trio.move_on_after(_CLAIM_WAIT_S):
@@ -239,16 +248,16 @@
         return claim
 
     def _settle_here(self, settlement: Settlement) -> None:
-        self._keys.settle(settlement.key, settlement.answer)
+        self._keys.record_outcome(settlement.key, settlement.answer)
         self._settled.spread()
 
-    def _judge_claim(self, order: ClaimOrder) -> Claim:
+    def _judge_claim(self, order: ClaimOrder) -> ClaimResult:
         now = trio.current_time()
         since = self._members.owner_since(now)
         # Keys carry callers' wall-clock times; ownership is kept on the monotonic one.
         wall_since = self._parts.wall_time() - (now - since)
         just_woken = now - self._last_tick > _PAUSE_S
-        if just_woken or self._state is State.LEAVING:
+        if just_woken or self._state is ReportedState.LEAVING:
             wall_since = math.inf
         return self._keys.claim(order.key, order.fingerprint, wall_since, self._parts.wall_time())
 
@@ -282,7 +291,7 @@
             self._parts.link.address,
             self._state,
             self._parts.store.adopter.revision,
-            self._parts.view.leaving(now),
+            self._parts.view.leaving_endpoints(now),
             self._members.members_hash(now),
         )
         for address in sorted(self.addresses(now) - {self._parts.link.address}):
@@ -302,7 +311,7 @@
         while True:
             self._beat()
             self._repeat_notes()
-            await trio.sleep(HEARTBEAT_S)
+            await trio.sleep(HEARTBEAT_INTERVAL_S)
 
     async def _listen_always(self, nursery: trio.Nursery) -> None:
         while True:
@@ -318,22 +327,22 @@
         match value:
             case Heartbeat():
                 self._take_heartbeat(value, now, nursery)
-            case Note():
-                self._notes.put(value, now)
+            case InFlightNote():
+                self._notes.add(value, now)
                 self._send(sender, "ack", value.request)
             case str() if kind == "ack":
                 self._unconfirmed.pop((sender, value), None)
             case str():
-                self._notes.drop(value)
+                self._notes.remove(value)
 
     def _take_heartbeat(self, heartbeat: Heartbeat, now: float, nursery: trio.Nursery) -> None:
-        if not self._members.hear(heartbeat, now):
+        if not self._members.receive_heartbeat(heartbeat, now):
             return
-        self._notes.declare_alive(heartbeat.name, heartbeat.incarnation)
-        for name in heartbeat.leaving:
-            self._parts.view.hear_leaving(name, now)
+        self._notes.mark_alive(heartbeat.name, heartbeat.incarnation)
+        for name in heartbeat.leaving_endpoints:
+            self._parts.view.note_peer_leaving(name, now)
         self._newest_told = max(self._newest_told, heartbeat.revision)
-        if heartbeat.revision > self._parts.store.adopter.highest_seen:
+        if heartbeat.revision > self._parts.store.adopter.highest_validated_revision:
             nursery.start_soon(self.fetch_documents, heartbeat.peer_address)
 
     async def _watch_always(self) -> None:
@@ -345,11 +354,11 @@
             self._last_tick = now
             if paused:
                 # Silence during an own pause says nothing of the others.
-                self._members.forgive_silence(now)
+                self._members.restart_silence_timers(now)
                 continue
-            for name, incarnation in self._members.take_dead(now):
+            for name, incarnation in self._members.remove_dead(now):
                 self._log.say("peer is dead.", peer=name)
-                self._notes.declare_dead(name, incarnation, now)
+                self._notes.mark_dead(name, incarnation, now)
             for orphan in self._notes.take_due(now):
                 self._parts.canceller.cancel(orphan.address, orphan.request, orphan.attempt)
 
--- a/demo/cluster_test.py
+++ b/demo/cluster_test.py
@@ -7,8 +7,8 @@
 import pytest
 import trio
 
-from cleatlink.core.data import CacheNews, Endpoint, FencedOrder, Role
-from cleatlink.core.errors import FenceError
+from cleatlink.core.data import CacheUpdate, Endpoint, FencedCommand, Role
+from cleatlink.core.errors import StaleFenceError
 from cleatlink.routing import hash_prefix
 from cleatlink.serving.endpoints import HttpEndpointClient
 from demo.cluster import Cluster
@@ -90,18 +90,18 @@
     async def ask(
         cluster: Cluster, caller: Caller, client: HttpEndpointClient, endpoint: Endpoint
     ) -> None:
-        await client.give_order(endpoint, FencedOrder("role", "decode", 1, 7))
-        with pytest.raises(FenceError):
-            await client.give_order(endpoint, FencedOrder("role", "prefill", 1, 7))
+        await client.give_order(endpoint, FencedCommand("role", "decode", 1, 7))
+        with pytest.raises(StaleFenceError):
+            await client.give_order(endpoint, FencedCommand("role", "prefill", 1, 7))
         assert (await cluster.ledger("p1"))["state"] == {"role": "decode"}
         while (await client.report(endpoint, Role.BOTH, 0)).load.fence != 7:
             await trio.sleep(0.05)
         await caller.ask("e1", cluster.entries["e1"].address, ASK)
-        news = CacheNews((), (), 0, False)
+        news = CacheUpdate((), (), 0, False)
         while not news.added:
             news = (await client.report(endpoint, Role.BOTH, 0)).cache
-        assert news == CacheNews((hash_prefix(ASK.prompt.encode()),), (), 1, False)
-        assert (await client.report(endpoint, Role.BOTH, 1)).cache == CacheNews((), (), 1, False)
+        assert news == CacheUpdate((hash_prefix(ASK.prompt.encode()),), (), 1, False)
+        assert (await client.report(endpoint, Role.BOTH, 1)).cache == CacheUpdate((), (), 1, False)
 
     with_cluster(story)
 
--- a/examples/place.py
+++ b/examples/place.py
@@ -18,9 +18,9 @@
 view.set_configuration(configuration)
 prefill = Endpoint("p1", "10.0.0.1:80", "praha-a", "bublina-prefill")
 decode = Endpoint("d1", "10.0.0.2:80", "praha-a", "bublina-decode")
-view.set_fleet(Fleet(1, (prefill, decode), ()))
+view.update_fleet(Fleet(1, (prefill, decode), ()))
 for name, role in (("p1", Role.PREFILL), ("d1", Role.DECODE)):
-    view.report(LoadReport(name, "1", role, 16, 3, 0, 200_000, 90_000, False, 50_000.0), 0.0)
+    view.add_report(LoadReport(name, "1", role, 16, 3, 0, 200_000, 90_000, False, 50_000.0), 0.0)
 
 request = Request(
     "r1", "reader", "lm-bublina", "bublina-translate", "translation", 900, 120, 7, 20.0
--- a/features/cache_test.py
+++ b/features/cache_test.py
@@ -39,7 +39,7 @@
 
 def test_events_save_prefill(monkeypatch: pytest.MonkeyPatch) -> None:
     with_events = computed_tokens()
-    monkeypatch.setattr(FleetView, "cache_news", lambda *arguments: None)
+    monkeypatch.setattr(FleetView, "apply_cache_events", lambda *arguments: None)
     without = computed_tokens()
     print(f"computed again: {with_events} with events, {without} without")
     assert with_events < 0.75 * without
--- a/soak/broken.py
+++ b/soak/broken.py
@@ -4,14 +4,14 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from cleatlink.core.data import Ran
-from cleatlink.core.notices import NO_NOTICE, EndpointNotice
+from cleatlink.core.data import ExecutionStatus
+from cleatlink.core.notices import EMPTY_NOTICE, EndpointNotice
 from cleatlink.core.organisations import Organisation
-from cleatlink.members.leadership import Leadership
-from cleatlink.organisations import Admission, KeyTable, OrganisationGate, OrganisationLimits
+from cleatlink.members.leadership import LeaderElection
+from cleatlink.organisations import Admission, KeyTable, OrganisationAccess, OrganisationLimits
 from cleatlink.relay.callers.server import CallerConnection
 from cleatlink.relay.calls.call import Call
-from cleatlink.relay.calls.events import EventCutter
+from cleatlink.relay.calls.event_parser import EventParser
 from cleatlink.relay.calls.planned_stop import PlannedStop
 from cleatlink.relay.endpoints.protocol import Protocol
 from cleatlink.relay.following.follower import Follower
@@ -61,7 +61,7 @@
 
 def _forget_that_it_left(self: Call, endpoint: Any) -> None:
     _note_sent(self, endpoint)
-    self.ran = Ran.NO
+    self.ran = ExecutionStatus.NO
 
 
 async def _watch_nothing(self: CallerConnection, scope: Any) -> None:
@@ -79,8 +79,8 @@
 
 def _lead_always() -> None:
     """Let everybody lead, and not hear of what others ordered: else the second holds back."""
-    Leadership.judge = _always  # type: ignore[method-assign, assignment]
-    Capacity.switching = _know_no_change  # type: ignore[method-assign]
+    LeaderElection.update = _always  # type: ignore[method-assign, assignment]
+    Capacity.role_changes_left_s = _know_no_change  # type: ignore[method-assign]
 
 
 def _know_no_change(self: Capacity, now: float) -> dict[str, float]:
@@ -103,7 +103,7 @@
 
 
 def _read_no_notice(self: Protocol, head: Any) -> EndpointNotice:
-    return NO_NOTICE
+    return EMPTY_NOTICE
 
 
 def _read_no_rest(self: Protocol, head: Any) -> EndpointNotice:
@@ -188,7 +188,7 @@
         (FaultKind.WORKER_FAULTS,),
     ),
     "event-numbers": Ablation(
-        _replace(EventCutter, "_is_new", _always),
+        _replace(EventParser, "_is_new", _always),
         "events in order",
         (FaultKind.WORKER_FAULTS, FaultKind.WORKER_CRASH),
     ),
@@ -198,7 +198,7 @@
         (FaultKind.WORKER_LIMIT,),
     ),
     "quarantine": Ablation(
-        _replace(Call, "bar", lambda self: None),
+        _replace(Call, "find_send_refusal", lambda self: None),
         "requests that crash workers stop",
         (FaultKind.CRASHING_REQUEST,),
     ),
@@ -208,12 +208,12 @@
         (FaultKind.KEY,),
     ),
     "shared-limits": Ablation(
-        _replace(OrganisationLimits, "ask", lambda *_: Admission(True, 0)),
+        _replace(OrganisationLimits, "admit", lambda *_: Admission(True, 0)),
         "limits hold over all",
         (FaultKind.LIMIT,),
     ),
     "key-withheld": Ablation(
-        _replace(OrganisationGate, "judges_keys", False),
+        _replace(OrganisationAccess, "judges_keys", False),
         "workers are told whose a request is",
         (FaultKind.INSTANCE_RELOAD,),
     ),
--- a/soak/clocked.py
+++ b/soak/clocked.py
@@ -47,13 +47,13 @@
 def _set_clocks(file: Path) -> None:
     descriptor = os.open(file, os.O_RDONLY)
 
-    def steady_s(_: clock.SuspensionClock) -> float:
+    def steady_s(_: clock.SuspendAwareClock) -> float:
         return time.clock_gettime(time.CLOCK_BOOTTIME) + read_offsets(descriptor).steady
 
     def wall_s() -> float:
         return time.time() + read_offsets(descriptor).wall
 
-    patch.object(clock.SuspensionClock, "current_time", steady_s).start()
+    patch.object(clock.SuspendAwareClock, "current_time", steady_s).start()
     patch.object(clock, "unix_s", wall_s).start()
 
 
--- a/standins/ablate.py
+++ b/standins/ablate.py
@@ -6,14 +6,14 @@
 
 import trio
 
-from cleatlink.config.revision import Adopter, Adoption
+from cleatlink.config.revision import ActiveConfiguration, OfferResult
 from cleatlink.core.data import Refusal
 from cleatlink.core.errors import ErrorKind
-from cleatlink.members import Members
-from cleatlink.request import KeyRegistry, ModelMachine, NoteBook
-from cleatlink.request.call import CallMachine
-from cleatlink.request.events import Read, Relay
-from cleatlink.request.keys import Claim, ClaimState
+from cleatlink.members import MembershipView
+from cleatlink.request import IdempotencyKeyRegistry, InFlightNotes, ModelRequestMachine
+from cleatlink.request.call_machine import CallMachine
+from cleatlink.request.events import ForwardEvent, ReadStreamEvent
+from cleatlink.request.idempotency_keys import ClaimResult, ClaimState
 from cleatlink.routing import FleetView
 from cleatlink.serving import callers, peers
 from cleatlink.serving.cancels import Canceller
@@ -34,22 +34,22 @@
     return lambda: setattr(owner, name, value)
 
 
-def _relay_anything(self: ModelMachine, event: Any) -> list[Any]:
+def _relay_anything(self: ModelRequestMachine, event: Any) -> list[Any]:
     if event.end:
-        return _receive(self, event._replace(position=self._next))
-    self._next = event.position + 1
-    return [Relay(event.position, event.data), Read(self._attempt)]
+        return _receive(self, event._replace(position=self._next_position))
+    self._next_position = event.position + 1
+    return [ForwardEvent(event.position, event.data), ReadStreamEvent(self._attempt)]
 
 
-def _grant_always(self: KeyRegistry, *arguments: Any) -> Claim:
-    return Claim(ClaimState.GRANTED)
+def _grant_always(self: IdempotencyKeyRegistry, *arguments: Any) -> ClaimResult:
+    return ClaimResult(ClaimState.GRANTED)
 
 
 def _any_time(made: float, owner_since: float, now: float) -> bool:
     return True
 
 
-def _owner_among_alive(self: Members, key: str, data_centre: str, now: float) -> Any:
+def _owner_among_alive(self: MembershipView, key: str, data_centre: str, now: float) -> Any:
     listed, self._listed = self._listed, {}
     try:
         return _owner(self, key, data_centre, now)
@@ -74,7 +74,7 @@
     return not endpoint.leaving and endpoint.name in self._reports
 
 
-def _adopt_anything(self: Adopter, published: Any) -> Adoption:
+def _adopt_anything(self: ActiveConfiguration, published: Any) -> OfferResult:
     self._published = None
     return _offer(self, published)
 
@@ -100,10 +100,10 @@
     return []
 
 
-_receive = ModelMachine._receive
-_owner = Members.owner
+_receive = ModelRequestMachine._receive
+_owner = MembershipView.owner
 _fail = CallMachine._fail
-_offer = Adopter.offer
+_offer = ActiveConfiguration.offer
 _try = Canceller._try
 
 ABLATIONS = {
@@ -116,7 +116,7 @@
         _replace(Canceller, "_try", _try_once), "cancels_are_lost", "no memory held"
     ),
     "notes": Ablation(
-        _replace(NoteBook, "take_due", _no_action),
+        _replace(InFlightNotes, "take_due", _no_action),
         "entry_dies and not prefilling",
         "no memory held",
     ),
@@ -124,25 +124,27 @@
         _replace(peers.Peers, "_repeat_notes", _no_action), "first_notes", "no memory held"
     ),
     "stream-position": Ablation(
-        _replace(ModelMachine, "_receive", _relay_anything),
+        _replace(ModelRequestMachine, "_receive", _relay_anything),
         "chunks_go_wrong and (drop or double or swap or foreign)",
         "the whole answer, once",
     ),
     "resume": Ablation(
-        _replace(ModelMachine, "_resume", lambda self: self._give_up(self._failure_refusal())),
+        _replace(
+            ModelRequestMachine, "_resume", lambda self: self._give_up(self._failure_refusal())
+        ),
         "chunks_go_wrong and (drop or swap or cut)",
         "the whole answer",
     ),
     "key-owner": Ablation(
-        _replace(KeyRegistry, "claim", _grant_always), "one_key_at_two", "at most once"
+        _replace(IdempotencyKeyRegistry, "claim", _grant_always), "one_key_at_two", "at most once"
     ),
     "key-age": Ablation(
-        _replace(KeyRegistry, "_is_ours", staticmethod(_any_time)),
+        _replace(IdempotencyKeyRegistry, "_is_ours", staticmethod(_any_time)),
         "owner_of_the_key_dies or all_entries_are_replaced",
         "at most once",
     ),
     "listed-owner": Ablation(
-        _replace(Members, "owner", _owner_among_alive),
+        _replace(MembershipView, "owner", _owner_among_alive),
         "within_a_data_centre",
         "at most once",
     ),
@@ -165,16 +167,16 @@
         "at most once",
     ),
     "leaving": Ablation(
-        _replace(FleetView, "usable", _usable_by_report),
+        _replace(FleetView, "is_usable", _usable_by_report),
         "an_endpoint_is_leaving and (report or refusals or peer)",
         "a leaving endpoint",
     ),
     "report-age": Ablation(
-        _replace(FleetView, "usable", _usable_always), "reports_stop", "a leaving endpoint"
+        _replace(FleetView, "is_usable", _usable_always), "reports_stop", "a leaving endpoint"
     ),
     "drain": Ablation(_replace(Entry, "stop", _stop_at_once), "planned_stop", "a planned stop"),
     "upwards-only": Ablation(
-        _replace(Adopter, "offer", _adopt_anything), "old_replica", "configuration"
+        _replace(ActiveConfiguration, "offer", _adopt_anything), "old_replica", "configuration"
     ),
     "ask-peers": Ablation(
         _replace(Entry, "_ask_peers", _ask_nobody), "starts_beside_a_stale", "configuration"
--- a/standins/fakes.py
+++ b/standins/fakes.py
@@ -11,7 +11,7 @@
 import msgspec
 import trio
 
-from cleatlink.core.data import Endpoint, FencedOrder, KvHandle, Role
+from cleatlink.core.data import Endpoint, FencedCommand, KvHandle, Role
 from cleatlink.core.errors import (
     EndpointError,
     EndpointRefusedError,
@@ -21,7 +21,7 @@
     PlatformError,
     StreamBrokenError,
 )
-from cleatlink.request.classify import prompt_bytes
+from cleatlink.request.classify import extract_prompt
 from cleatlink.serving.endpoints import (
     EndpointClient,
     EndpointReport,
@@ -124,7 +124,7 @@
         except engines.OrderRefusedError as error:
             raise EndpointError("cancel lost") from error
 
-    async def give_order(self, endpoint: Endpoint, order: FencedOrder) -> None:
+    async def give_order(self, endpoint: Endpoint, order: FencedCommand) -> None:
         """Refuse: no scenario gives orders."""
         raise NotImplementedError("no scenario gives orders")
 
@@ -219,7 +219,7 @@
 
 
 def _engine_order(order: Order) -> engines.Order:
-    prompt = prompt_bytes(order.body, order.chat).decode()
+    prompt = extract_prompt(order.body, order.chat).decode()
     limit = order.body["max_tokens"]
     return engines.Order(order.request, order.attempt, prompt, limit, order.position, order.text)
 
--- a/standins/relay/fleet.py
+++ b/standins/relay/fleet.py
@@ -192,7 +192,7 @@
         names = {worker.name for worker in self.workers}
 
         def known(instance: RelayInstance) -> set[str]:
-            return {endpoint.answers_to for endpoint in instance.capacity.endpoints.values()}
+            return {endpoint.registered_name for endpoint in instance.capacity.endpoints.values()}
 
         await self.until(
             lambda: all(item.ready and names <= known(item) for item in self.instances)
--- a/tools/kinds/play.py
+++ b/tools/kinds/play.py
@@ -12,7 +12,7 @@
 
 _RUN_LINE = "cleatlink.scripts.main entry"
 # A line of the instance that leads, for each order of another role.
-_ORDER_LINE = '"orders: plans a shift"'
+_ORDER_LINE = '"orders: plans a role change"'
 
 
 class Tree(NamedTuple):
--- a/tools/repeat.py
+++ b/tools/repeat.py
@@ -1,6 +1,6 @@
 """Runs tests many times beside busy processes and keeps the output of what fails.
 
-    python -m tools.repeat --times 100 --busy 8 cleatlink/relay/lives_test.py::test_name
+    python -m tools.repeat --times 100 --busy 8 cleatlink/routing/fleet_view_test.py::test_name
 
 Without a test it runs the whole check of ``tools.verdict`` each time.
 """
