--- a/cleatlink/relay/operations_test.py
+++ b/cleatlink/relay/operations_test.py
@@ -171,7 +171,7 @@
         for path in Path(__file__).parent.rglob("*.py")
         if not path.name.endswith("_test.py")
     )
-    quoted = re.findall(r"^ {4}relay: ([a-z ]+?)(?:  |$)", PAGE.read_text(), re.MULTILINE)
+    quoted = re.findall(r"^ {4}relay: (\S.*?)(?:  |$)", PAGE.read_text(), re.MULTILINE)
     assert len(quoted) > 8
     assert [text for text in quoted if f'"{text}"' not in sources] == []
 
