--- a/cleatlink/relay/calls/prefill.py
+++ b/cleatlink/relay/calls/prefill.py
@@ -299,7 +299,7 @@
         handle, self.handle = self.handle, None
         if handle is None:
             return
-        self._parts.metrics.count_prefill_handle(fate)
+        self._parts.metrics.count_kv_handle(fate)
         if fate != "taken" and not self._parts.capacity.is_superseded(handle.endpoint):
             self._parts.spawn(self._free_handle, handle)
 
--- a/cleatlink/relay/invalid_store_entries_test.py
+++ b/cleatlink/relay/invalid_store_entries_test.py
@@ -136,7 +136,9 @@
     assert [row.rpartition(" ")[2] for row in count_rows] == ["60"]
     # Eliot buffers lines until a destination is added: lines of earlier tests may come first.
     entry_lines = [line for line in lines if str(line.get("registration", "")).startswith("x-")]
-    warnings = [line for line in entry_lines if line["message_type"].endswith("can't be used")]
+    warnings = [
+        line for line in entry_lines if line["message_type"].endswith("registration is unusable")
+    ]
     assert 1 <= len(warnings) <= 20
     assert warnings[0]["registration"] == "x-0"
     assert "service" in warnings[0]["detail"]
--- a/cleatlink/relay/metrics.py
+++ b/cleatlink/relay/metrics.py
@@ -150,7 +150,7 @@
         """Count a request that was cut off by the end of a planned stop."""
         self._cut_by_stop.inc({"kind": kind})
 
-    def count_prefill_handle(self, fate: str) -> None:
+    def count_kv_handle(self, fate: str) -> None:
         """Count a handle, which refers to a prefill's result, by its outcome."""
         self._handles.inc({"fate": fate})
 
--- a/cleatlink/relay/peers/peer_copy_test.py
+++ b/cleatlink/relay/peers/peer_copy_test.py
@@ -129,7 +129,7 @@
     ("head_delay_s", "pause_s", "expected_s", "error"),
     [
         pytest.param(5.0, 0.0, 1.0, "TooSlowError", id="no head"),
-        pytest.param(0.0, 5.0, 1.0, "EndpointSilentError", id="silent body"),
+        pytest.param(0.0, 5.0, 1.0, "EndpointTimeoutError", id="silent body"),
         pytest.param(0.5, 0.5, 10.0, "TooSlowError", id="endless body"),
     ],
 )
@@ -179,5 +179,5 @@
 ) -> None:
     monkeypatch.setattr(peer_copy, "_MAX_BODY_BYTES", 10_000)
     async with running(FixedResponsePeer(data)) as peer:
-        with pytest.raises(PeerError, match="too long|more than 10000 bytes"):
+        with pytest.raises(PeerError, match="exceeds the size limit|more than 10000 bytes"):
             await fetch_snapshot(peer.address, SnapshotPart.WHOLE)
--- a/cleatlink/relay/role_controller.py
+++ b/cleatlink/relay/role_controller.py
@@ -106,12 +106,12 @@
                     vote=leadership.vote,
                 )
                 if leads:
-                    self._renew_fencing_token()
+                    self._renew_fence()
                     self._target_roles.clear()
             if leads and self._capacity.switches.is_enabled(Mechanism.ROLE_SHIFTS):
                 await self._plan_all()
 
-    def _renew_fencing_token(self) -> None:
+    def _renew_fence(self) -> None:
         """Choose a fencing token above all known ones, also after a restart of all instances."""
         self._peers.fence = max(self._peers.fence + 1, unix_ms())
 
--- a/cleatlink/routing/service_times_test.py
+++ b/cleatlink/routing/service_times_test.py
@@ -145,7 +145,7 @@
     assert fresh.is_known
     assert fresh.token_s == pytest.approx(0.005)
     assert fresh.prompt_s(4000) == pytest.approx(0.24, rel=0.02)
-    assert fresh.start_s == pytest.approx(0.06)
+    assert fresh.first_event_s == pytest.approx(0.06)
     assert fresh.length_ratio == pytest.approx(0.8)
     # It forwards the summary with the age of the measurement until that is too old.
     forwarded = fresh.summary(25.0)
--- a/soak/clocked_test.py
+++ b/soak/clocked_test.py
@@ -13,7 +13,7 @@
 from cleatlink import clock
 from soak.clocked import _set_clocks
 _set_clocks(Path(sys.argv[1]))
-ahead = clock.SuspensionClock().current_time() - time.clock_gettime(time.CLOCK_BOOTTIME)
+ahead = clock.SuspendAwareClock().current_time() - time.clock_gettime(time.CLOCK_BOOTTIME)
 print(round(ahead), round(clock.unix_ms() / 1000 - time.time()))
 """
 
