--- a/cleatlink/relay/calls/stream.py
+++ b/cleatlink/relay/calls/stream.py
@@ -149,7 +149,7 @@
         """Send the request and relay the answer, with a search for a replacement during silence.
 
         Raises:
-            EndpointSilentError: A replacement endpoint is ready to continue the stream.
+            EndpointTimeoutError: A replacement endpoint is ready to continue the stream.
         """
         if not self._may_fail_over():
             return await self._send(endpoint, connection)
@@ -217,7 +217,7 @@
         """Record that the endpoint sent data, which ends the search for a replacement.
 
         Raises:
-            EndpointSilentError: A replacement has been found already and continues the stream.
+            EndpointTimeoutError: A replacement has been found already and continues the stream.
         """
         self._failover.note_activity()
         if self._failover.replacement is not None:
--- a/cleatlink/relay/endpoints/connection.py
+++ b/cleatlink/relay/endpoints/connection.py
@@ -249,7 +249,7 @@
             silence_timeout_s: Longest time without any byte of the body.
 
         Raises:
-            EndpointSilentError: No byte arrived for ``silence_s``.
+            EndpointTimeoutError: No byte arrived for ``silence_s``.
             StreamBrokenError: The body ended early or is longer than ``max_bytes``.
         """
         parts: list[bytes] = []
--- a/cleatlink/relay/following/follower.py
+++ b/cleatlink/relay/following/follower.py
@@ -236,7 +236,7 @@
             self._wait_scope.cancel()
 
     async def _sleep_until_retry(self, seconds: float) -> None:
-        """Wait before the next retry; `look_again` ends the wait early."""
+        """Wait before the next retry; `poll_service` ends the wait early."""
         with trio.CancelScope() as self._wait_scope:
             await trio.sleep(seconds)
 
@@ -249,7 +249,7 @@
         """Read everything, or wait for changes; return None if the wait was cancelled.
 
         Raises:
-            HistoryGoneError: The changes since the last call are no longer available.
+            HistoryUnavailableError: The changes since the last call are no longer available.
             PlatformError: There was no answer.
         """
         if needs_full_read:
--- a/cleatlink/relay/following/source.py
+++ b/cleatlink/relay/following/source.py
@@ -84,7 +84,7 @@
             wait_s: Longest wait for a change, in seconds.
 
         Raises:
-            HistoryGoneError: The changes since then are not available.
+            HistoryUnavailableError: The changes since then are not available.
             PlatformError: The service gave no answer, or not one of the documented form.
         """
 
--- a/cleatlink/relay/following/store_client.py
+++ b/cleatlink/relay/following/store_client.py
@@ -46,7 +46,7 @@
         """Check that the answer has the era of the data to which it belongs.
 
         Raises:
-            HistoryGoneError: The store was restored from a copy meanwhile.
+            HistoryUnavailableError: The store was restored from a copy meanwhile.
         """
         if self.era != era:
             raise HistoryUnavailableError(
@@ -98,7 +98,7 @@
                 take longer in all.
 
         Raises:
-            HistoryGoneError: The store no longer keeps the requested history.
+            HistoryUnavailableError: The store no longer keeps the requested history.
             PlatformError: There was no answer, or an answer of an earlier era.
         """
         try:
--- a/cleatlink/relay/full_read.py
+++ b/cleatlink/relay/full_read.py
@@ -52,7 +52,7 @@
         """Read the missing data; after a success the next run starts from the beginning.
 
         Raises:
-            HistoryGoneError: The answers have different eras; the next run starts from the
+            HistoryUnavailableError: The answers have different eras; the next run starts from the
                 beginning.
             PlatformError: A call failed; the next run resumes with that call.
         """
--- a/cleatlink/relay/peers/endpoint_messages.py
+++ b/cleatlink/relay/peers/endpoint_messages.py
@@ -117,7 +117,7 @@
     """A speed measurement of an endpoint, quantised so that each field takes one byte.
 
     Attributes:
-        kind: What was measured, a value of ``PaceKind``.
+        kind: What was measured, a value of ``SpeedSampleKind``.
         log_ratio_steps: Logarithm of the ratio of measured to expected time, in steps of 1/32.
         age_steps: Time since the measurement, in steps of 0.5 s.
     """
--- a/cleatlink/routing/endpoint_limits.py
+++ b/cleatlink/routing/endpoint_limits.py
@@ -45,7 +45,7 @@
     """The newest announcement of one incarnation.
 
     Attributes:
-        rate_per_s: As in ``LimitWord``.
+        rate_per_s: As in ``AnnouncedLimit``.
         announced_at: Time of the announcement.
         is_direct: Whether this instance received it from the endpoint, not from a peer.
     """
--- a/cleatlink/routing/reservation.py
+++ b/cleatlink/routing/reservation.py
@@ -78,8 +78,8 @@
 class MemoryProfile:
     """Memory held by the reservations on one endpoint, computed once for many streams.
 
-    ``peak_with`` returns what ``peak_memory`` returns for the reservations and an added stream,
-    in linear instead of quadratic time in the number of reservations.
+    ``peak_with_added`` returns what ``peak_memory`` returns for the reservations and an added
+    stream, in linear instead of quadratic time in the number of reservations.
     """
 
     def __init__(self, work: Sequence[Reservation], now: float) -> None:
--- a/cleatlink/serving/endpoints.py
+++ b/cleatlink/serving/endpoints.py
@@ -147,7 +147,7 @@
         """Order a desired state.
 
         Raises:
-            FenceError: The endpoint checks fences and knows a higher one.
+            StaleFenceError: The endpoint checks fences and knows a higher one.
         """
 
     async def close_idle(self) -> None:
--- a/tools/constants.py
+++ b/tools/constants.py
@@ -24,8 +24,8 @@
 
 Written by `python -m tools.constants`; do not edit. Names end in their unit: `_S` seconds,
 `_MS` milliseconds, `_BYTES` bytes; `_SHARE` and `_FACTOR` are ratios. What depends on a deployment
-is no constant: it is learned (paces, lengths: `routing/pace.py`) or comes from settings and the
-route table.
+is no constant: it is learned (service times, lengths: `routing/service_times.py`) or comes from
+settings and the route table.
 
 | where | constant | figure | where it comes from |
 |---|---|---|---|
