--- a/cleatlink/relay/calls/prefill.py
+++ b/cleatlink/relay/calls/prefill.py
@@ -123,11 +123,11 @@
             call_refusal = call.find_send_refusal()
             if call_refusal is not None:
                 return call_refusal
-            seeker = call.placement_context()
+            context = call.placement_context()
             endpoint = choose_prefill(
                 call.service.name,
                 parts.capacity,
-                seeker,
+                context,
                 data_centre,
                 call.inbound.prompt_tokens,
                 target_s=call.route.target_s,
--- a/cleatlink/relay/newer_route_table_test.py
+++ b/cleatlink/relay/newer_route_table_test.py
@@ -105,7 +105,7 @@
             lambda: None,
             lambda work: None,
             lambda life: None,
-            lambda news: None,
+            lambda update: None,
         )
         received = LivePeers("n2", [], trio.current_time())
         received.record_heartbeat(make_heartbeat(peer.address, 9), trio.current_time())
--- a/cleatlink/relay/peers/catch_up.py
+++ b/cleatlink/relay/peers/catch_up.py
@@ -42,8 +42,10 @@
         self._tables = TableCatchUp(hooks, copier, rng, must_watch)
         self._registrations = RegistrationCatchUp(hooks, copier, rng)
 
-    def handle_heartbeat(self, beat: HeartbeatMessage, spawn: Callable[..., None]) -> None:
+    def handle_heartbeat(self, heartbeat: HeartbeatMessage, spawn: Callable[..., None]) -> None:
         """Start to catch up if a peer's heartbeat reports a newer revision."""
-        self._hooks.on_table_revision(beat.table_revision, beat.name, beat.source_is_reachable)
-        self._tables.handle_heartbeat(beat, spawn)
-        self._registrations.handle_heartbeat(beat, spawn)
+        self._hooks.on_table_revision(
+            heartbeat.table_revision, heartbeat.name, heartbeat.source_is_reachable
+        )
+        self._tables.handle_heartbeat(heartbeat, spawn)
+        self._registrations.handle_heartbeat(heartbeat, spawn)
--- a/cleatlink/relay/peers/catch_up_rounds.py
+++ b/cleatlink/relay/peers/catch_up_rounds.py
@@ -34,7 +34,7 @@
         self._last_revision: RevisionT | None = None
 
     @abstractmethod
-    def revision_of(self, beat: HeartbeatMessage) -> RevisionT:
+    def revision_of(self, heartbeat: HeartbeatMessage) -> RevisionT:
         """Return the revision that a heartbeat reports."""
 
     @abstractmethod
@@ -46,24 +46,24 @@
         """Check whether a revision is later than another one."""
 
     @abstractmethod
-    async def fetch(self, beat: HeartbeatMessage) -> None:
+    async def fetch(self, heartbeat: HeartbeatMessage) -> None:
         """Try to fetch the revision that a heartbeat reports."""
 
-    def is_behind(self, beat: HeartbeatMessage) -> bool:
+    def is_behind(self, heartbeat: HeartbeatMessage) -> bool:
         """Check whether a heartbeat reports a later revision than this instance has."""
-        return self.is_later(self.revision_of(beat), self.local_revision())
+        return self.is_later(self.revision_of(heartbeat), self.local_revision())
 
-    def handle_heartbeat(self, beat: HeartbeatMessage, spawn: Callable[..., None]) -> None:
+    def handle_heartbeat(self, heartbeat: HeartbeatMessage, spawn: Callable[..., None]) -> None:
         """Start to catch up if a heartbeat reports a later revision.
 
         A running round whose revision has arrived meanwhile is cancelled, since it would delay
         the later revision.
         """
-        if not self.is_behind(beat):
+        if not self.is_behind(heartbeat):
             return
         pending = self._pending
-        if pending is None or self.is_later(self.revision_of(beat), self.revision_of(pending)):
-            self._pending = beat
+        if pending is None or self.is_later(self.revision_of(heartbeat), self.revision_of(pending)):
+            self._pending = heartbeat
         if not self._is_running:
             self._is_running = True
             spawn(self._run)
@@ -83,12 +83,12 @@
 
     async def _run_round(self) -> None:
         """Run one round for the newest revision reported so far."""
-        beat, self._pending = self._pending, None
-        if beat is None or not self.is_behind(beat):
+        heartbeat, self._pending = self._pending, None
+        if heartbeat is None or not self.is_behind(heartbeat):
             return
-        self._target = beat
+        self._target = heartbeat
         with trio.CancelScope() as self._round_scope:
-            await self.fetch(beat)
+            await self.fetch(heartbeat)
         self._target = None
         self._count_round()
 
--- a/cleatlink/relay/peers/catch_up_test.py
+++ b/cleatlink/relay/peers/catch_up_test.py
@@ -24,13 +24,13 @@
 class OutdatedInstance:
     """An instance with table 3 and no registrations that does not watch the service."""
 
-    def __init__(self, *beats: HeartbeatMessage, read_s: float = 0.0, seed: int = 1) -> None:
+    def __init__(self, *heartbeats: HeartbeatMessage, read_s: float = 0.0, seed: int = 1) -> None:
         self.snapshots: list[Snapshot] = []
         self.polls: list[float] = []
         self.reads: list[float] = []
         self._read_s = read_s
         self._live_peers = LivePeers("n2", [], trio.current_time())
-        for item in beats:
+        for item in heartbeats:
             self._live_peers.record_heartbeat(item, trio.current_time())
         hooks = PeerHooks(
             self._state,
@@ -39,7 +39,7 @@
             lambda: None,
             lambda work: None,
             lambda incarnation: None,
-            lambda news: None,
+            lambda update: None,
             read_table=self._read,
         )
         self.catch_up = CatchUp(
@@ -124,13 +124,13 @@
     async with trio.open_nursery() as nursery:
         await slow.start(nursery)
         await fast.start(nursery)
-        beats = [
+        heartbeats = [
             make_heartbeat(slow.address, 9),
             replace(make_heartbeat(fast.address, 9), name="n8"),
         ]
         for seed in range(4):
-            instance = OutdatedInstance(*beats, seed=seed)
-            await instance.receive_heartbeats(nursery, beats[0], 4)
+            instance = OutdatedInstance(*heartbeats, seed=seed)
+            await instance.receive_heartbeats(nursery, heartbeats[0], 4)
             assert instance.has_table
         slow.close()
         fast.close()
--- a/cleatlink/relay/peers/delivery_test.py
+++ b/cleatlink/relay/peers/delivery_test.py
@@ -49,10 +49,10 @@
     )
     peers = LivePeers("n0", (), 0.0)
     for number in range(1, FLEET_SIZE):
-        beat = HeartbeatMessage(
+        heartbeat = HeartbeatMessage(
             f"n{number}", 1, "a", f"127.0.0.1:{number}", False, 0, 0, [], 0, {}, "", 1
         )
-        peers.record_heartbeat(msgspec.structs.replace(beat, size=1.0), 0.0)
+        peers.record_heartbeat(msgspec.structs.replace(heartbeat, size=1.0), 0.0)
     return Delivery(settings, 1, peers, socket, RelayMetrics())
 
 
--- a/cleatlink/relay/peers/group.py
+++ b/cleatlink/relay/peers/group.py
@@ -288,17 +288,17 @@
 
     async def _send_channel_updates(self, channel: UpdateChannel) -> None:
         while True:
-            for news in await channel.next_messages():
+            for update in await channel.next_messages():
                 data_centres = (
                     [self._settings.data_centre] if channel.is_data_centre_local else None
                 )
                 if self._delivery.uses_reflectors and channel.tolerates_delay:
-                    self._delivery.send(news, data_centres, legacy_message=news)
+                    self._delivery.send(update, data_centres, legacy_message=update)
                 elif channel.is_data_centre_local:
                     by_data_centre = self._peers.addresses_by_data_centre()
-                    self._socket.send(news, by_data_centre.get(self._settings.data_centre, []))
+                    self._socket.send(update, by_data_centre.get(self._settings.data_centre, []))
                 else:
-                    self._socket.send(news, self._peers.addresses)
+                    self._socket.send(update, self._peers.addresses)
 
     def send_heartbeat(self) -> None:
         """Send a heartbeat to every known address.
@@ -325,15 +325,15 @@
         Peers of earlier builds, which take no bundles, receive it directly with all work in it.
         """
         now = trio.current_time()
-        beat = self._make_heartbeat(work_apart=True)
+        heartbeat = self._make_heartbeat(work_apart=True)
         earlier = None
         if self._peers.addresses_without_bundle_support():
             earlier = msgspec.structs.replace(
-                beat, work=self._work_updates.work_items(now), work_apart=False
+                heartbeat, work=self._work_updates.work_items(now), work_apart=False
             )
         self._is_heartbeat_due = False
-        self._delivery.send(beat, legacy_message=earlier, is_urgent=urgent)
-        return beat
+        self._delivery.send(heartbeat, legacy_message=earlier, is_urgent=urgent)
+        return heartbeat
 
     def _make_heartbeat(self, *, work_apart: bool = False) -> HeartbeatMessage:
         """Return a heartbeat with the current state.
@@ -345,7 +345,7 @@
         """
         state = self._hooks.state()
         now = trio.current_time()
-        beat = HeartbeatMessage(
+        heartbeat = HeartbeatMessage(
             self._settings.name,
             self._incarnation,
             self._settings.data_centre,
@@ -371,14 +371,14 @@
             self._heartbeat_number,
             True,
         )
-        if beat != self._last_heartbeat:
+        if heartbeat != self._last_heartbeat:
             self._heartbeat_number = self._delivery.next_message_number()
-            beat = msgspec.structs.replace(beat, number=self._heartbeat_number)
-            self._last_heartbeat = beat
+            heartbeat = msgspec.structs.replace(heartbeat, number=self._heartbeat_number)
+            self._last_heartbeat = heartbeat
         if work_apart:
-            return beat
+            return heartbeat
         return msgspec.structs.replace(
-            beat, work=self._work_updates.work_items(now), work_apart=False
+            heartbeat, work=self._work_updates.work_items(now), work_apart=False
         )
 
     def _send_to_random_peers(self, *messages_before: Message) -> None:
@@ -424,10 +424,10 @@
         has_new_reflector = self._delivery.tick(now)
         if not (is_heartbeat_due or has_new_reflector or self._is_heartbeat_due):
             return
-        beat = self._send_heartbeat_to_fleet()
+        heartbeat = self._send_heartbeat_to_fleet()
         if is_heartbeat_due:
             self._socket.send(self._make_heartbeat(), self._peers.addresses_without_live_peer())
-            self._send_to_random_peers(beat)
+            self._send_to_random_peers(heartbeat)
         due = self._work_updates.take_due_data_centres(self._peers.addresses_by_data_centre(), now)
         if due:
             self._delivery.send(
@@ -507,9 +507,9 @@
             WaitQueueUpdate: self._handle_waiting_update,
         }
 
-    def _handle_plain_calls(self, news: PlainCallTotals) -> None:
+    def _handle_plain_calls(self, update: PlainCallTotals) -> None:
         self._metrics.count_peer_message("plain_calls")
-        self._plain_updates.record_totals(news)
+        self._plain_updates.record_totals(update)
 
     def _handle_hint(self, hint: EndpointHint) -> None:
         self._metrics.count_peer_message(hint.kind.value)
@@ -523,40 +523,40 @@
             # heartbeat earlier.
             self._socket.send(self._make_heartbeat(), found)
 
-    def _handle_crashes(self, news: CrashUpdate) -> None:
+    def _handle_crashes(self, update: CrashUpdate) -> None:
         self._metrics.count_peer_message("crashes")
-        self._quarantine.record_update(news)
+        self._quarantine.record_update(update)
 
-    def _handle_notices(self, news: EndpointNoticeUpdate) -> None:
+    def _handle_notices(self, update: EndpointNoticeUpdate) -> None:
         self._metrics.count_peer_message("notices")
-        for endpoint_incarnation in self._notices.record_notices(news):
+        for endpoint_incarnation in self._notices.record_notices(update):
             self._hooks.on_endpoint_leaving(endpoint_incarnation)
 
-    def _handle_endpoint_spending(self, news: EndpointLimitUsage) -> None:
+    def _handle_endpoint_spending(self, update: EndpointLimitUsage) -> None:
         self._metrics.count_peer_message("endpoint_limits")
-        self._endpoint_limits.record_limits(news)
+        self._endpoint_limits.record_limits(update)
 
-    def _handle_endpoint_speeds(self, news: EndpointSpeedUpdate) -> None:
+    def _handle_endpoint_speeds(self, update: EndpointSpeedUpdate) -> None:
         self._metrics.count_peer_message("endpoint_paces")
-        self._endpoint_paces.record_measurements(news)
+        self._endpoint_paces.record_measurements(update)
 
-    def _handle_shed_update(self, news: OverloadUpdate) -> None:
+    def _handle_shed_update(self, update: OverloadUpdate) -> None:
         self._metrics.count_peer_message("shed")
         now = trio.current_time()
-        for endpoint, tokens in news.rejections:
+        for endpoint, tokens in update.rejections:
             self._capacity.note_memory_refusal(endpoint, tokens, now)
 
-    def _handle_source_update(self, news: RegistrationUpdate) -> None:
+    def _handle_source_update(self, update: RegistrationUpdate) -> None:
         self._metrics.count_peer_message("source")
-        self._hooks.on_source_update(news)
+        self._hooks.on_source_update(update)
 
-    def _handle_waiting_update(self, news: WaitQueueUpdate) -> None:
+    def _handle_waiting_update(self, update: WaitQueueUpdate) -> None:
         self._metrics.count_peer_message("waiting")
-        self._waiting_updates.record_queue(news)
+        self._waiting_updates.record_queue(update)
 
-    def _handle_spending(self, news: OrganisationUsage) -> None:
+    def _handle_spending(self, update: OrganisationUsage) -> None:
         self._metrics.count_peer_message("spending")
-        self._limit_updates.record_usage(news, trio.current_time())
+        self._limit_updates.record_usage(update, trio.current_time())
 
     def _check_heard_share(self) -> None:
         """Periodically adjust the limits to the share of instances that send heartbeats."""
@@ -596,11 +596,11 @@
         """Process one message of a bundle; a repeated heartbeat is not decoded again."""
         age_s = max(0, item.age_ms) / _MS_PER_S
         if self._encoded_heartbeats.get(item.origin) == item.data:
-            beat = self._peers.record_repeated_heartbeat(item.origin, now - age_s)
-            if beat is not None and self._limit_updates.record_repeated_heartbeat(
+            heartbeat = self._peers.record_repeated_heartbeat(item.origin, now - age_s)
+            if heartbeat is not None and self._limit_updates.record_repeated_heartbeat(
                 item.origin, now - age_s, now
             ):
-                self._catch_up.handle_heartbeat(beat, self._spawn)
+                self._catch_up.handle_heartbeat(heartbeat, self._spawn)
                 return
         message = decode_datagram(item.data)
         # Instances never nest bundles; a nested bundle would be forwarded endlessly.
@@ -608,28 +608,32 @@
         if isinstance(message, HeartbeatMessage) and self._peers.is_latest(message):
             self._encoded_heartbeats[message.name] = item.data
 
-    def _handle_heartbeat(self, beat: HeartbeatMessage, age_s: float) -> None:
-        if beat.name == self._settings.name or self._peers.is_outdated(beat):
+    def _handle_heartbeat(self, heartbeat: HeartbeatMessage, age_s: float) -> None:
+        if heartbeat.name == self._settings.name or self._peers.is_outdated(heartbeat):
             return
         self._metrics.count_peer_message("beat")
-        self._encoded_heartbeats.pop(beat.name, None)
-        if self._peers.incarnation(beat.name) not in (None, beat.incarnation):
+        self._encoded_heartbeats.pop(heartbeat.name, None)
+        if self._peers.incarnation(heartbeat.name) not in (None, heartbeat.incarnation):
             # The peer restarted: its earlier work has ended.
-            self._capacity.remove_peer(beat.name)
+            self._capacity.remove_peer(heartbeat.name)
             self._has_peer_work_changed = True
         now = trio.current_time()
-        if self._peers.record_heartbeat(beat, now - age_s):
+        if self._peers.record_heartbeat(heartbeat, now - age_s):
             eliot.log_message(
-                message_type="peers: discovered a peer", peer=beat.name, alive=self.live_instances
+                message_type="peers: discovered a peer",
+                peer=heartbeat.name,
+                alive=self.live_instances,
             )
-            self._send_introduction(beat)
-        self._limit_updates.record_heartbeat(beat, now - age_s, now)
-        self.fence = max(self.fence, beat.highest_fence)
-        for endpoint, left_s in beat.switching_endpoints.items():
+            self._send_introduction(heartbeat)
+        self._limit_updates.record_heartbeat(heartbeat, now - age_s, now)
+        self.fence = max(self.fence, heartbeat.highest_fence)
+        for endpoint, left_s in heartbeat.switching_endpoints.items():
             self._capacity.note_role_change(endpoint, now - age_s + left_s)
-        if not beat.work_apart and (beat.work or self._capacity.has_reservations(beat.name)):
-            self._replace_peer_work(beat.name, beat.work, now)
-        self._catch_up.handle_heartbeat(beat, self._spawn)
+        if not heartbeat.work_apart and (
+            heartbeat.work or self._capacity.has_reservations(heartbeat.name)
+        ):
+            self._replace_peer_work(heartbeat.name, heartbeat.work, now)
+        self._catch_up.handle_heartbeat(heartbeat, self._spawn)
 
     def _handle_work_list(self, work_list: WorkList) -> None:
         """Process a list of all work of a peer that is sent separately from its heartbeat."""
@@ -656,11 +660,11 @@
         self._capacity.peer_replace(peer, work)
         self._has_peer_work_changed = True
 
-    def _send_introduction(self, beat: HeartbeatMessage) -> None:
+    def _send_introduction(self, heartbeat: HeartbeatMessage) -> None:
         """Send a new peer the roster, the measured paces and the full state of all channels."""
         messages: list[Message] = []
         known = len(self.members | self._peers.names)
-        if not self._delivery.uses_reflectors or beat.member_count < known:
+        if not self._delivery.uses_reflectors or heartbeat.member_count < known:
             messages.append(self._roster())
         paces = self._capacity.service_time_summaries(trio.current_time())
         if paces:
@@ -669,18 +673,18 @@
             messages += channel.initial_messages()
         if (
             self._delivery.uses_reflectors
-            and beat.size
+            and heartbeat.size
             and self._work_updates.work_items(trio.current_time())
         ):
             messages.append(self._work_updates.work_list(trio.current_time()))
         if messages:
-            self._delivery.send_directly(messages, [beat.address])
+            self._delivery.send_directly(messages, [heartbeat.address])
 
-    def _handle_paces(self, news: ServiceTimeUpdate) -> None:
+    def _handle_paces(self, update: ServiceTimeUpdate) -> None:
         """Adopt a peer's measured paces for services that this instance has not measured."""
         self._metrics.count_peer_message("paces")
         now = trio.current_time()
-        for service, (summary, age_s) in news.service_times.items():
+        for service, (summary, age_s) in update.service_times.items():
             self._capacity.service_times(service).adopt_peer_summary(summary, age_s, now)
 
     def announce_hint(self, endpoint: str, kind: HintKind) -> None:
--- a/cleatlink/relay/peers/group_test.py
+++ b/cleatlink/relay/peers/group_test.py
@@ -81,7 +81,7 @@
     return listener
 
 
-def beat(
+def heartbeat(
     name: str, address: str, *, leaving: bool = False, members: int = 1, data_centre: str = "a"
 ) -> HeartbeatMessage:
     return HeartbeatMessage(name, 1, data_centre, address, leaving, 0, 0, [], 0, {}, "", members)
@@ -106,7 +106,7 @@
         lambda: None,
         lambda work: None,
         lambda incarnation: None,
-        lambda news: None,
+        lambda update: None,
     )
     limits = OrganisationLimits(settings.limit_tolerance, 0.0)
     group = PeerGroup(
@@ -136,7 +136,7 @@
         async with open_group(nursery, "front-data-centre-1", listener.address) as group:
             for number in range(PEER_COUNT):
                 name = f"front-data-centre-{number + 2}"
-                await listener.send(group.listen, beat(name, listener.address))
+                await listener.send(group.listen, heartbeat(name, listener.address))
             await trio.sleep(2.2)
             assert len(group.leader_election_input().votes) == PEER_COUNT
             assert max(listener.sizes[HeartbeatMessage]) < 150
@@ -160,7 +160,7 @@
             group._hooks = group._hooks._replace(
                 on_work_change=lambda: work_changes.append(trio.current_time())
             )
-            busy = beat("n2", listener.address)
+            busy = heartbeat("n2", listener.address)
             work = WorkItem("k", "e1", "decode", 100, 5.0, 5.0, 10)
             for message in (busy, busy, msgspec.structs.replace(busy, work=[work]), busy, busy):
                 await listener.send(group.listen, message)
@@ -190,13 +190,13 @@
         listener = await open_listener(nursery)
         async with open_group(nursery, "n1") as group:
             for name in ("n2", "n3"):
-                await listener.send(group.listen, beat(name, listener.address))
-            await listener.send(group.listen, beat("n3", listener.address, leaving=True))
+                await listener.send(group.listen, heartbeat(name, listener.address))
+            await listener.send(group.listen, heartbeat("n3", listener.address, leaving=True))
             await listener.send(group.listen, Roster("n2", [Member("n3", ""), Member("n4", "")]))
             await trio.sleep(0.1)
             hearing = group.leader_election_input()
             assert (set(hearing.known_names), set(hearing.departed)) == ({"n4"}, {"n3"})
-            await listener.send(group.listen, beat("n3", listener.address))
+            await listener.send(group.listen, heartbeat("n3", listener.address))
             await trio.sleep(0.1)
             assert not group.leader_election_input().departed
             nursery.cancel_scope.cancel()
@@ -206,8 +206,8 @@
     async with trio.open_nursery() as nursery:
         listener = await open_listener(nursery)
         async with open_group(nursery, "n1") as group:
-            await listener.send(group.listen, beat("n2", listener.address, members=7))
-            await listener.send(group.listen, beat("n3", listener.address, members=5))
+            await listener.send(group.listen, heartbeat("n2", listener.address, members=7))
+            await listener.send(group.listen, heartbeat("n3", listener.address, members=5))
             await trio.sleep(0.1)
             assert group.leader_election_input().known_count == 7
             nursery.cancel_scope.cancel()
@@ -217,8 +217,8 @@
     async with trio.open_nursery() as nursery:
         local, remote = await open_listener(nursery), await open_listener(nursery)
         async with open_group(nursery, "n1") as group:
-            await local.send(group.listen, beat("n2", local.address))
-            await remote.send(group.listen, beat("n3", remote.address, data_centre="b"))
+            await local.send(group.listen, heartbeat("n2", local.address))
+            await remote.send(group.listen, heartbeat("n3", remote.address, data_centre="b"))
             await trio.sleep(0.1)
             for _ in range(5):
                 group.announce_hint("e1", HintKind.UNREACHABLE)
--- a/cleatlink/relay/peers/large_fleet_test.py
+++ b/cleatlink/relay/peers/large_fleet_test.py
@@ -411,10 +411,10 @@
             before = WorkItem.from_reservation("before", work, trio.current_time())
             after = WorkItem.from_reservation("after", work, trio.current_time())
             recipient.group._handle_message(WorkChanges(origin.name, 1, [before], [], 1_000), 0.0)
-            beat = HeartbeatMessage(
+            heartbeat = HeartbeatMessage(
                 origin.name, 2, "b", origin.address, False, 0, 0, [], 0, {}, "", 1, work_apart=True
             )
-            recipient.group._handle_message(beat, 0.0)
+            recipient.group._handle_message(heartbeat, 0.0)
             recipient.group._handle_message(WorkChanges(origin.name, 2, [after], [], 1), 0.0)
             assert not recipient.capacity.has_reservation(origin.name, "before")
             assert recipient.capacity.has_reservation(origin.name, "after")
@@ -449,8 +449,8 @@
         async with open_fleet(monkeypatch) as fleet:
             await fleet.start(FLEET_SIZE)
             recipient = fleet.instances[4]
-            beat = HeartbeatMessage("x", 1, "a", "10.9.9.9:1", False, 0, 0, [], 0, {}, "", 1)
-            inner = Bundle("x", False, [item_of("x", 1, encode(beat))])
+            heartbeat = HeartbeatMessage("x", 1, "a", "10.9.9.9:1", False, 0, 0, [], 0, {}, "", 1)
+            inner = Bundle("x", False, [item_of("x", 1, encode(heartbeat))])
             recipient.group._handle_message(
                 Bundle("x", True, [item_of("x", 2, encode(inner))]), 0.0
             )
@@ -489,9 +489,9 @@
         recipient = fleet.instances[4].group
         original = recipient._handle_heartbeat
 
-        def take(beat: HeartbeatMessage, age_s: float) -> None:
-            processed.append(beat.name)
-            original(beat, age_s)
+        def take(heartbeat: HeartbeatMessage, age_s: float) -> None:
+            processed.append(heartbeat.name)
+            original(heartbeat, age_s)
 
         monkeypatch.setattr(recipient, "_handle_heartbeat", take)
         await fleet.check_connected(fleet.instances, 5.0)
--- a/cleatlink/relay/peers/live_peers.py
+++ b/cleatlink/relay/peers/live_peers.py
@@ -28,7 +28,7 @@
 class _LivePeer(NamedTuple):
     """The last heartbeat of a peer, and when it was sent."""
 
-    beat: HeartbeatMessage
+    heartbeat: HeartbeatMessage
     heard_at: float
 
 
@@ -66,7 +66,7 @@
     @property
     def heartbeats(self) -> list[HeartbeatMessage]:
         """The last heartbeats of the live peers."""
-        return [peer.beat for peer in self._peers.values()]
+        return [peer.heartbeat for peer in self._peers.values()]
 
     @property
     def peak_live_instances(self) -> int:
@@ -81,13 +81,13 @@
     @property
     def addresses(self) -> list[str]:
         """Addresses of the live peers."""
-        return [peer.beat.address for peer in self._peers.values()]
+        return [peer.heartbeat.address for peer in self._peers.values()]
 
     def addresses_by_data_centre(self) -> dict[str, list[str]]:
         """Return the addresses of the live peers by data centre."""
         addresses: dict[str, list[str]] = defaultdict(list)
         for peer in self._peers.values():
-            addresses[peer.beat.data_centre].append(peer.beat.address)
+            addresses[peer.heartbeat.data_centre].append(peer.heartbeat.address)
         return addresses
 
     def addresses_without_live_peer(self) -> list[str]:
@@ -100,11 +100,12 @@
         Args:
             data_centres: Only peers in these data centres; None for all.
         """
-        beats = (peer.beat for peer in self._peers.values())
+        heartbeats = (peer.heartbeat for peer in self._peers.values())
         return [
-            beat.address
-            for beat in beats
-            if not beat.size and (data_centres is None or beat.data_centre in data_centres)
+            heartbeat.address
+            for heartbeat in heartbeats
+            if not heartbeat.size
+            and (data_centres is None or heartbeat.data_centre in data_centres)
         ]
 
     def addresses_with_bundle_support(self, data_centre: str | None = None) -> list[str]:
@@ -113,30 +114,32 @@
         Args:
             data_centre: Only peers in this data centre; None for all.
         """
-        beats = (peer.beat for peer in self._peers.values())
+        heartbeats = (peer.heartbeat for peer in self._peers.values())
         return [
-            beat.address
-            for beat in beats
-            if beat.size and (data_centre is None or beat.data_centre == data_centre)
+            heartbeat.address
+            for heartbeat in heartbeats
+            if heartbeat.size and (data_centre is None or heartbeat.data_centre == data_centre)
         ]
 
     def address(self, name: str) -> str | None:
         """Return the address of a peer; None if it is not live."""
         peer = self._peers.get(name)
-        return None if peer is None else peer.beat.address
+        return None if peer is None else peer.heartbeat.address
 
     def reflector_candidates(self, now: float) -> list[ReflectorCandidate]:
         """Return the peers that may act as reflectors."""
         return [
-            ReflectorCandidate(name, peer.beat.data_centre, peer.beat.size, now - peer.heard_at)
+            ReflectorCandidate(
+                name, peer.heartbeat.data_centre, peer.heartbeat.size, now - peer.heard_at
+            )
             for name, peer in self._peers.items()
-            if not peer.beat.leaving
+            if not peer.heartbeat.leaving
         ]
 
     def incarnation(self, name: str) -> int | None:
         """Return the incarnation of a peer; None if it is not live."""
         peer = self._peers.get(name)
-        return None if peer is None else peer.beat.incarnation
+        return None if peer is None else peer.heartbeat.incarnation
 
     def seen_within(self, seconds: float, now: float) -> set[str]:
         """Return the peers whose last heartbeat is at most this many seconds old."""
@@ -147,36 +150,38 @@
         return [
             name
             for name, peer in self._peers.items()
-            if peer.beat.source_is_reachable
-            and peer.beat.data_centre == data_centre
-            and not peer.beat.leaving
+            if peer.heartbeat.source_is_reachable
+            and peer.heartbeat.data_centre == data_centre
+            and not peer.heartbeat.leaving
             and now - peer.heard_at <= silence_s
         ]
 
     def leader_election_input(self, silence_s: float, now: float) -> PeerReports:
         """Return what recently seen peers reported for leader election."""
-        beats = {name: self._peers[name].beat for name in self.seen_within(silence_s, now)}
+        heartbeats = {
+            name: self._peers[name].heartbeat for name in self.seen_within(silence_s, now)
+        }
         return PeerReports(
-            {name: beat.leader_vote for name, beat in beats.items()},
+            {name: heartbeat.leader_vote for name, heartbeat in heartbeats.items()},
             set(self._reported),
-            max((beat.member_count for beat in beats.values()), default=0),
+            max((heartbeat.member_count for heartbeat in heartbeats.values()), default=0),
             set(self._left_at),
         )
 
-    def is_outdated(self, beat: HeartbeatMessage) -> bool:
+    def is_outdated(self, heartbeat: HeartbeatMessage) -> bool:
         """Check whether a later heartbeat of the same sender was already received."""
-        peer = self._peers.get(beat.name)
+        peer = self._peers.get(heartbeat.name)
         if peer is None:
             return False
-        last = peer.beat
-        if beat.incarnation != last.incarnation:
-            return beat.incarnation < last.incarnation
-        return 0 < beat.number < last.number
+        last = peer.heartbeat
+        if heartbeat.incarnation != last.incarnation:
+            return heartbeat.incarnation < last.incarnation
+        return 0 < heartbeat.number < last.number
 
-    def is_latest(self, beat: HeartbeatMessage) -> bool:
+    def is_latest(self, heartbeat: HeartbeatMessage) -> bool:
         """Check whether this is the heartbeat recorded for its sender."""
-        peer = self._peers.get(beat.name)
-        return peer is not None and peer.beat is beat
+        peer = self._peers.get(heartbeat.name)
+        return peer is not None and peer.heartbeat is heartbeat
 
     def record_repeated_heartbeat(self, name: str, now: float) -> HeartbeatMessage | None:
         """Record a repetition of a peer's last heartbeat.
@@ -189,31 +194,31 @@
             The last heartbeat; None if the peer is not live or is leaving.
         """
         peer = self._peers.get(name)
-        if peer is None or peer.beat.leaving:
+        if peer is None or peer.heartbeat.leaving:
             return None
         if now > peer.heard_at:
-            self._peers[name] = _LivePeer(peer.beat, now)
-        self._addresses[peer.beat.address] = now
-        return peer.beat
+            self._peers[name] = _LivePeer(peer.heartbeat, now)
+        self._addresses[peer.heartbeat.address] = now
+        return peer.heartbeat
 
-    def record_heartbeat(self, beat: HeartbeatMessage, now: float) -> bool:
+    def record_heartbeat(self, heartbeat: HeartbeatMessage, now: float) -> bool:
         """Record a heartbeat and return whether its sender is new.
 
         Args:
-            beat: The heartbeat; no later one of its sender was received.
+            heartbeat: The heartbeat; no later one of its sender was received.
             now: When it was sent.
         """
-        previous = self._peers.get(beat.name)
+        previous = self._peers.get(heartbeat.name)
         is_new = previous is None
         heard_at = now if previous is None else max(now, previous.heard_at)
-        self._peers[beat.name] = _LivePeer(beat, heard_at)
+        self._peers[heartbeat.name] = _LivePeer(heartbeat, heard_at)
         self._peak_live_instances = max(self._peak_live_instances, len(self._peers) + 1)
-        self._addresses[beat.address] = now
-        if beat.leaving:
-            self._left_at[beat.name] = now
-            self._reported.discard(beat.name)
+        self._addresses[heartbeat.address] = now
+        if heartbeat.leaving:
+            self._left_at[heartbeat.name] = now
+            self._reported.discard(heartbeat.name)
         else:
-            self._left_at.pop(beat.name, None)
+            self._left_at.pop(heartbeat.name, None)
         return is_new
 
     def record_roster(self, roster: Roster, now: float) -> list[str]:
@@ -231,7 +236,7 @@
     def roster_entry(self, name: str) -> Member:
         """Return the roster entry of an instance; without an address if it is not live."""
         peer = self._peers.get(name)
-        return Member(name, "" if peer is None else peer.beat.address)
+        return Member(name, "" if peer is None else peer.heartbeat.address)
 
     def remove_expired(self, now: float) -> list[RemovedPeer]:
         """Remove expired peers, addresses and departures, and return the removed peers."""
--- a/cleatlink/relay/peers/peer_copier.py
+++ b/cleatlink/relay/peers/peer_copier.py
@@ -54,23 +54,25 @@
         Args:
             has_missing: Return whether a peer has the missing state, judged by its heartbeat.
         """
-        found = [beat for beat in self._live_peers.heartbeats if has_missing(beat)]
+        found = [heartbeat for heartbeat in self._live_peers.heartbeats if has_missing(heartbeat)]
         self._rng.shuffle(found)
-        return sorted(found, key=lambda beat: (beat.leaving, not self.is_local(beat)))
+        return sorted(
+            found, key=lambda heartbeat: (heartbeat.leaving, not self.is_local(heartbeat))
+        )
 
-    def is_local(self, beat: HeartbeatMessage) -> bool:
+    def is_local(self, heartbeat: HeartbeatMessage) -> bool:
         """Check whether a peer is in this data centre."""
-        return beat.data_centre == self._data_centre
+        return heartbeat.data_centre == self._data_centre
 
-    async def copy(self, beat: HeartbeatMessage, part: SnapshotPart) -> None:
+    async def copy(self, heartbeat: HeartbeatMessage, part: SnapshotPart) -> None:
         """Copy a part of a peer's state; a failure is logged."""
         started_at = trio.current_time()
         try:
-            copy = await fetch_snapshot(beat.address, part)
+            copy = await fetch_snapshot(heartbeat.address, part)
         except PeerError as error:
             eliot.log_message(
                 message_type="peers: failed to copy state from a peer",
-                peer=beat.name,
+                peer=heartbeat.name,
                 part=part.name.lower(),
                 error=repr(error),
                 took_ms=_ms_since(started_at),
@@ -80,11 +82,11 @@
         self._metrics.count_peer_message("snapshot")
         eliot.log_message(
             message_type="peers: copied state from a peer",
-            peer=beat.name,
+            peer=heartbeat.name,
             part=part.name.lower(),
-            table=beat.table_revision,
-            newest=beat.newest_registration,
-            era=beat.era,
+            table=heartbeat.table_revision,
+            newest=heartbeat.newest_registration,
+            era=heartbeat.era,
             bytes=copy.transferred_bytes,
             took_ms=_ms_since(started_at),
         )
--- a/cleatlink/relay/peers/registration_catch_up.py
+++ b/cleatlink/relay/peers/registration_catch_up.py
@@ -39,9 +39,9 @@
         self._copier = copier
         self._rng = rng
 
-    def revision_of(self, beat: HeartbeatMessage) -> StoreRevision:
+    def revision_of(self, heartbeat: HeartbeatMessage) -> StoreRevision:
         """Return the newest registration revision that a peer knows."""
-        return beat.newest_registration_revision
+        return heartbeat.newest_registration_revision
 
     def local_revision(self) -> StoreRevision:
         """Return the newest registration revision that this instance knows."""
@@ -51,11 +51,11 @@
         """Check whether a revision is later than another one."""
         return revision > than
 
-    async def fetch(self, beat: HeartbeatMessage) -> None:
+    async def fetch(self, heartbeat: HeartbeatMessage) -> None:
         """Query the configuration service again; if that does not help, copy from a peer."""
         self._hooks.poll_service()
         await trio.sleep(_SERVICE_WAIT_S * (1 + self._rng.random()))
-        if not self.is_behind(beat):
+        if not self.is_behind(heartbeat):
             return
         peers = self._copier.peers_with(self.is_behind)
         if peers:
--- a/cleatlink/relay/peers/table_catch_up.py
+++ b/cleatlink/relay/peers/table_catch_up.py
@@ -59,9 +59,9 @@
         # Revision of the last table for which the watch on the service was renewed.
         self._watch_renewed_for = 0
 
-    def revision_of(self, beat: HeartbeatMessage) -> int:
+    def revision_of(self, heartbeat: HeartbeatMessage) -> int:
         """Return the revision of a peer's table."""
-        return beat.table_revision
+        return heartbeat.table_revision
 
     def local_revision(self) -> int:
         """Return the revision of the table in force here."""
@@ -71,40 +71,42 @@
         """Check whether a revision is later than another one."""
         return revision > than
 
-    async def fetch(self, beat: HeartbeatMessage) -> None:
+    async def fetch(self, heartbeat: HeartbeatMessage) -> None:
         """Fetch a table from a local peer, then from the service, then from further peers."""
-        await self._renew_watch(beat)
+        await self._renew_watch(heartbeat)
         await trio.sleep(_MAX_RANDOM_DELAY_S * self._rng.random())
-        if not self.is_behind(beat):
+        if not self.is_behind(heartbeat):
             return
         async with trio.open_nursery() as nursery:
             for method in self._fetch_methods():
-                nursery.start_soon(self._run_method, beat, method, nursery.cancel_scope)
+                nursery.start_soon(self._run_method, heartbeat, method, nursery.cancel_scope)
                 await trio.sleep(_NEXT_METHOD_DELAY_S)
 
-    async def _renew_watch(self, beat: HeartbeatMessage) -> None:
+    async def _renew_watch(self, heartbeat: HeartbeatMessage) -> None:
         """Renew the watch, which the service may have lost, and wait; at most once per table."""
-        if not self._must_watch() or beat.table_revision == self._watch_renewed_for:
+        if not self._must_watch() or heartbeat.table_revision == self._watch_renewed_for:
             return
-        self._watch_renewed_for = beat.table_revision
+        self._watch_renewed_for = heartbeat.table_revision
         self._hooks.poll_service()
         await trio.sleep(_WATCH_WAIT_S)
 
     def _fetch_methods(self) -> list[_FetchMethod]:
         """Return the methods to fetch a newer table, in the order in which they are started."""
         revision = self.local_revision()
-        peers = self._copier.peers_with(lambda beat: beat.table_revision > revision)[:_MAX_PEERS]
+        peers = self._copier.peers_with(lambda heartbeat: heartbeat.table_revision > revision)[
+            :_MAX_PEERS
+        ]
         methods: list[_FetchMethod] = [
-            partial(self._copier.copy, beat, SnapshotPart.TABLE) for beat in peers
+            partial(self._copier.copy, heartbeat, SnapshotPart.TABLE) for heartbeat in peers
         ]
         has_local_peer = bool(peers) and self._copier.is_local(peers[0])
         methods.insert(1 if has_local_peer else 0, self._hooks.read_table)
         return methods
 
     async def _run_method(
-        self, beat: HeartbeatMessage, method: _FetchMethod, others: trio.CancelScope
+        self, heartbeat: HeartbeatMessage, method: _FetchMethod, others: trio.CancelScope
     ) -> None:
         """Run one method and cancel all others if this instance has the table then."""
         await method()
-        if not self.is_behind(beat):
+        if not self.is_behind(heartbeat):
             others.cancel()
--- a/cleatlink/relay/quarantine_test.py
+++ b/cleatlink/relay/quarantine_test.py
@@ -251,7 +251,7 @@
     async with open_fleet() as fleet:
         await start_crashing_fleet(fleet)
         uninformed = fleet.instances[-1]._quarantine
-        monkeypatch.setattr(uninformed, "record_update", lambda news: None)
+        monkeypatch.setattr(uninformed, "record_update", lambda update: None)
         await ask(fleet, UNSAFE, 0)
         await trio.sleep(_RETRY_PAUSE_S)
         await ask(fleet, UNSAFE, 1)
--- a/cleatlink/routing/mechanisms_test.py
+++ b/cleatlink/routing/mechanisms_test.py
@@ -95,8 +95,8 @@
     for step in range(1, 6):
         totals = {"w1": EndpointTotals(20 * step, 0.9 * step, 0)}
         capacity.plain_load.update_peer(PeerCallTotals("p", 1, 0.1 * step, {}, totals), 0.1 * step)
-    seeker = SEEKER._replace(now=0.5)
-    found = [choose_plain("s", capacity, seeker) for _ in range(50)]
+    context = SEEKER._replace(now=0.5)
+    found = [choose_plain("s", capacity, context) for _ in range(50)]
     assert all(item is not None and item.name == "w1" for item in found) is off
 
 
--- a/cleatlink/routing/plain_replay_test.py
+++ b/cleatlink/routing/plain_replay_test.py
@@ -102,8 +102,8 @@
             )
 
     def choose_worker(self, excluded: frozenset[str], now: float) -> str | None:
-        seeker = PlacementContext(self.data_centre, excluded, now, self.rng)
-        found = choose_plain("s", self.capacity, seeker)
+        context = PlacementContext(self.data_centre, excluded, now, self.rng)
+        found = choose_plain("s", self.capacity, context)
         return None if found is None else found.name
 
 
--- a/cleatlink/routing/prompt_plan.py
+++ b/cleatlink/routing/prompt_plan.py
@@ -61,13 +61,13 @@
     route: Route,
     service: RoutedService,
     capacity: Capacity,
-    seeker: PlacementContext,
+    context: PlacementContext,
 ) -> PromptPlan:
     """Decide where a stream's prompt is computed if the stream is placed now."""
     assert service.engine is not None, "only engines compute prompts"
     pace = capacity.service_times(service.name)
     idle_prompt_s = pace.prompt_s(inbound.prompt_tokens)
-    age_s = seeker.now - inbound.arrived_at
+    age_s = context.now - inbound.arrived_at
     target_slack_s = pace.achievable_limit_s(route.target_s, idle_prompt_s) - age_s
     # Callers leave if a stream does not begin in time, or if the time left is too short for its
     # output.
@@ -87,7 +87,7 @@
 
     decode_prompt_s = DECODE_PROMPT_FACTOR * idle_prompt_s
     on_decode = plan(True, 0.0, decode_prompt_s, pace.token_s)
-    earliest = _earliest_prefill(service.name, capacity, seeker, idle_prompt_s)
+    earliest = _earliest_prefill(service.name, capacity, context, idle_prompt_s)
     if earliest is None:
         return on_decode
     on_prefill = plan(False, earliest.queue_s, earliest.prompt_s, pace.first_event_s)
@@ -99,23 +99,23 @@
 
 
 def _earliest_prefill(
-    service: str, capacity: Capacity, seeker: PlacementContext, idle_prompt_s: float
+    service: str, capacity: Capacity, context: PlacementContext, idle_prompt_s: float
 ) -> _PrefillTime | None:
     """Return the times of the prefill endpoint that completes the prompt first, or None.
 
     Args:
         service: Name of the service.
         capacity: Known state of its endpoints.
-        seeker: The request for an endpoint.
+        context: The request for an endpoint.
         idle_prompt_s: Seconds that an idle endpoint of the usual speed needs for the prompt.
     """
-    names = (item.name for item in capacity.candidates(service, Role.PREFILL, seeker.now))
+    names = (item.name for item in capacity.candidates(service, Role.PREFILL, context.now))
     times = (
         _PrefillTime(
-            capacity.prompt_starts_in_s(name, seeker.now),
-            idle_prompt_s / capacity.relative_speed(name, seeker.now),
+            capacity.prompt_starts_in_s(name, context.now),
+            idle_prompt_s / capacity.relative_speed(name, context.now),
         )
         for name in names
-        if name not in seeker.excluded
+        if name not in context.excluded
     )
     return min(times, key=sum, default=None)
--- a/cleatlink/routing/prompt_plan_test.py
+++ b/cleatlink/routing/prompt_plan_test.py
@@ -43,8 +43,8 @@
         "r", "h", "/", RouteKind.STREAMING, 14.0, 0.9, 1, (), event_gap_target_s=event_gap_s
     )
     inbound = InboundRequest("r", b"POST", b"/", "h", (), b"", 0.0, prompt_tokens=tokens)
-    seeker = PlacementContext("a", frozenset(), now, random.Random(1))
-    return plan_prompt(inbound, route, SERVICE, capacity, seeker)
+    context = PlacementContext("a", frozenset(), now, random.Random(1))
+    return plan_prompt(inbound, route, SERVICE, capacity, context)
 
 
 def occupy(capacity: Capacity, name: str, until: float) -> None:
--- a/cleatlink/routing/rejection_bounds_test.py
+++ b/cleatlink/routing/rejection_bounds_test.py
@@ -31,8 +31,8 @@
 
 
 def place(capacity: Capacity, now: float, seed: int = 1) -> RoutedEndpoint | None:
-    seeker = PlacementContext("a", frozenset(), now, random.Random(seed))
-    return choose_decode("s", STREAM, TRAITS, capacity, seeker)
+    context = PlacementContext("a", frozenset(), now, random.Random(seed))
+    return choose_decode("s", STREAM, TRAITS, capacity, context)
 
 
 def test_rejection_at_one_instance_keeps_other_instances_from_trying() -> None:
--- a/cleatlink/routing/shared_wait_queues_test.py
+++ b/cleatlink/routing/shared_wait_queues_test.py
@@ -365,17 +365,17 @@
         for key, placed_tokens in enumerate(stream_tokens):
             reservation = StreamSize(placed_tokens, 0, 1.0).make_reservation(name, 0.0)
             capacity.reserve(f"{name}/{key}", reservation)
-    seeker = PlacementContext("a", frozenset(), 0.0, random.Random(1))
-    found = choose_decode("s", size, TRAITS, capacity, seeker)
+    context = PlacementContext("a", frozenset(), 0.0, random.Random(1))
+    found = choose_decode("s", size, TRAITS, capacity, context)
     if found is None:
         return
     own_reservation = size.make_reservation(found.name, 0.0)
     count = count_fitting_streams(
-        "s", tokens, TRAITS, capacity, seeker, placed_first=own_reservation
+        "s", tokens, TRAITS, capacity, context, placed_first=own_reservation
     )
     capacity.reserve("own", own_reservation)
     for key in range(count):
         other = StreamSize(tokens, 0, 1.0)
-        place = choose_decode("s", other, TRAITS, capacity, seeker)
+        place = choose_decode("s", other, TRAITS, capacity, context)
         assert place is not None
         capacity.reserve(f"ahead/{key}", other.make_reservation(place.name, 0.0))
