--- a/cleatlink/relay/calls/plain.py
+++ b/cleatlink/relay/calls/plain.py
@@ -177,15 +177,15 @@
         of 0.16 s.
         """
         capacity = self._parts.capacity
-        pace = capacity.service_times(self._call.service.name)
+        times = capacity.service_times(self._call.service.name)
         duration_s = self._call.processing_s(self._upload, started_at)
         if duration_s is None:
             return
         now = trio.current_time()
         capacity.note_duration(
-            endpoint.name, SpeedSampleKind.PLAIN, duration_s, pace.plain_call_s, now
+            endpoint.name, SpeedSampleKind.PLAIN, duration_s, times.plain_call_s, now
         )
-        pace.note_plain_call(duration_s)
+        times.note_plain_call(duration_s)
 
     async def _cancel_when_silent(self, endpoint: RoutedEndpoint, scope: trio.CancelScope) -> None:
         """Cancel the exchange with an endpoint that is silent for too long, to retry elsewhere.
--- a/cleatlink/relay/calls/prefill.py
+++ b/cleatlink/relay/calls/prefill.py
@@ -176,9 +176,9 @@
         key = f"{call.inbound.request_id}/{self._failed_attempts}/p"
         now = trio.current_time()
         tokens = call.inbound.prompt_tokens
-        pace = parts.capacity.service_times(call.service.name)
+        times = parts.capacity.service_times(call.service.name)
         queue_s = parts.capacity.prompt_starts_in_s(endpoint.name, now)
-        usual_s = pace.prompt_s(tokens)
+        usual_s = times.prompt_s(tokens)
         expected_s = queue_s + usual_s / parts.capacity.relative_speed(endpoint.name, now)
         reservation = Reservation(endpoint.name, Role.PREFILL, tokens, now + expected_s, expected_s)
         parts.capacity.reserve(key, reservation)
@@ -244,19 +244,19 @@
     def _record_speed(self, endpoint: RoutedEndpoint, queue_s: float, served_s: float) -> None:
         """Record the prefill speed of the endpoint and its service, without the upload time."""
         capacity = self._parts.capacity
-        pace = capacity.service_times(self._call.service.name)
+        times = capacity.service_times(self._call.service.name)
         tokens = self._call.inbound.prompt_tokens
-        usual_s = pace.prompt_s(tokens)
+        usual_s = times.prompt_s(tokens)
         prefill_s = max(0.0, served_s - _CALL_OVERHEAD_S)
         # An endpoint that became slow is reported to peers even if its speed is already known.
         if served_s > _SLOW_FACTOR * (queue_s + usual_s) + _SLOW_BASE_S:
             self._call.report_slow(endpoint, served_s)
-        if pace.is_known and queue_s < _MAX_QUEUE_SHARE * usual_s:
+        if times.is_known and queue_s < _MAX_QUEUE_SHARE * usual_s:
             now = trio.current_time()
             capacity.note_duration(
                 endpoint.name, SpeedSampleKind.PROMPT, prefill_s - queue_s, usual_s, now
             )
-        pace.note_prompt(tokens, queue_s, prefill_s)
+        times.note_prompt(tokens, queue_s, prefill_s)
 
     async def _request_prefill(self, endpoint: RoutedEndpoint, upload: Upload) -> KvHandle:
         call, parts = self._call, self._parts
--- a/cleatlink/relay/calls/stream_test.py
+++ b/cleatlink/relay/calls/stream_test.py
@@ -400,7 +400,7 @@
         for _ in range(5):
             reply = await fleet.caller().ask("/stream/x", "POST", body=b"p", headers=STREAM)
             assert reply.status == 200
-        pace = fleet.instances[0].capacity.service_times("model")
-        assert pace.is_known
+        times = fleet.instances[0].capacity.service_times("model")
+        assert times.is_known
         # Five events of one token each, 5 ms apart.
-        assert 0.004 < pace.token_s < 0.02
+        assert 0.004 < times.token_s < 0.02
--- a/cleatlink/relay/instance_pauses_test.py
+++ b/cleatlink/relay/instance_pauses_test.py
@@ -56,11 +56,11 @@
         caller = fleet.caller()
         for _ in range(20):
             assert (await caller.ask("/stream/x", "POST", body=b"p", headers=STREAM)).status == 200
-        pace = fleet.instances[0].capacity.service_times("model")
-        slow_token_before_s = pace.slow_token_s
+        times = fleet.instances[0].capacity.service_times("model")
+        slow_token_before_s = times.slow_token_s
         for _ in range(10):
             await ask_across_a_pause(caller, "/stream/x", STREAM, after_s=0.06)
-        assert pace.slow_token_s < 2 * slow_token_before_s
+        assert times.slow_token_s < 2 * slow_token_before_s
 
 
 async def test_pauses_do_not_make_prefills_look_slow() -> None:
@@ -71,11 +71,11 @@
         caller = fleet.caller()
         for _ in range(8):
             assert (await caller.ask("/stream/x", "POST", body=b"p", headers=STREAM)).status == 200
-        pace = fleet.instances[0].capacity.service_times("model")
-        normal_s = pace.prompt_s(100)
+        times = fleet.instances[0].capacity.service_times("model")
+        normal_s = times.prompt_s(100)
         for _ in range(12):
             await ask_across_a_pause(caller, "/stream/x", STREAM)
-        assert pace.prompt_s(100) < 1.2 * normal_s
+        assert times.prompt_s(100) < 1.2 * normal_s
 
 
 async def test_pause_of_instance_does_not_make_endpoint_count_as_silent() -> None:
--- a/cleatlink/relay/peers/endpoint_speed_channel.py
+++ b/cleatlink/relay/peers/endpoint_speed_channel.py
@@ -36,26 +36,26 @@
     """Channel for measurements of endpoints' speeds."""
 
     def __init__(
-        self, name: str, incarnation: int, paces: EndpointSpeeds, metrics: RelayMetrics
+        self, name: str, incarnation: int, speeds: EndpointSpeeds, metrics: RelayMetrics
     ) -> None:
         """Initialise the channel without pending updates.
 
         Args:
             name: Name of this instance.
             incarnation: Start number of this instance; it grows with each start.
-            paces: Known speeds of the endpoints.
+            speeds: Known speeds of the endpoints.
             metrics: Metrics that export the speeds.
         """
         self._name = name
         self._incarnation = incarnation
-        self._paces = paces
+        self._speeds = speeds
         self._metrics = metrics
         self._number = 0
         # Incarnation and sequence number of the newest message of each sender.
         self._newest_received: dict[str, tuple[int, int]] = {}
         self._logged_speeds: dict[str, float] = {}
         self._has_changes = trio.Event()
-        paces.set_listener(self._note_changed)
+        speeds.set_listener(self._note_changed)
 
     def _note_changed(self) -> None:
         self._has_changes.set()
@@ -65,18 +65,18 @@
         await trio.sleep(_MIN_PAUSE_S)
         self._export_speeds()
         await self._has_changes.wait()
-        incarnations = self._paces.pop_changed(_MAX_CHANGED)
+        incarnations = self._speeds.pop_changed(_MAX_CHANGED)
         if len(incarnations) < _MAX_CHANGED:
             self._has_changes = trio.Event()
         return self._messages(incarnations)
 
     def repeated_messages(self) -> list[EndpointSpeedUpdate]:
         """Return the newest measurements of this instance, for a few peers."""
-        return self._messages(self._paces.own_incarnations(trio.current_time())[:_MAX_ENDPOINTS])
+        return self._messages(self._speeds.own_incarnations(trio.current_time())[:_MAX_ENDPOINTS])
 
     def initial_messages(self) -> list[EndpointSpeedUpdate]:
         """Return the newest measurements of this instance, for a new peer."""
-        return self._messages(self._paces.own_incarnations(trio.current_time())[:_MAX_INITIAL])
+        return self._messages(self._speeds.own_incarnations(trio.current_time())[:_MAX_INITIAL])
 
     def _messages(self, incarnations: Sequence[str]) -> list[EndpointSpeedUpdate]:
         """Return the measurements of some endpoints, split into messages of bounded size."""
@@ -90,7 +90,7 @@
         self._number += 1
         items_by_incarnation = {
             incarnation: [
-                _item(sample, now) for sample in self._paces.own_samples(incarnation, now)
+                _item(sample, now) for sample in self._speeds.own_samples(incarnation, now)
             ]
             for incarnation in incarnations
         }
@@ -108,13 +108,13 @@
         self._newest_received[message.name] = position
         now = trio.current_time()
         for endpoint_incarnation, items in message.measurements.items():
-            self._paces.replace_peer_samples(
+            self._speeds.replace_peer_samples(
                 message.name, endpoint_incarnation, _samples(items, now)
             )
 
     def _export_speeds(self) -> None:
         """Export the speeds as metrics and log those that changed."""
-        speeds = self._paces.speeds(trio.current_time())
+        speeds = self._speeds.speeds(trio.current_time())
         self._metrics.set_speeds(list(speeds.values()))
         self._logged_speeds = {
             incarnation: logged
@@ -132,8 +132,8 @@
                 endpoint=incarnation,
                 speed=round(speeds[incarnation], 2),
                 before=round(self._logged_speeds.get(incarnation, 1.0), 2),
-                samples=self._paces.sample_count(incarnation),
-                newest_ago_s=self._paces.newest_sample_age_s(incarnation, trio.current_time()),
+                samples=self._speeds.sample_count(incarnation),
+                newest_ago_s=self._speeds.newest_sample_age_s(incarnation, trio.current_time()),
             )
             self._logged_speeds[incarnation] = speeds[incarnation]
 
--- a/cleatlink/relay/peers/group.py
+++ b/cleatlink/relay/peers/group.py
@@ -382,13 +382,13 @@
         )
 
     def _send_to_random_peers(self, *messages_before: Message) -> None:
-        """Send a roster, measured paces and repeated updates to a few randomly chosen peers."""
+        """Send a roster, service times and repeated updates to a few randomly chosen peers."""
         addresses = self._peers.addresses
         chosen = self._rng.sample(addresses, min(_ROSTER_RECIPIENTS, len(addresses)))
         messages = [*messages_before, self._roster(_MAX_ROSTER_MEMBERS)]
-        paces = self._capacity.service_time_summaries(trio.current_time())
-        if paces:
-            messages.append(ServiceTimeUpdate(self._settings.name, paces))
+        summaries = self._capacity.service_time_summaries(trio.current_time())
+        if summaries:
+            messages.append(ServiceTimeUpdate(self._settings.name, summaries))
         for channel in self._channels:
             messages += channel.repeated_messages()
         self._delivery.send_directly(messages, chosen)
@@ -661,14 +661,14 @@
         self._has_peer_work_changed = True
 
     def _send_introduction(self, heartbeat: HeartbeatMessage) -> None:
-        """Send a new peer the roster, the measured paces and the full state of all channels."""
+        """Send a new peer the roster, service times and the full state of all channels."""
         messages: list[Message] = []
         known = len(self.members | self._peers.names)
         if not self._delivery.uses_reflectors or heartbeat.member_count < known:
             messages.append(self._roster())
-        paces = self._capacity.service_time_summaries(trio.current_time())
-        if paces:
-            messages.append(ServiceTimeUpdate(self._settings.name, paces))
+        summaries = self._capacity.service_time_summaries(trio.current_time())
+        if summaries:
+            messages.append(ServiceTimeUpdate(self._settings.name, summaries))
         for channel in self._channels:
             messages += channel.initial_messages()
         if (
@@ -681,7 +681,7 @@
             self._delivery.send_directly(messages, [heartbeat.address])
 
     def _handle_paces(self, update: ServiceTimeUpdate) -> None:
-        """Adopt a peer's measured paces for services that this instance has not measured."""
+        """Adopt a peer's service times for services that this instance has not measured."""
         self._metrics.count_peer_message("paces")
         now = trio.current_time()
         for service, (summary, age_s) in update.service_times.items():
--- a/cleatlink/routing/capacity.py
+++ b/cleatlink/routing/capacity.py
@@ -71,10 +71,10 @@
 
     def service_times(self, service: str) -> ServiceTimes:
         """Return the measured times of a service."""
-        pace = self._service_times.get(service)
-        if pace is None:
-            pace = self._service_times[service] = ServiceTimes(self.switches)
-        return pace
+        times = self._service_times.get(service)
+        if times is None:
+            times = self._service_times[service] = ServiceTimes(self.switches)
+        return times
 
     def relative_speed(self, name: str, now: float) -> float:
         """Return an endpoint's speed relative to its service's usual speed; 1.0 if unknown."""
@@ -113,7 +113,7 @@
 
     def service_time_summaries(self, now: float) -> dict[str, tuple[ServiceTimeSummary, float]]:
         """Return the times of services that peers may adopt, each with its age in seconds."""
-        summaries = {name: pace.summary(now) for name, pace in self._service_times.items()}
+        summaries = {name: times.summary(now) for name, times in self._service_times.items()}
         return {name: item for name, item in summaries.items() if item is not None}
 
     def count_demand(self, work: Reservation, now: float) -> None:
@@ -135,20 +135,20 @@
             promise: Latency targets of the service's routes.
             now: The current time, in seconds.
         """
-        pace, meter = self.service_times(service), self._meter(service)
-        if not pace.is_known:
+        times, meter = self.service_times(service), self._meter(service)
+        if not times.is_known:
             return None
         prompt, output = meter.mean_prompt_tokens, meter.mean_output_tokens
         # Answers grow while they are sent: on average they hold half of their final size.
         mean_tokens = max(1.0, prompt + output / 2)
         streams_per_decode = min(float(traits.slots), traits.memory_tokens / mean_tokens)
-        prompt_s = pace.prompt_s(int(prompt))
-        stream_s = prompt_s + pace.stream_duration_s(int(output))
+        prompt_s = times.prompt_s(int(prompt))
+        stream_s = prompt_s + times.stream_duration_s(int(output))
         rates, mean_rates = meter.rates(now), meter.rates(now, stream_s)
         slack_s = (
-            pace.achievable_limit_s(promise.target_s, prompt_s) - prompt_s - pace.first_event_s
+            times.achievable_limit_s(promise.target_s, prompt_s) - prompt_s - times.first_event_s
         )
-        pause_s = pace.prompt_event_gap_s(prompt_s, traits.event_tokens)
+        pause_s = times.prompt_event_gap_s(prompt_s, traits.event_tokens)
         # Whether decodes may compute prompts without pausing their streams for too long.
         decodes_compute = pause_s <= promise.event_gap_s
         return RoleDemand(
@@ -408,6 +408,8 @@
         if endpoint is None or not placed:
             return 0.0
         first = min(placed, key=lambda work: work.ends_at)
-        pace = self.service_times(endpoint.service)
+        times = self.service_times(endpoint.service)
         # The first prompt is being computed; on average, half of it is done.
-        return sum(pace.prompt_s(work.tokens) for work in placed) - pace.prompt_s(first.tokens) / 2
+        return (
+            sum(times.prompt_s(work.tokens) for work in placed) - times.prompt_s(first.tokens) / 2
+        )
--- a/cleatlink/routing/mechanisms.py
+++ b/cleatlink/routing/mechanisms.py
@@ -13,7 +13,7 @@
 class Mechanism(StrEnum):
     """A mechanism that can be switched off; the value is its name on the command line."""
 
-    # Use measured paces of engines and lengths of answers. Off: estimate them from the routes.
+    # Use measured service times and lengths of answers. Off: estimate them from the routes.
     LEARNED_PACE = "learned-pace"
     # Use the speed of each endpoint, as measured by all instances. Off: use its service's speed.
     ENDPOINT_PACE = "endpoint-pace"
--- a/cleatlink/routing/mechanisms_test.py
+++ b/cleatlink/routing/mechanisms_test.py
@@ -70,11 +70,11 @@
 @pytest.mark.parametrize("off", [False, True])
 def test_pace_and_spread_of_answer_lengths_are_learned(off: bool) -> None:
     without = {Mechanism.LEARNED_PACE, Mechanism.SPREAD_ROOM} if off else set()
-    pace = Capacity(MechanismSwitches(without)).service_times("s")
-    before_s = pace.token_s
-    pace.note_segment(100, 5.0)
-    assert (pace.token_s == before_s) is off
-    assert (pace.length_spread == 0.0) is off
+    times = Capacity(MechanismSwitches(without)).service_times("s")
+    before_s = times.token_s
+    times.note_segment(100, 5.0)
+    assert (times.token_s == before_s) is off
+    assert (times.length_spread == 0.0) is off
 
 
 @pytest.mark.parametrize("off", [False, True])
--- a/cleatlink/routing/prompt_plan.py
+++ b/cleatlink/routing/prompt_plan.py
@@ -65,16 +65,16 @@
 ) -> PromptPlan:
     """Decide where a stream's prompt is computed if the stream is placed now."""
     assert service.engine is not None, "only engines compute prompts"
-    pace = capacity.service_times(service.name)
-    idle_prompt_s = pace.prompt_s(inbound.prompt_tokens)
+    times = capacity.service_times(service.name)
+    idle_prompt_s = times.prompt_s(inbound.prompt_tokens)
     age_s = context.now - inbound.arrived_at
-    target_slack_s = pace.achievable_limit_s(route.target_s, idle_prompt_s) - age_s
+    target_slack_s = times.achievable_limit_s(route.target_s, idle_prompt_s) - age_s
     # Callers leave if a stream does not begin in time, or if the time left is too short for its
     # output.
-    output_s = pace.token_s * estimate_output_tokens(inbound, pace)
+    output_s = times.token_s * estimate_output_tokens(inbound, times)
     time_limit_s = min(route.timeout_s, inbound.deadline - inbound.arrived_at)
     caller_slack_s = (
-        pace.achievable_limit_s(min(route.abandon_after_s, time_limit_s - output_s), idle_prompt_s)
+        times.achievable_limit_s(min(route.abandon_after_s, time_limit_s - output_s), idle_prompt_s)
         - age_s
     )
 
@@ -86,12 +86,12 @@
         )
 
     decode_prompt_s = DECODE_PROMPT_FACTOR * idle_prompt_s
-    on_decode = plan(True, 0.0, decode_prompt_s, pace.token_s)
+    on_decode = plan(True, 0.0, decode_prompt_s, times.token_s)
     earliest = _earliest_prefill(service.name, capacity, context, idle_prompt_s)
     if earliest is None:
         return on_decode
-    on_prefill = plan(False, earliest.queue_s, earliest.prompt_s, pace.first_event_s)
-    pause_s = pace.prompt_event_gap_s(idle_prompt_s, service.engine.event_tokens)
+    on_prefill = plan(False, earliest.queue_s, earliest.prompt_s, times.first_event_s)
+    pause_s = times.prompt_event_gap_s(idle_prompt_s, service.engine.event_tokens)
     may_use_decode = capacity.switches.is_enabled(Mechanism.SHARED_PROMPTS)
     if not on_prefill.is_late or pause_s > route.event_gap_target_s or not may_use_decode:
         return on_prefill
--- a/cleatlink/routing/prompt_plan_test.py
+++ b/cleatlink/routing/prompt_plan_test.py
@@ -28,11 +28,11 @@
     for number, role in enumerate(roles):
         endpoint = RoutedEndpoint(f"e{number}", "127.0.0.1:1", "a", "s", role, 64)
         capacity.set_endpoint(endpoint)
-    pace = capacity.service_times("s")
+    times = capacity.service_times("s")
     for _ in range(9):
-        pace.note_prompt(2000, 0.0, 0.1)
-        pace.note_segment(100, 0.5)
-        pace.note_first_event(0.05)
+        times.note_prompt(2000, 0.0, 0.1)
+        times.note_segment(100, 0.5)
+        times.note_first_event(0.05)
     return capacity
 
 
--- a/cleatlink/routing/relay_placement.py
+++ b/cleatlink/routing/relay_placement.py
@@ -156,22 +156,22 @@
 _NO_OPTION = _Option(math.inf, None)
 
 
-def estimate_output_tokens(inbound: InboundRequest, pace: ServiceTimes) -> int:
+def estimate_output_tokens(inbound: InboundRequest, times: ServiceTimes) -> int:
     """Estimate the number of tokens of a stream's answer."""
     output = inbound.max_output_tokens
     if inbound.estimated_output_tokens:
-        output = min(output, int(inbound.estimated_output_tokens * pace.length_ratio))
+        output = min(output, int(inbound.estimated_output_tokens * times.length_ratio))
     return output
 
 
 def estimate_longest_stream_s(
-    inbound: InboundRequest, pace: ServiceTimes, ready_s: float = 0.0
+    inbound: InboundRequest, times: ServiceTimes, ready_s: float = 0.0
 ) -> float:
     """Estimate an upper bound of a stream's duration, which few streams exceed.
 
     Args:
         inbound: The request.
-        pace: Measured times of its service.
+        times: Measured times of its service.
         ready_s: Seconds until its prompt should be computed.
 
     Returns:
@@ -179,9 +179,11 @@
     """
     output = inbound.max_output_tokens
     if inbound.estimated_output_tokens:
-        long_factor = 1 + _LONG_ANSWER_DEVIATIONS * pace.length_spread
-        output = min(output, int(inbound.estimated_output_tokens * pace.length_ratio * long_factor))
-    return _START_FACTOR * (ready_s + pace.first_event_s) + pace.slow_token_s * output
+        long_factor = 1 + _LONG_ANSWER_DEVIATIONS * times.length_spread
+        output = min(
+            output, int(inbound.estimated_output_tokens * times.length_ratio * long_factor)
+        )
+    return _START_FACTOR * (ready_s + times.first_event_s) + times.slow_token_s * output
 
 
 def choose_decode(
@@ -362,8 +364,8 @@
     """
     best: RoutedEndpoint | None = None
     best_cost = 0.0
-    pace = capacity.service_times(service)
-    remote_cost_s, compute_s = pace.prompt_s(_REMOTE_COST_TOKENS), pace.prompt_s(tokens)
+    times = capacity.service_times(service)
+    remote_cost_s, compute_s = times.prompt_s(_REMOTE_COST_TOKENS), times.prompt_s(tokens)
     if capacity.spill_over.is_in_use and target_s < math.inf:
         remote_cost_s = max(remote_cost_s, capacity.spill_over.crossing_share * target_s)
     candidates = capacity.candidates(service, Role.PREFILL, context.now)
--- a/cleatlink/routing/relay_routing_test.py
+++ b/cleatlink/routing/relay_routing_test.py
@@ -155,14 +155,14 @@
 def test_overdue_prompts_do_not_lengthen_the_estimated_queue_of_a_prefill() -> None:
     capacity = Capacity()
     capacity.set_endpoint(make_endpoint("p", Role.PREFILL))
-    pace = capacity.service_times("s")
+    times = capacity.service_times("s")
     for _ in range(9):
-        pace.note_prompt(1000, 0.0, 0.1)
+        times.note_prompt(1000, 0.0, 0.1)
     assert capacity.prefill_queue_s("p") == 0.0
     now = 0.0
     for number in range(20):
         # Each prompt takes longer than expected for it and the prompts queued ahead of it.
-        expected_s = capacity.prefill_queue_s("p") + pace.prompt_s(1000)
+        expected_s = capacity.prefill_queue_s("p") + times.prompt_s(1000)
         reservation = Reservation("p", Role.PREFILL, 1000, now + expected_s, expected_s)
         capacity.reserve(str(number), reservation)
         now += 0.2
@@ -225,26 +225,26 @@
 
 
 def test_longest_stream_is_infinite_without_a_measured_pace_and_then_above_the_estimate() -> None:
-    pace = ServiceTimes()
+    times = ServiceTimes()
     inbound = InboundRequest("r", b"POST", b"/", "h", (), b"", 0.0, 9.0, 1000, 500, 100)
-    assert estimate_longest_stream_s(inbound, pace) == math.inf
+    assert estimate_longest_stream_s(inbound, times) == math.inf
     for _ in range(20):
-        pace.note_segment(100, 0.2)
+        times.note_segment(100, 0.2)
     # The prior of output lengths: two standard deviations of a half above the hint of 100.
-    assert estimate_longest_stream_s(inbound, pace) == pytest.approx(
-        2 * pace.first_event_s + 200 * 0.002
+    assert estimate_longest_stream_s(inbound, times) == pytest.approx(
+        2 * times.first_event_s + 200 * 0.002
     )
-    assert estimate_longest_stream_s(inbound, pace, 0.5) == pytest.approx(
-        1.0 + estimate_longest_stream_s(inbound, pace)
+    assert estimate_longest_stream_s(inbound, times, 0.5) == pytest.approx(
+        1.0 + estimate_longest_stream_s(inbound, times)
     )
     # Never above the requested maximum.
     limited = inbound._replace(max_output_tokens=120)
-    assert estimate_longest_stream_s(limited, pace) == pytest.approx(
-        2 * pace.first_event_s + 120 * 0.002
+    assert estimate_longest_stream_s(limited, times) == pytest.approx(
+        2 * times.first_event_s + 120 * 0.002
     )
     unhinted = inbound._replace(estimated_output_tokens=0)
-    assert estimate_longest_stream_s(unhinted, pace) == pytest.approx(
-        2 * pace.first_event_s + 500 * 0.002
+    assert estimate_longest_stream_s(unhinted, times) == pytest.approx(
+        2 * times.first_event_s + 500 * 0.002
     )
 
 
--- a/cleatlink/routing/role_planner.py
+++ b/cleatlink/routing/role_planner.py
@@ -1,12 +1,12 @@
 """Plans role changes of endpoints as demand moves between prefill and decode.
 
-An engine that changes its role serves neither role for some seconds. A change is therefore
-planned only from measurements: learned paces, and arrivals over several seconds. From these
-the planner estimates the share of streams that would be late, because of their prompt or of a
-missing slot at a decode, for a given number of engines in each role. A change must save more
-late streams within a fixed time than it causes; the same estimate reverses the change when
-later measurements contradict it. A service without any prefill gets one, because decodes that
-compute prompts themselves delay the tokens of every stream that they run.
+An engine that changes its role serves neither role for some seconds. A change is therefore planned
+only from measurements: measured service times, and arrivals over several seconds. From these the
+planner estimates the share of streams that would be late, because of their prompt or of a missing
+slot at a decode, for a given number of engines in each role. A change must save more late streams
+within a fixed time than it causes; the same estimate reverses the change when later measurements
+contradict it. A service without any prefill gets one, because decodes that compute prompts
+themselves delay the tokens of every stream that they run.
 
 An endpoint that stops responding often returns soon. No change is planned to replace it until
 it has been away for as long as a change takes. Waiting for that time before paying the cost of
@@ -164,7 +164,7 @@
     Args:
         prefills: Endpoints with the prefill role.
         decodes: Endpoints with the decode role.
-        demand: Demand on the service; None while its paces are unknown.
+        demand: Demand on the service; None while its service times are unknown.
         remaining_work_s: Seconds until an endpoint has finished its work, by endpoint name;
             endpoints that finish sooner are preferred.
         target_roles: New roles of the endpoints that are changing already, by endpoint name; these
@@ -251,7 +251,7 @@
     Args:
         prefills: Endpoints with the prefill role.
         decodes: Endpoints with the decode role.
-        demand: Demand on the service; None while its paces are unknown.
+        demand: Demand on the service; None while its service times are unknown.
         remaining_work_s: Seconds until an endpoint has finished its current work, by endpoint name.
         target_roles: New roles of the endpoints that are changing already, by endpoint name.
         max_changes: Maximum number of changes that may begin now.
--- a/cleatlink/routing/role_planner_test.py
+++ b/cleatlink/routing/role_planner_test.py
@@ -252,11 +252,11 @@
     prompt_s = prompt / (kind.prompt_tokens_ms or 33.0) / 1000
     for number, role in enumerate([Role.PREFILL] * 2 + [Role.DECODE] * 3):
         capacity.set_endpoint(RoutedEndpoint(f"e{number}", "127.0.0.1:1", "a", "s", role, 64))
-    pace = capacity.service_times("s")
+    times = capacity.service_times("s")
     for count in range(int(rate * seconds)):
         now = count / rate
-        pace.note_prompt(prompt, 0.0, prompt_s)
-        pace.note_segment(output, output * step_s)
+        times.note_prompt(prompt, 0.0, prompt_s)
+        times.note_segment(output, output * step_s)
         work = Reservation("e4", Role.DECODE, prompt + output, now + 1.0, 1.0, output)
         capacity.count_demand(work, now)
     return capacity, traits
