--- a/cleatlink/core/organisations.py
+++ b/cleatlink/core/organisations.py
@@ -1,4 +1,4 @@
-"""Organisations (tenants): their keys, limits and priorities."""
+"""Organisations: their keys, limits and priorities."""
 
 import hashlib
 from typing import NamedTuple
