--- a/cleatlink/serving/__init__.py
+++ b/cleatlink/serving/__init__.py
@@ -1,4 +1,4 @@
-"""Serving: callers, endpoints, platform and peers over the network, on trio."""
+"""An entry instance on the network: callers, endpoints, platform and peers, on trio."""
 
 from cleatlink.serving.daemon import run_daemon
 from cleatlink.serving.entry import Entry, Outside
--- a/cleatlink/serving/daemon.py
+++ b/cleatlink/serving/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon: an entry instance over real sockets, until a signal stops it."""
+"""The daemon: runs an entry instance on sockets until a signal stops it."""
 
 import signal
 from collections.abc import AsyncIterator, Callable
@@ -21,24 +21,25 @@
 
 
 async def run_daemon(settings: Settings, on_listening: Callable[[Address, Address], None]) -> None:
-    """Run an entry instance until SIGTERM, then finish all work and return.
+    """Run an entry instance until SIGTERM or SIGINT, then finish all work and return.
 
     Args:
-        settings: Checked settings.
-        on_listening: Called with the addresses for callers and for peers.
+        settings: Valid settings.
+        on_listening: Called with the addresses at which it listens for callers and for peers.
     """
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         client = HttpEndpointClient(settings.connect_timeout_s)
         platform = HttpPlatform(settings.platform) if settings.platform else None
         stopped = trio.Event()
         async with trio.open_nursery() as nursery:
-            # Peers' questions are answered once the instance stands behind them.
-            waiting = _Waiting()
-            peer_app = build_peer_app(waiting.answer)
+            # The entry needs the address of the listener for peers, so requests of peers wait
+            # until the entry has been built.
+            forwarder = _PeerRequestForwarder()
+            peer_app = build_peer_app(forwarder.forward)
             peers = await serve_app(nursery, peer_app, settings.peer_listen, stopped.wait)
             link = HttpPeerLink(peers)
             entry = Entry(settings, Outside(client, platform, link, unix_s))
-            waiting.entry = entry
+            forwarder.entry = entry
             app = entry.start(nursery)
             timeout_s = settings.caller_timeout_s
             callers = await serve_app(nursery, app, settings.listen, stopped.wait, timeout_s)
@@ -55,13 +56,13 @@
                 await platform.close()
 
 
-class _Waiting:
-    """Passes peers' questions on to the entry, which is built after the listener."""
+class _PeerRequestForwarder:
+    """Forwards requests of peers to the entry, which is built after the listener."""
 
     entry: Entry | None = None
 
-    async def answer(self, path: str, body: bytes) -> bytes:
-        """Answer a peer's question."""
+    async def forward(self, path: str, body: bytes) -> bytes:
+        """Return the entry's answer to a request of a peer."""
         while self.entry is None:
             await trio.sleep(0.01)
         return await self.entry.peers.answer(path, body)
--- a/cleatlink/serving/endpoints.py
+++ b/cleatlink/serving/endpoints.py
@@ -1,8 +1,8 @@
-"""Endpoints' side: what an endpoint protocol must offer, and the one over HTTP.
+"""Endpoint protocols: the interface that each protocol implements, and the protocol over HTTP.
 
-Errors say what the request's memory needs: was the order never sent, refused,
-or is its outcome unknown? Only a connection that was never made counts as
-never sent; everything later may have left.
+The exceptions show whether an order was not sent, was refused, or has an unknown
+outcome; retries and the release of endpoint memory depend on this. An order counts as
+not sent only if the connection failed; after that, any byte may have been sent.
 """
 
 import ssl
@@ -38,16 +38,24 @@
     "read_report",
 ]
 
+# Connections per endpoint, and the idle ones among them that are kept open.
 _MAX_CONNECTIONS = 1_000
-_KEPT_CONNECTIONS = 32
-# Endpoints that are listed are asked for reports all the time; one that is not
-# may still be finishing streams, for as long as the longest deadline.
-_POOL_LIFETIME_S = 7_200.0
+_MAX_IDLE_CONNECTIONS = 32
+# Pools of listed endpoints are never idle for long because reports are requested regularly. An
+# endpoint that is no longer listed may be completing streams until the longest deadline.
+_POOL_IDLE_TIMEOUT_S = 7_200.0
 _MAX_EVENT_BYTES = 1_000_000
 _REPORT_TIMEOUT_S = 2.0
-_DONE = b"[DONE]"
-_UNSENT = (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout, httpx.UnsupportedProtocol)
-_HOP_HEADERS = frozenset(
+_DONE_MARKER = b"[DONE]"
+# Exceptions after which no byte of the request has been sent.
+_CONNECT_ERRORS = (
+    httpx.ConnectError,
+    httpx.ConnectTimeout,
+    httpx.PoolTimeout,
+    httpx.UnsupportedProtocol,
+)
+# Headers that apply to one connection and are not forwarded.
+_HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "content-length",
@@ -64,7 +72,17 @@
 
 
 class Order(NamedTuple):
-    """One order to a model engine; ``position`` above 0 continues an answer."""
+    """An order to a model engine.
+
+    Attributes:
+        endpoint: Endpoint that receives the order.
+        request: Name of the request.
+        attempt: Number of the attempt.
+        body: The caller's request body.
+        chat: Whether the request uses the chat API.
+        position: Position from which the answer continues; 0 for a new answer.
+        text: Text of the answer before that position.
+    """
 
     endpoint: Endpoint
     request: str
@@ -76,23 +94,30 @@
 
 
 class StreamEvent(NamedTuple):
-    """One event of an engine's stream; ``owner`` is ``request.attempt``."""
+    """One event of an engine's stream.
+
+    Attributes:
+        attempt_id: Request and attempt that the event names as its own, ``request.attempt``.
+        position: Position of the event in the answer.
+        data: Content of the event.
+        end: Whether this is the last event of the stream.
+    """
 
-    owner: str
+    attempt_id: str
     position: int
     data: bytes
     end: bool
 
 
 class EndpointReport(NamedTuple):
-    """An endpoint's answer to one question for its state."""
+    """State that an endpoint reported: its load and its recent cache events."""
 
     load: LoadReport
     cache: CacheUpdate
 
 
 class PlainAnswer(NamedTuple):
-    """A plain service's answer."""
+    """Response of a plain service."""
 
     status: int
     headers: Mapping[str, str]
@@ -100,90 +125,92 @@
 
 
 class EventStream(ABC):
-    """An open stream of a decode's events."""
+    """The open event stream of a decode."""
 
     @abstractmethod
     def take_waiting(self) -> StreamEvent | None:
-        """Take an event that has arrived already, without a wait."""
+        """Return the next event if it has already been received, else None; never blocks."""
 
     @abstractmethod
     async def read(self) -> StreamEvent:
         """Read the next event.
 
         Raises:
-            StreamBrokenError: The stream ended, or sent what is no event.
+            StreamBrokenError: The stream ended or contains an invalid event.
         """
 
     @abstractmethod
     async def close(self) -> None:
-        """Close the stream; the engine may go on."""
+        """Close the stream; the engine may continue to decode."""
 
 
 class EndpointClient(ABC):
-    """What the router asks of endpoints; another protocol is another subclass."""
+    """Interface to endpoints; each endpoint protocol has its own subclass."""
 
     @abstractmethod
     async def prefill(self, order: Order) -> KvHandle:
-        """Have a prompt's KV computed and kept for export."""
+        """Have the engine compute a prompt's KV cache and keep it for export."""
 
     @abstractmethod
     async def decode(self, order: Order, kv: KvHandle) -> EventStream:
-        """Have KV imported and the answer decoded."""
+        """Have the engine import a KV cache and decode the answer."""
 
     @abstractmethod
     async def resume(self, order: Order) -> EventStream:
-        """Read a running decode again from the order's position."""
+        """Open the stream of a running decode again, from the order's position."""
 
     @abstractmethod
     async def cancel(self, address: str, request: str, attempt: int) -> None:
-        """Have everything of a request dropped up to an attempt."""
+        """Have an endpoint cancel all attempts of a request up to the given one."""
 
     @abstractmethod
     async def report(self, endpoint: Endpoint, role: Role, after: int) -> EndpointReport:
-        """Ask for an endpoint's load, and for its cache events after a number."""
+        """Request an endpoint's load, and its cache events with numbers above ``after``."""
 
     @abstractmethod
     async def give_order(self, endpoint: Endpoint, order: FencedCommand) -> None:
-        """Order a desired state.
+        """Order an endpoint to change to a desired state.
 
         Raises:
-            StaleFenceError: The endpoint checks fences and knows a higher one.
+            StaleFenceError: The endpoint already accepted a command with a higher fencing token.
         """
 
     async def close_idle(self) -> None:
-        """Close what has not been used for long."""
+        """Close connections that have been idle for a long time."""
         await trio.lowlevel.checkpoint()
 
     @abstractmethod
     async def call(
         self, endpoint: Endpoint, method: str, path: str, headers: Mapping[str, str], body: bytes
     ) -> PlainAnswer:
-        """Call a plain service once."""
+        """Send a call to a plain service, without retries."""
 
 
 class HttpEventStream(EventStream):
-    """Server-sent events over HTTP, split without parsing their data."""
+    """Server-sent events over HTTP, separated without decoding their data."""
 
     def __init__(self, response: httpx.Response) -> None:
         self._response = response
-        # The transport's own iterator: the layers above it cost more than they
-        # give, since events are neither compressed nor decoded here.
+        # Reads from the transport directly: the layers above it cost processor time, and
+        # their decompression and decoding are not needed here.
         assert isinstance(response.stream, httpx.AsyncByteStream)
         self._chunks = cast(AsyncGenerator[bytes, None], aiter(response.stream))
         self._buffer = b""
         self._events: deque[StreamEvent] = deque()
 
     def take_waiting(self) -> StreamEvent | None:
-        """Take an event that has arrived already."""
+        """Return the next event if it has already been received, else None."""
         return self._events.popleft() if self._events else None
 
     async def read(self) -> StreamEvent:
         """Read the next event."""
         while not self._events:
             try:
-                self._feed(await anext(self._chunks))
+                self._buffer_events(await anext(self._chunks))
             except (StopAsyncIteration, httpx.HTTPError) as error:
-                raise StreamBrokenError(f"stream ended: {error!r}") from error
+                raise StreamBrokenError(
+                    f"event stream ended before its last event: {error!r}"
+                ) from error
         return self._events.popleft()
 
     async def close(self) -> None:
@@ -191,73 +218,77 @@
         await self._chunks.aclose()
         await self._response.aclose()
 
-    def _feed(self, data: bytes) -> None:
+    def _buffer_events(self, data: bytes) -> None:
         *events, self._buffer = (self._buffer + data).split(b"\n\n")
         if len(self._buffer) > _MAX_EVENT_BYTES:
-            raise StreamBrokenError("event is too large")
+            raise StreamBrokenError("an event of the stream exceeds the maximum size")
         for event in events:
             self._events.append(parse_event(event))
 
 
 def parse_event(text: bytes) -> StreamEvent:
-    """Parse one event of the form ``id: owner:position`` and ``data: ...``.
+    """Parse one event, which consists of ``id: attempt_id:position`` and ``data: ...``.
 
     Raises:
-        StreamBrokenError: It has another form.
+        StreamBrokenError: The event has another structure.
     """
-    head, separator, data = text.partition(b"\ndata: ")
-    owner, _, position = head.removeprefix(b"id: ").rpartition(b":")
-    if not separator or not position.isdigit() or not head.startswith(b"id: "):
-        raise StreamBrokenError("event has no id and data")
-    return StreamEvent(owner.decode("latin-1"), int(position), data, data == _DONE)
+    id_line, separator, data = text.partition(b"\ndata: ")
+    attempt_id, _, position = id_line.removeprefix(b"id: ").rpartition(b":")
+    if not separator or not position.isdigit() or not id_line.startswith(b"id: "):
+        raise StreamBrokenError("event lacks an id with a position, or data")
+    return StreamEvent(attempt_id.decode("latin-1"), int(position), data, data == _DONE_MARKER)
 
 
 class HttpEndpointClient(EndpointClient):
-    """Engines in the field's usual JSON forms, and plain services, over HTTP."""
+    """Model engines with an OpenAI-compatible JSON API, and plain services, over HTTP."""
 
     def __init__(self, connect_timeout_s: float) -> None:
         self._timeout = httpx.Timeout(None, connect=connect_timeout_s, pool=connect_timeout_s)
-        # Making a context is slow, and all clients can share one.
+        # Creating a context is slow, so all clients share this one.
         self._ssl_context = ssl.create_default_context()
-        # A pool for each endpoint: one that hangs can't use up the others'
-        # connections, and a search in a pool stays short.
+        # Each endpoint has its own pool, so that an endpoint that does not answer can't use up
+        # the connections of others, and the search for a free connection is short.
         self._clients: dict[str, httpx.AsyncClient] = {}
-        self._used: dict[str, float] = {}
-        # A kept connection may be closed by the endpoint just as a call leaves,
-        # and then nobody knows whether it ran: calls get a connection each.
-        self._fresh_client = self._make_client(kept=0)
+        self._last_used_at: dict[str, float] = {}
+        # Each call of a plain service has a new connection: an endpoint may close an idle
+        # connection while a call is being sent, and the outcome of the call is unknown then.
+        self._unpooled_client = self._make_client(max_idle_connections=0)
 
     async def close(self) -> None:
         """Close all connections."""
-        for client in (*self._clients.values(), self._fresh_client):
+        for client in (*self._clients.values(), self._unpooled_client):
             await client.aclose()
 
     async def close_idle(self) -> None:
-        """Close pools that nothing has used for longer than any request may take."""
-        oldest = trio.current_time() - _POOL_LIFETIME_S
-        for address in [address for address, at in self._used.items() if at < oldest]:
-            del self._used[address]
+        """Close pools that have been idle for longer than the longest request."""
+        idle_since = trio.current_time() - _POOL_IDLE_TIMEOUT_S
+        for address in [
+            address for address, used_at in self._last_used_at.items() if used_at < idle_since
+        ]:
+            del self._last_used_at[address]
             await self._clients.pop(address).aclose()
 
-    def _client(self, address: str) -> httpx.AsyncClient:
-        self._used[address] = trio.current_time()
+    def _get_client(self, address: str) -> httpx.AsyncClient:
+        self._last_used_at[address] = trio.current_time()
         if address not in self._clients:
-            self._clients[address] = self._make_client(kept=_KEPT_CONNECTIONS)
+            self._clients[address] = self._make_client(max_idle_connections=_MAX_IDLE_CONNECTIONS)
         return self._clients[address]
 
-    def _make_client(self, kept: int) -> httpx.AsyncClient:
-        limits = httpx.Limits(max_connections=_MAX_CONNECTIONS, max_keepalive_connections=kept)
+    def _make_client(self, max_idle_connections: int) -> httpx.AsyncClient:
+        limits = httpx.Limits(
+            max_connections=_MAX_CONNECTIONS, max_keepalive_connections=max_idle_connections
+        )
         return httpx.AsyncClient(
             timeout=self._timeout, limits=limits, trust_env=False, verify=self._ssl_context
         )
 
     async def prefill(self, order: Order) -> KvHandle:
-        """Have a prompt's KV computed and kept for export."""
+        """Have the engine compute a prompt's KV cache and keep it for export."""
         transfer = {"do_remote_decode": True, "do_remote_prefill": False}
         response = await self._post(order, transfer, max_tokens=1, stream=False)
         try:
-            answer = msgspec.json.decode(await response.aread())
-            handle = answer["kv_transfer_params"]
+            body = msgspec.json.decode(await response.aread())
+            handle = body["kv_transfer_params"]
             return KvHandle(
                 str(handle["remote_engine_id"]),
                 str(handle["remote_host"]),
@@ -265,14 +296,16 @@
                 tuple(int(block) for block in handle["remote_block_ids"]),
             )
         except httpx.HTTPError as error:
-            raise OutcomeUnknownError(f"prefill answer lost: {error!r}") from error
+            raise OutcomeUnknownError(f"failed to read the prefill response: {error!r}") from error
         except (msgspec.MsgspecError, KeyError, TypeError, ValueError) as error:
-            raise OutcomeUnknownError(f"prefill answer not understood: {error!r}") from error
+            raise OutcomeUnknownError(
+                f"prefill response has no valid kv_transfer_params: {error!r}"
+            ) from error
         finally:
             await response.aclose()
 
     async def decode(self, order: Order, kv: KvHandle) -> EventStream:
-        """Have KV imported and the answer decoded."""
+        """Have the engine import a KV cache and decode the answer."""
         transfer = {
             "do_remote_decode": False,
             "do_remote_prefill": True,
@@ -284,7 +317,7 @@
         return HttpEventStream(await self._post(order, transfer, stream=True))
 
     async def resume(self, order: Order) -> EventStream:
-        """Read a running decode again from the order's position."""
+        """Open the stream of a running decode again, from the order's position."""
         body = {
             "request": order.request,
             "attempt": order.attempt,
@@ -295,24 +328,24 @@
         return HttpEventStream(await self._send(order.endpoint.address, "/v1/resume", body, {}))
 
     async def cancel(self, address: str, request: str, attempt: int) -> None:
-        """Have everything of a request dropped up to an attempt."""
+        """Have an endpoint cancel all attempts of a request up to the given one."""
         body = {"request": request, "attempt": attempt}
         response = await self._send(address, "/v1/cancel", body, {})
         await response.aclose()
 
     async def report(self, endpoint: Endpoint, role: Role, after: int) -> EndpointReport:
-        """Ask for an endpoint's load, and for its cache events after a number."""
+        """Request an endpoint's load, and its cache events with numbers above ``after``."""
         try:
-            response = await self._client(endpoint.address).get(
+            response = await self._get_client(endpoint.address).get(
                 f"http://{endpoint.address}/load?events_after={after}", timeout=_REPORT_TIMEOUT_S
             )
             data = msgspec.json.decode(response.content)
             return EndpointReport(read_report(endpoint, role, data), read_cache_news(data, after))
         except (httpx.HTTPError, msgspec.MsgspecError, TypeError, ValueError) as error:
-            raise EndpointError(f"no load report: {error!r}") from error
+            raise EndpointError(f"failed to read the load report: {error!r}") from error
 
     async def give_order(self, endpoint: Endpoint, order: FencedCommand) -> None:
-        """Order a desired state."""
+        """Order an endpoint to change to a desired state."""
         try:
             response = await self._send(endpoint.address, "/v1/orders", order._asdict(), {})
         except EndpointRefusedError as error:
@@ -322,23 +355,29 @@
     async def call(
         self, endpoint: Endpoint, method: str, path: str, headers: Mapping[str, str], body: bytes
     ) -> PlainAnswer:
-        """Call a plain service once."""
-        kept = {name: value for name, value in headers.items() if name not in _HOP_HEADERS}
+        """Send a call to a plain service, without retries."""
+        forwarded = {
+            name: value for name, value in headers.items() if name not in _HOP_BY_HOP_HEADERS
+        }
         try:
-            response = await self._fresh_client.request(
-                method, f"http://{endpoint.address}{path}", headers=kept, content=body
+            response = await self._unpooled_client.request(
+                method, f"http://{endpoint.address}{path}", headers=forwarded, content=body
             )
-        except _UNSENT as error:
+        except _CONNECT_ERRORS as error:
             raise EndpointUnreachableError(repr(error)) from error
         except httpx.HTTPError as error:
             raise OutcomeUnknownError(repr(error)) from error
         if response.headers.get("x-ran") == "no":
-            raise EndpointRefusedError(f"status {response.status_code}")
-        answer_headers = {
-            name: value for name, value in response.headers.items() if name not in _HOP_HEADERS
+            raise EndpointRefusedError(
+                f"endpoint refused the call with status {response.status_code}"
+            )
+        response_headers = {
+            name: value
+            for name, value in response.headers.items()
+            if name not in _HOP_BY_HOP_HEADERS
         }
-        answer_headers.pop("content-encoding", None)
-        return PlainAnswer(response.status_code, answer_headers, response.content)
+        response_headers.pop("content-encoding", None)
+        return PlainAnswer(response.status_code, response_headers, response.content)
 
     async def _post(
         self, order: Order, transfer: Mapping[str, Any], **changes: Any
@@ -353,8 +392,8 @@
     async def _send(
         self, address: str, path: str, body: Mapping[str, Any], headers: Mapping[str, str]
     ) -> httpx.Response:
-        """Send JSON and return once the answer's head is there."""
-        client = self._client(address)
+        """Send a JSON body and return the response as soon as its headers are received."""
+        client = self._get_client(address)
         request = client.build_request(
             "POST",
             f"http://{address}{path}",
@@ -363,7 +402,7 @@
         )
         try:
             response = await client.send(request, stream=True)
-        except _UNSENT as error:
+        except _CONNECT_ERRORS as error:
             raise EndpointUnreachableError(repr(error)) from error
         except httpx.HTTPError as error:
             raise OutcomeUnknownError(repr(error)) from error
@@ -376,7 +415,7 @@
 
 
 async def _read_refusal(response: httpx.Response) -> EndpointError:
-    """Tell a definite refusal from an answer that proves nothing."""
+    """Return the exception for an error response: a refusal, or an unknown outcome."""
     try:
         error = msgspec.json.decode(await response.aread())["error"]
         if error["ran"] == "no":
@@ -385,11 +424,11 @@
             return EndpointRefusedError(str(error["code"]), leaving, parse_backoff_s(values))
     except (httpx.HTTPError, msgspec.MsgspecError, KeyError, TypeError):
         pass
-    return OutcomeUnknownError(f"status {response.status_code}")
+    return OutcomeUnknownError(f"endpoint responded with status {response.status_code}")
 
 
 def read_report(endpoint: Endpoint, role: Role, data: Mapping[str, Any]) -> LoadReport:
-    """Read a report; a plain service gives little more than its leaving."""
+    """Parse a load report; a plain service may report only whether it is leaving."""
     return LoadReport(
         endpoint.name,
         str(data.get("incarnation", "")),
@@ -406,10 +445,10 @@
 
 
 def read_cache_news(data: Mapping[str, Any], after: int) -> CacheUpdate:
-    """Read cache events; an endpoint without them has none.
+    """Parse the cache events of a load report; an endpoint may report none.
 
-    Numbers without a hole mean that nothing was lost. An endpoint that counts
-    below what it told before was started anew, and its cache with it.
+    Consecutive numbers show that no event was lost. If the last number is lower than
+    ``after``, the endpoint has restarted with an empty cache.
     """
     events = data.get("cache_events", ())
     numbers = [int(event["number"]) for event in events]
--- a/cleatlink/serving/entry.py
+++ b/cleatlink/serving/entry.py
@@ -1,8 +1,8 @@
-"""One entry instance, put together from its parts.
+"""One entry instance, composed of its parts.
 
-What reaches other processes is passed in, so that the same code runs over
-sockets and in a test's virtual time. ``start`` runs everything in the nursery
-it is given; ``stop`` is a planned stop that waits for all work in progress.
+The objects that communicate with other processes are passed in, so that the same
+code runs on sockets and on virtual time in tests. ``start`` starts all tasks in a given
+nursery; ``stop`` is a planned stop that waits for all work in progress.
 """
 
 import random
@@ -31,26 +31,29 @@
 
 __all__ = ["Entry", "Outside"]
 
+# Maximum retries as a fraction of all requests until a configuration is in force.
 _DEFAULT_RETRY_SHARE = 0.1
-_ASK_PEERS_S = 2.0
-_STOP_POLL_S = 0.05
+# Maximum wait for the documents of the peers; answers may still arrive afterwards.
+_PEER_DOCUMENTS_WAIT_S = 2.0
+# Interval between checks whether a start or a planned stop can continue.
+_STATE_POLL_INTERVAL_S = 0.05
 
 
 class Outside(NamedTuple):
-    """What an instance reaches outside itself.
+    """Objects through which an instance communicates with other processes, and its policy.
 
     Attributes:
-        client: Speaks to endpoints.
-        platform: The platform's service; None runs without.
-        link: Moves messages to and from peers.
-        wall_time: Gives the time since 1970 in seconds.
-        place: Decides where a model request goes.
+        client: Client for endpoints.
+        platform: Client for the platform's service; None to run without the platform.
+        link: Sends messages to peers and receives theirs.
+        unix_time_s: Returns the time since 1970 in seconds.
+        place: Placement policy: chooses the endpoints of a model request.
     """
 
     client: EndpointClient
     platform: Platform | None
     link: PeerLink
-    wall_time: Callable[[], float]
+    unix_time_s: Callable[[], float]
     place: PlaceRequest = place_request
 
 
@@ -61,24 +64,26 @@
         self._settings = settings
         self._client = outside.client
         self._platform = outside.platform
-        self._place = outside.place
+        self._place_request = outside.place
         self._metrics = Metrics()
         self._view = FleetView()
-        self._news = News()
-        self._room = WaitQueue()
+        self._view_changed = News()
+        self._wait_queue = WaitQueue()
         self._rng = random.Random(settings.seed)
-        self._budget = RetryBudget(_DEFAULT_RETRY_SHARE)
+        self._retry_budget = RetryBudget(_DEFAULT_RETRY_SHARE)
         self._canceller = Canceller(self._client, self._metrics)
-        self._store = DocumentStore(self._metrics, self._use_configuration, self._use_fleet)
+        self._document_store = DocumentStore(
+            self._metrics, self._use_configuration, self._use_fleet
+        )
         self._members = MembershipView(settings.name, settings.data_centre, trio.current_time())
         parts = PeerParts(
             settings,
             outside.link,
             self._view,
-            self._store,
+            self._document_store,
             self._canceller,
             self._metrics,
-            outside.wall_time,
+            outside.unix_time_s,
         )
         self._peers = Peers(parts, self._members)
         self._flight_parts: FlightParts | None = None
@@ -86,91 +91,93 @@
         self._request_count = 0
         self._ready = False
         self._stopping = False
-        self._polling: set[str] = set()
+        self._polled_endpoints: set[str] = set()
         self._log = Log("entry")
 
     @property
     def ready(self) -> bool:
-        """Whether this instance takes new work."""
+        """Whether this instance accepts new requests."""
         return self._ready and not self._stopping
 
     @property
     def in_flight(self) -> int:
-        """Requests in progress."""
+        """Number of requests in progress."""
         return self._in_flight
 
     @property
     def revision(self) -> int:
-        """Configuration revision in force."""
-        return self._store.adopter.revision
+        """Revision of the configuration in force."""
+        return self._document_store.adopter.revision
 
     @property
     def view(self) -> FleetView:
-        """What this instance believes of the fleet."""
+        """This instance's view of the fleet."""
         return self._view
 
     @property
     def peers(self) -> Peers:
-        """This instance among the others."""
+        """Communication of this instance with its peers."""
         return self._peers
 
     def start(self, nursery: trio.Nursery) -> CallerApp:
-        """Start everything in a nursery; give the app that callers reach."""
+        """Start all tasks in a nursery and return the HTTP app for callers."""
         self._canceller.start(nursery)
         self._peers.start(nursery)
         nursery.start_soon(self._become_ready, nursery)
-        nursery.start_soon(self._poll_always, nursery)
-        return build_caller_app(self._caller_parts(nursery))
+        nursery.start_soon(self._poll_periodically, nursery)
+        return build_caller_app(self._make_caller_parts(nursery))
 
     async def stop(self) -> None:
-        """Stop as planned: take nothing new and finish everything."""
+        """Perform a planned stop: refuse new requests and finish all work in progress."""
         self._stopping = True
         self._peers.set_state(ReportedState.LEAVING)
-        self._log.say("stops when its work is done.", in_flight=self._in_flight)
+        self._log.say(
+            "begins a planned stop, waits for requests in progress", in_flight=self._in_flight
+        )
         while self._in_flight or self._canceller.pending:
-            await trio.sleep(_STOP_POLL_S)
+            await trio.sleep(_STATE_POLL_INTERVAL_S)
         self._peers.set_state(ReportedState.LEAVING)
-        self._log.say("has stopped.")
+        self._log.say("completed its planned stop")
 
     def _use_configuration(self, configuration: Configuration) -> None:
         self._view.set_configuration(configuration)
-        self._budget.set_share(configuration.limits.retry_share)
+        self._retry_budget.set_share(configuration.limits.retry_share)
         self._flight_parts = FlightParts(
             self._settings.data_centre,
             self._client,
             self._canceller,
             self._view,
-            self._news,
-            self._room,
-            self._change,
+            self._view_changed,
+            self._wait_queue,
+            self._retry_waiting_requests,
             self._metrics,
-            self._budget,
+            self._retry_budget,
             configuration.limits,
             self._rng,
             self._peers.send_note,
             self._peers.drop_note,
             self._settings.prefill_timeout_s,
             self._settings.stall_timeout_s,
-            self._place,
+            self._place_request,
         )
-        self._change()
+        self._retry_waiting_requests()
 
-    def _change(self) -> None:
-        """Let those who wait try again."""
-        self._news.spread()
-        self._room.place_waiting()
+    def _retry_waiting_requests(self) -> None:
+        """Retry the placement of waiting requests after a change of the view."""
+        self._view_changed.notify_all()
+        self._wait_queue.place_waiting()
 
     def _use_fleet(self, fleet: Fleet) -> None:
         self._view.update_fleet(fleet)
         self._members.set_instances(fleet.instances, trio.current_time())
-        self._change()
+        self._retry_waiting_requests()
 
-    def _caller_parts(self, nursery: trio.Nursery) -> CallerParts:
+    def _make_caller_parts(self, nursery: trio.Nursery) -> CallerParts:
         return CallerParts(
-            configuration=lambda: self._store.adopter.configuration,
-            admit=self._admit,
-            enter=self._enter,
-            leave=self._leave,
+            configuration=lambda: self._document_store.adopter.configuration,
+            admit=self._check_admission,
+            enter=self._begin_request,
+            leave=self._end_request,
             flight_parts=self._get_flight_parts,
             peers=self._peers,
             metrics=self._metrics,
@@ -182,7 +189,7 @@
         assert self._flight_parts is not None, "requests are admitted only when ready"
         return self._flight_parts
 
-    def _admit(self) -> Refusal | None:
+    def _check_admission(self) -> Refusal | None:
         if self._stopping:
             return Refusal(ErrorKind.STOPPING, "this instance is stopping")
         if not self._ready or self._flight_parts is None:
@@ -191,99 +198,104 @@
             return Refusal(ErrorKind.BUSY, "too many requests in progress")
         return None
 
-    def _enter(self) -> str:
-        """Count a request in and name it; names are unique over all instances."""
+    def _begin_request(self) -> str:
+        """Count a new request and return its name, which is unique among all instances."""
         self._in_flight += 1
         self._request_count += 1
-        self._budget.count_request()
+        self._retry_budget.count_request()
         self._metrics.set_in_flight(self._in_flight)
         settings = self._settings
         return f"{settings.name}-{settings.incarnation:x}-{self._request_count:x}"
 
-    def _leave(self) -> None:
+    def _end_request(self) -> None:
         self._in_flight -= 1
         self._metrics.set_in_flight(self._in_flight)
 
     async def _become_ready(self, nursery: trio.Nursery) -> None:
-        """Ask platform and peers, as far as they can be reached, then be ready.
+        """Read the documents from the platform and the peers, then accept requests.
 
-        A stale platform must not bring an old configuration back: the peers
-        have the one in force.
+        The peers are asked even if the platform answers: its data may be out of date,
+        while the peers have the configuration in force.
         """
-        await self._ask_platform(nursery)
+        await self._watch_documents(nursery)
         await self._ask_peers(nursery)
-        while not self._store.complete:
-            await trio.sleep(_STOP_POLL_S)
-            if not self._store.complete:
+        while not self._document_store.complete:
+            await trio.sleep(_STATE_POLL_INTERVAL_S)
+            if not self._document_store.complete:
                 await self._ask_peers(nursery)
-        await self._poll_once()
+        await self._poll_endpoints()
         self._ready = True
         self._peers.set_state(ReportedState.READY)
-        self._log.say("is ready.", revision=self._store.adopter.revision)
+        self._log.say("accepts new requests", revision=self._document_store.adopter.revision)
 
-    async def _ask_platform(self, nursery: trio.Nursery) -> None:
+    async def _watch_documents(self, nursery: trio.Nursery) -> None:
         if self._platform is None:
             return
         for kind in DocumentKind:
-            asked = trio.Event()
-            nursery.start_soon(watch_platform, self._platform, kind, self._store, asked)
-            await asked.wait()
+            first_read_done = trio.Event()
+            nursery.start_soon(
+                watch_platform, self._platform, kind, self._document_store, first_read_done
+            )
+            await first_read_done.wait()
 
     async def _ask_peers(self, nursery: trio.Nursery) -> None:
-        """Ask every known peer for its documents, all at once; large ones may come later."""
-        asked = trio.Event()
-        nursery.start_soon(self._fetch_documents, asked)
-        with trio.move_on_after(_ASK_PEERS_S):
-            await asked.wait()
+        """Request the documents of all known peers concurrently.
 
-    async def _fetch_documents(self, asked: trio.Event) -> None:
+        Answers that take longer than the wait, such as large documents, are used on arrival.
+        """
+        all_answered = trio.Event()
+        nursery.start_soon(self._fetch_documents, all_answered)
+        with trio.move_on_after(_PEER_DOCUMENTS_WAIT_S):
+            await all_answered.wait()
+
+    async def _fetch_documents(self, all_answered: trio.Event) -> None:
         async with trio.open_nursery() as nursery:
             for address in self._peers.addresses(trio.current_time()):
                 nursery.start_soon(self._peers.fetch_documents, address)
-        asked.set()
+        all_answered.set()
 
-    async def _poll_always(self, nursery: trio.Nursery) -> None:
+    async def _poll_periodically(self, nursery: trio.Nursery) -> None:
         while True:
-            nursery.start_soon(self._poll_once)
+            nursery.start_soon(self._poll_endpoints)
             await self._client.close_idle()
             await trio.sleep(self._settings.poll_s)
 
-    async def _poll_once(self) -> None:
-        """Ask every endpoint for its report; one that still owes one is left out."""
-        configuration = self._store.adopter.configuration
+    async def _poll_endpoints(self) -> None:
+        """Request a load report from each endpoint that has no such request in progress."""
+        configuration = self._document_store.adopter.configuration
         if configuration is None:
             return
-        async with trio.open_nursery() as polls:
+        async with trio.open_nursery() as nursery:
             for endpoint in self._view.fleet.endpoints:
                 pool = configuration.pools.get(endpoint.pool)
-                if pool is not None and endpoint.name not in self._polling:
-                    polls.start_soon(self._poll, endpoint.name, pool.role)
+                if pool is not None and endpoint.name not in self._polled_endpoints:
+                    nursery.start_soon(self._poll_endpoint, endpoint.name, pool.role)
 
-    async def _poll(self, name: str, role: Role) -> None:
-        self._polling.add(name)
+    async def _poll_endpoint(self, name: str, role: Role) -> None:
+        self._polled_endpoints.add(name)
         try:
             endpoint = self._view.endpoint(name)
             if endpoint is not None:
-                after = self._view.last_event_number(name)
-                report = await self._client.report(endpoint, role, after)
+                last_event = self._view.last_event_number(name)
+                report = await self._client.report(endpoint, role, last_event)
                 self._view.add_report(report.load, trio.current_time())
                 self._view.apply_cache_events(name, report.cache)
-                self._change()
+                self._retry_waiting_requests()
         except EndpointError:
-            # Its last report grows old, and with it the endpoint unusable.
+            # The endpoint becomes unusable when its last report is too old.
             pass
         finally:
-            self._polling.discard(name)
+            self._polled_endpoints.discard(name)
 
     def _describe(self) -> dict[str, object]:
         now = trio.current_time()
-        published = self._store.adopter.published
+        published = self._document_store.adopter.published
         return {
             **self._peers.describe(),
             "ready": self.ready,
             "revision": published.revision if published else 0,
             "in_flight": self._in_flight,
-            "waiting": len(self._room),
+            "waiting": len(self._wait_queue),
             "cancels_pending": self._canceller.pending,
             "endpoints": {
                 endpoint.name: "usable" if self._view.is_usable(endpoint, now) else "not usable"
--- a/cleatlink/serving/news.py
+++ b/cleatlink/serving/news.py
@@ -1,4 +1,4 @@
-"""Wakes every task that waits for a change of the view."""
+"""Wakes the tasks that wait for a change, such as a change of the fleet view."""
 
 import trio
 
@@ -6,16 +6,16 @@
 
 
 class News:
-    """An event that can happen again and again."""
+    """An event that can be signalled repeatedly."""
 
     def __init__(self) -> None:
         self._event = trio.Event()
 
-    def spread(self) -> None:
-        """Wake all who wait now."""
+    def notify_all(self) -> None:
+        """Wake all tasks that are waiting now."""
         self._event.set()
         self._event = trio.Event()
 
     async def wait(self) -> None:
-        """Wait for the next change."""
+        """Wait for the next signal."""
         await self._event.wait()
--- a/cleatlink/serving/older_configuration_test.py
+++ b/cleatlink/serving/older_configuration_test.py
@@ -1,4 +1,4 @@
-"""An entry that knows from heartbeats of a newer configuration than its own."""
+"""Entries that know from heartbeats that a newer configuration than their own exists."""
 
 import msgspec
 import pytest
@@ -12,96 +12,102 @@
   new-class: { service: lm, deadline_s: 60, max_wait_s: 1 }
   new-call: { service: new-plain, deadline_s: 60, max_wait_s: 1 }
 limits:"""
-_NEW = (
+_NEW_CONFIGURATION = (
     CONFIGURATION.replace("models: [m]", "models: [m, new]")
     .replace("\npools:", "\n  new-plain: { kind: plain }\npools:")
     .replace("\nlimits:", _NEW_CLASSES)
 )
-_LARGE = 600_000 * "x"
-_MODEL = {"model": "m", "max_tokens": 2, "stream": True}
+_LARGE_PROMPT = 600_000 * "x"
+_MODEL_REQUEST = {"model": "m", "max_tokens": 2, "stream": True}
 
 
-async def ask_model(
+async def request_model(
     world: World, entry: str, model: str, request_class: str = "", prompt: str = "x"
 ) -> Caller:
-    """Ask for a model; gives the answer."""
+    """Send a model request and return the caller with its answer."""
     headers = {"x-request-class": request_class} if request_class else {}
-    body = msgspec.json.encode({**_MODEL, "model": model, "prompt": prompt})
+    body = msgspec.json.encode({**_MODEL_REQUEST, "model": model, "prompt": prompt})
     caller = Caller(world.entries[entry].app)
     return await caller.request("POST", "/v1/completions", body, headers)
 
 
-async def call(world: World, entry: str, service: str, key: str = "") -> Caller:
-    """Call a plain service; gives the answer."""
+async def call_service(world: World, entry: str, service: str, key: str = "") -> Caller:
+    """Call a plain service and return the caller with its answer."""
     caller = Caller(world.entries[entry].app)
     headers = {"idempotency-key": key} if key else {}
     return await caller.request("POST", f"/services/{service}/x", b"", headers)
 
 
-def keep_behind(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Have one entry hear of a new configuration that it can't get."""
+def block_new_configuration(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Publish a new configuration that entry e2 knows of from heartbeats but can't fetch."""
 
     async def ask(self: FakeLink, address: str, path: str, body: bytes) -> bytes:
         raise PeerError("no answer")
 
     monkeypatch.setattr(FakeLink, "ask", ask)
     world.entries["e2"].platform.cut = True
-    world.platform.publish("config", _NEW)
+    world.platform.publish("config", _NEW_CONFIGURATION)
 
 
-def test_what_a_newer_configuration_may_name_is_not_denied(
+def test_names_possibly_in_newer_configuration_are_not_rejected_permanently(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """An entry answered 404 or 400 for good out of a configuration that it knew to be old."""
+    """An entry with an outdated configuration must answer 503, so that callers retry.
 
-    async def story(world: World) -> None:
-        assert (await ask_model(world, "e2", "new")).status == 404
-        assert (await ask_model(world, "e2", "m", prompt=_LARGE)).status == 413
-        keep_behind(world, monkeypatch)
+    A 404 or 400 makes callers give up requests that are valid in the newer configuration.
+    """
+
+    async def scenario(world: World) -> None:
+        assert (await request_model(world, "e2", "new")).status == 404
+        assert (await request_model(world, "e2", "m", prompt=_LARGE_PROMPT)).status == 413
+        block_new_configuration(world, monkeypatch)
         await trio.sleep(3.0)
         assert [world.entries[name].entry.revision for name in ("e1", "e2")] == [2, 1]
         for answer in (
-            await ask_model(world, "e2", "new"),
-            await ask_model(world, "e2", "m", "new-class"),
-            await call(world, "e2", "new-plain"),
-            await ask_model(world, "e2", "m", prompt=_LARGE),
+            await request_model(world, "e2", "new"),
+            await request_model(world, "e2", "m", "new-class"),
+            await call_service(world, "e2", "new-plain"),
+            await request_model(world, "e2", "m", prompt=_LARGE_PROMPT),
         ):
             assert (answer.status, answer.error["code"]) == (503, "not_ready")
             assert float(answer.headers["retry-after"]) > 0
-        keyed = await call(world, "e2", "new-plain", world.make_key())
+        keyed = await call_service(world, "e2", "new-plain", world.make_key())
         assert (keyed.status, keyed.error["code"]) == (503, "key_unavailable")
-        assert (await ask_model(world, "e1", "newest")).status == 404
+        assert (await request_model(world, "e1", "newest")).status == 404
 
-    World().run(story, "e1/a", "e2/a")
+    World().run(scenario, "e1/a", "e2/a")
 
 
-def test_newer_configuration_is_had_over_a_slow_link(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A peer's documents had two seconds in all, whatever their size, and began anew after that."""
-    ask_at_once = FakeLink.ask
+def test_newer_configuration_is_fetched_over_a_slow_link(monkeypatch: pytest.MonkeyPatch) -> None:
+    """With a timeout of two seconds in total, large documents never arrive on a slow link."""
+    ask_without_delay = FakeLink.ask
 
     async def ask_slowly(self: FakeLink, address: str, path: str, body: bytes) -> bytes:
         await trio.sleep(6.0)
-        return await ask_at_once(self, address, path, body)
+        return await ask_without_delay(self, address, path, body)
 
-    async def story(world: World) -> None:
+    async def scenario(world: World) -> None:
         monkeypatch.setattr(FakeLink, "ask", ask_slowly)
         world.entries["e2"].platform.cut = True
-        world.platform.publish("config", _NEW)
+        world.platform.publish("config", _NEW_CONFIGURATION)
         await trio.sleep(12.0)
         assert world.entries["e2"].entry.revision == 2
 
-    World().run(story, "e1/a", "e2/a")
+    World().run(scenario, "e1/a", "e2/a")
 
 
 def test_entry_starts_over_a_slow_link_to_its_peers(monkeypatch: pytest.MonkeyPatch) -> None:
-    """An entry that had only peers to ask broke their answers off after two seconds, for ever."""
-    ask_at_once = FakeLink.ask
+    """An entry without a platform must not cancel its requests for documents after two seconds.
+
+    It would request them again and again, and never become ready.
+    """
+    ask_without_delay = FakeLink.ask
 
     async def ask_slowly(self: FakeLink, address: str, path: str, body: bytes) -> bytes:
         await trio.sleep(6.0)
-        return await ask_at_once(self, address, path, body)
+        return await ask_without_delay(self, address, path, body)
 
-    async def story(world: World) -> None:
+    async def scenario(world: World) -> None:
         monkeypatch.setattr(FakeLink, "ask", ask_slowly)
         world.settings["peers"] = (world.entries["e1"].link.address,)
         await world.start_entry("e3", "a")
@@ -109,4 +115,4 @@
         await trio.sleep(12.0)
         assert world.entries["e3"].entry.ready
 
-    World().run(story, "e1/a", "e2/a")
+    World().run(scenario, "e1/a", "e2/a")
--- a/cleatlink/serving/peer_app.py
+++ b/cleatlink/serving/peer_app.py
@@ -1,4 +1,4 @@
-"""The HTTP app that peers ask; it only moves questions and answers."""
+"""HTTP app for peers: passes each request to a handler and returns its answer."""
 
 from collections.abc import Awaitable, Callable
 
@@ -12,18 +12,18 @@
 _MAX_BODY_BYTES = 4_000_000
 
 
-def build_peer_app(answer: Callable[[str, bytes], Awaitable[bytes]]) -> QuartTrio:
-    """Build the app around the function that answers peers."""
+def build_peer_app(handle_request: Callable[[str, bytes], Awaitable[bytes]]) -> QuartTrio:
+    """Build the app with the function that handles the requests of peers."""
     app = QuartTrio("cleatlink.peers")
     app.config["MAX_CONTENT_LENGTH"] = _MAX_BODY_BYTES
 
     @app.post("/peer/<path>")
-    async def ask(path: str) -> Response:
+    async def handle(path: str) -> Response:
         body = await request.data
-        return Response(await answer(path, body), content_type="application/msgpack")
+        return Response(await handle_request(path, body), content_type="application/msgpack")
 
     @app.errorhandler(PeerError)
-    async def not_understood(error: PeerError) -> Response:
+    async def reject_invalid_request(error: PeerError) -> Response:
         return Response(b"", status=400)
 
     return app
--- a/cleatlink/serving/peer_link.py
+++ b/cleatlink/serving/peer_link.py
@@ -1,8 +1,8 @@
-"""How messages move between instances: UDP for the small, HTTP for what is answered.
+"""Transport between instances: UDP for small messages, HTTP for requests with an answer.
 
-Heartbeats and notes fit a datagram, may be lost, and are repeated where that
-matters. What needs an answer, or is large, goes over the HTTP libraries that
-are there anyway. gRPC was weighed and left; docs/design/peers.md says why.
+Heartbeats and notes fit into a datagram. They may be lost; heartbeats and unacknowledged
+notes are sent again. Requests that need an answer, and large data, use the HTTP libraries
+that the project depends on already. docs/design/peers.md explains why gRPC is not used.
 """
 
 import socket
@@ -20,42 +20,42 @@
 
 __all__ = ["HttpPeerLink", "Message", "PeerLink", "decode_message", "encode_message"]
 
-# No datagram is larger.
-_MAX_BYTES = 65_536
-_TIMEOUT_S = 5.0
-_KINDS: dict[str, type] = {"beat": Heartbeat, "note": InFlightNote, "ack": str, "drop": str}
+# Larger than any UDP datagram.
+_MAX_DATAGRAM_BYTES = 65_536
+_HTTP_TIMEOUT_S = 5.0
+_VALUE_TYPES: dict[str, type] = {"beat": Heartbeat, "note": InFlightNote, "ack": str, "drop": str}
 
 
 class Message(NamedTuple):
-    """One small message; its kind says what the value is."""
+    """A datagram's content; its kind determines the type of the value."""
 
     kind: str
     value: Any
 
 
 class PeerLink(ABC):
-    """What an instance needs to speak to its peers."""
+    """Interface for messages between an instance and its peers."""
 
     @property
     @abstractmethod
     def address(self) -> str:
-        """Where this instance hears its peers."""
+        """Address at which this instance receives messages of its peers."""
 
     @abstractmethod
     def send(self, address: str, data: bytes) -> None:
-        """Send an encoded message at once, without a wait; it may be lost."""
+        """Send an encoded message without blocking; it may be lost."""
 
     @abstractmethod
     async def receive(self) -> tuple[Message | None, str]:
-        """Receive a message with its sender; None stands for what is none of ours."""
+        """Receive a message and its sender's address; the message is None if it is invalid."""
 
     @abstractmethod
     async def ask(self, address: str, path: str, body: bytes) -> bytes:
-        """Ask a peer and wait for its answer.
+        """Send a request to a peer and return its answer.
 
         Raises:
-            PeerUnreachableError: The question never left.
-            PeerError: No answer came, or a refusal; the peer may have acted.
+            PeerUnreachableError: The connection failed, so the request was not sent.
+            PeerError: The peer did not answer or refused; it may have processed the request.
         """
 
 
@@ -65,16 +65,16 @@
 
 
 def decode_message(data: bytes) -> Message | None:
-    """Decode a message; None if it is none of ours."""
+    """Decode a message; None if it is invalid."""
     try:
         kind, raw = msgspec.msgpack.decode(data, type=tuple[str, msgspec.Raw])
-        return Message(kind, msgspec.msgpack.decode(raw, type=_KINDS[kind]))
+        return Message(kind, msgspec.msgpack.decode(raw, type=_VALUE_TYPES[kind]))
     except (msgspec.MsgspecError, KeyError, UnicodeDecodeError, RecursionError):
         return None
 
 
 class HttpPeerLink(PeerLink):
-    """One bound UDP socket and an HTTP client."""
+    """Peer messages over a bound UDP socket, and requests over an HTTP client."""
 
     def __init__(self, listen: Address) -> None:
         self._address = listen
@@ -83,33 +83,33 @@
         self._socket.setblocking(False)
         self._socket.bind((listen.host.strip("[]"), listen.port))
         self._trio_socket = trio.socket.from_stdlib_socket(self._socket)
-        self._client = httpx.AsyncClient(timeout=_TIMEOUT_S, trust_env=False)
+        self._client = httpx.AsyncClient(timeout=_HTTP_TIMEOUT_S, trust_env=False)
 
     @property
     def address(self) -> str:
-        """Where this instance hears its peers."""
+        """Address at which this instance receives messages of its peers."""
         return str(self._address)
 
     def send(self, address: str, data: bytes) -> None:
-        """Send an encoded message; a full buffer loses it, as the network might."""
-        to = parse_address(address)
+        """Send an encoded message; it is lost if the socket's buffer is full."""
+        receiver = parse_address(address)
         try:
-            self._socket.sendto(data, (to.host.strip("[]"), to.port))
+            self._socket.sendto(data, (receiver.host.strip("[]"), receiver.port))
         except OSError:
             return
 
     async def receive(self) -> tuple[Message | None, str]:
-        """Receive a message with its sender."""
+        """Receive a message and its sender's address."""
         while True:
             try:
-                data, sender = await self._trio_socket.recvfrom(_MAX_BYTES)
+                data, sender = await self._trio_socket.recvfrom(_MAX_DATAGRAM_BYTES)
             except ConnectionError:
-                # An earlier datagram met a closed port; that peer is gone.
+                # An earlier datagram was sent to a closed port, because that peer has stopped.
                 continue
             return decode_message(data), f"{sender[0]}:{sender[1]}"
 
     async def ask(self, address: str, path: str, body: bytes) -> bytes:
-        """Ask a peer and wait for its answer."""
+        """Send a request to a peer and return its answer."""
         try:
             response = await self._client.post(f"http://{address}/peer/{path}", content=body)
         except (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout) as error:
@@ -117,7 +117,7 @@
         except httpx.HTTPError as error:
             raise PeerError(repr(error)) from error
         if response.status_code != httpx.codes.OK:
-            raise PeerError(f"status {response.status_code}")
+            raise PeerError(f"peer responded with status {response.status_code}")
         return response.content
 
     async def close(self) -> None:
--- a/cleatlink/serving/peer_link_test.py
+++ b/cleatlink/serving/peer_link_test.py
@@ -1,4 +1,4 @@
-"""Datagrams between entries, of any size that a datagram may have."""
+"""Datagrams between entries, up to the largest size."""
 
 import trio
 
@@ -8,19 +8,19 @@
 from standins.ports import free_port
 
 
-def heartbeat(leaving: int) -> Message:
-    """Make a heartbeat that names so many endpoints that leave."""
-    names = tuple(f"endpoint-of-a-usual-name-{number}" for number in range(leaving))
+def make_heartbeat(leaving_count: int) -> Message:
+    """Make a heartbeat message with a given number of leaving endpoints."""
+    names = tuple(f"endpoint-of-a-usual-name-{number}" for number in range(leaving_count))
     return Message("beat", Heartbeat("e1", 1, "a", "127.0.0.1:1", ReportedState.READY, 3, names, 0))
 
 
-async def test_heartbeat_that_names_many_leaving_endpoints_is_heard() -> None:
-    """Only the first 8 kB of a datagram were read: a longer heartbeat was not understood."""
+async def test_heartbeat_with_many_leaving_endpoints_is_received() -> None:
+    """A heartbeat of more than 8 kB must not be truncated, as it can't be decoded then."""
     link = HttpPeerLink(Address("127.0.0.1", free_port()))
     try:
-        link.send(link.address, encode_message(heartbeat(1_000)))
+        link.send(link.address, encode_message(make_heartbeat(1_000)))
         with trio.fail_after(2.0):
             message, _ = await link.receive()
-        assert message == heartbeat(1_000)
+        assert message == make_heartbeat(1_000)
     finally:
         await link.close()
--- a/cleatlink/serving/platform.py
+++ b/cleatlink/serving/platform.py
@@ -1,4 +1,4 @@
-"""Platform's side: configuration and instance list, read and watched only."""
+"""Client for the platform's service: reads and watches the configuration and the instance list."""
 
 from abc import ABC, abstractmethod
 from enum import StrEnum
@@ -13,12 +13,13 @@
 
 __all__ = ["Document", "DocumentKind", "HttpPlatform", "Platform", "read_fleet"]
 
-WATCH_S = 10.0
+# How long the platform may delay its answer to a watch request.
+WATCH_TIMEOUT_S = 10.0
 _READ_TIMEOUT_S = 2.0
 
 
 class DocumentKind(StrEnum):
-    """What the platform publishes."""
+    """Kind of document that the platform publishes."""
 
     CONFIG = "config"
     INSTANCES = "instances"
@@ -32,27 +33,27 @@
 
 
 class Platform(ABC):
-    """What the router asks of the platform."""
+    """Interface to the platform."""
 
     @abstractmethod
     async def read(self, kind: DocumentKind) -> Document | None:
-        """Read the newest revision that the platform gives.
+        """Read the newest revision that the platform returns; None if it has no document.
 
         Raises:
-            PlatformError: It did not answer as documented.
+            PlatformError: The platform did not answer, or violated its documented API.
         """
 
     @abstractmethod
     async def watch(self, kind: DocumentKind, after: int) -> Document | None:
-        """Wait for a revision above ``after``; None when the watch ran out.
+        """Wait for a revision higher than ``after``; return None if the watch timed out.
 
         Raises:
-            PlatformError: It did not answer as documented.
+            PlatformError: The platform did not answer, or violated its documented API.
         """
 
 
 class HttpPlatform(Platform):
-    """The platform's service over HTTP: ``/v1/config`` and ``/v1/instances``."""
+    """The platform's HTTP API: ``/v1/config`` and ``/v1/instances``."""
 
     def __init__(self, address: Address) -> None:
         self._base = f"http://{address}/v1"
@@ -63,15 +64,15 @@
         await self._client.aclose()
 
     async def read(self, kind: DocumentKind) -> Document | None:
-        """Read the newest revision."""
-        return await self._get(f"{self._base}/{kind}", _READ_TIMEOUT_S)
+        """Read the newest revision; see ``Platform.read``."""
+        return await self._fetch(f"{self._base}/{kind}", _READ_TIMEOUT_S)
 
     async def watch(self, kind: DocumentKind, after: int) -> Document | None:
-        """Wait for a revision above ``after``."""
-        url = f"{self._base}/{kind}?after={after}&wait={WATCH_S}"
-        return await self._get(url, WATCH_S + _READ_TIMEOUT_S)
+        """Wait for a newer revision; see ``Platform.watch``."""
+        url = f"{self._base}/{kind}?after={after}&wait={WATCH_TIMEOUT_S}"
+        return await self._fetch(url, WATCH_TIMEOUT_S + _READ_TIMEOUT_S)
 
-    async def _get(self, url: str, timeout_s: float) -> Document | None:
+    async def _fetch(self, url: str, timeout_s: float) -> Document | None:
         try:
             response = await self._client.get(url, timeout=timeout_s)
         except httpx.HTTPError as error:
@@ -79,26 +80,28 @@
         if response.status_code == httpx.codes.NO_CONTENT:
             return None
         if response.status_code != httpx.codes.OK:
-            raise PlatformError(f"status {response.status_code}")
+            raise PlatformError(f"platform responded with status {response.status_code}")
         try:
             data = msgspec.json.decode(response.content)
             return Document(int(data["revision"]), data["value"])
         except (msgspec.MsgspecError, KeyError, TypeError, ValueError) as error:
-            raise PlatformError(f"not understood: {error!r}") from error
+            raise PlatformError(
+                f"platform response has no valid revision and value: {error!r}"
+            ) from error
 
 
 def read_fleet(document: Document) -> Fleet:
-    """Read an instance list.
+    """Parse an instance list.
 
     Raises:
-        PlatformError: It has not the documented form.
+        PlatformError: The document does not have the documented structure.
     """
     try:
         value = document.value
         endpoints = tuple(_read_endpoint(item) for item in value["endpoints"])
         instances = tuple(_read_instance(item) for item in value["instances"])
     except (KeyError, TypeError, AttributeError) as error:
-        raise PlatformError(f"instance list not understood: {error!r}") from error
+        raise PlatformError(f"invalid instance list: {error!r}") from error
     return Fleet(document.revision, endpoints, instances)
 
 
--- a/cleatlink/serving/settings.py
+++ b/cleatlink/serving/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one entry instance, checked before anything starts."""
+"""Settings of one entry instance and their validation."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,7 @@
 
 __all__ = ["Address", "Settings", "check_settings", "parse_address"]
 
-_DURATIONS = (
+_DURATION_FIELDS = (
     "poll_s",
     "connect_timeout_s",
     "prefill_timeout_s",
@@ -16,23 +16,23 @@
 
 
 class Settings(NamedTuple):
-    """What an entry instance learns from flags and environment variables.
+    """Settings that an entry instance receives from flags and environment variables.
 
     Attributes:
         name: Name of this instance in the instance list.
-        data_centre: Data centre in which it runs.
-        listen: Where callers reach it.
-        peer_listen: Where the other instances reach it, over TCP and UDP.
-        platform: Address of the platform's service; None runs without.
-        peers: Peers to ask at start when the platform can't be reached.
-        seed: Seed of the generator behind random choices.
-        incarnation: Grows with each start of this instance.
-        poll_s: Seconds between two load reports of an endpoint.
-        connect_timeout_s: Seconds to reach an endpoint.
-        prefill_timeout_s: Seconds for a prefill to be done.
-        stall_timeout_s: Seconds without a token until a stream counts as broken.
-        caller_timeout_s: Seconds after which a caller that takes no byte of its
-            answer is taken to be gone.
+        data_centre: Data centre of this instance.
+        listen: Address at which it listens for callers.
+        peer_listen: Address at which it listens for other instances, on TCP and UDP.
+        platform: Address of the platform's service; None to run without the platform.
+        peers: Addresses of peers, used in addition to those in the instance list.
+        seed: Seed of the generator for random choices.
+        incarnation: Number that increases with each start of this instance.
+        poll_s: Interval between requests for the load report of an endpoint, in seconds.
+        connect_timeout_s: Timeout for a connection to an endpoint, in seconds.
+        prefill_timeout_s: Timeout for a prefill, in seconds.
+        stall_timeout_s: Seconds without a token after which a stream counts as broken.
+        caller_timeout_s: Seconds after which a caller that reads no byte of its answer
+            counts as disconnected.
     """
 
     name: str
@@ -51,15 +51,17 @@
 
 
 def check_settings(settings: Settings) -> list[str]:
-    """Give everything that is wrong with settings, one sentence each."""
-    faults = []
+    """Return one error message for each invalid setting; an empty list if all are valid."""
+    errors = []
     for field in ("name", "data_centre"):
         value = getattr(settings, field)
         if not value or not value.replace("-", "").replace("_", "").isalnum():
-            faults.append(f"{field} must be made of letters, digits, '-' and '_'")
-    for field in _DURATIONS:
+            errors.append(
+                f"{field} must not be empty and may contain only letters, digits, '-' and '_'"
+            )
+    for field in _DURATION_FIELDS:
         if not 0.01 <= getattr(settings, field) <= 600:
-            faults.append(f"{field} must be from 0.01 to 600 seconds")
+            errors.append(f"{field} must be from 0.01 to 600 seconds")
     if settings.platform is None and not settings.peers:
-        faults.append("either a platform or a peer must be given")
-    return faults
+        errors.append("either a platform or a peer must be given")
+    return errors
