--- a/cleatlink/analysis/__init__.py
+++ b/cleatlink/analysis/__init__.py
@@ -1,7 +1,7 @@
-"""Reads the relay's logs and tells where requests were lost, and why."""
+"""Analyzes the relay's logs: what became of requests, and which were lost and why."""
 
 from cleatlink.analysis.lines import LogLine, LogReader
 from cleatlink.analysis.report import Report, render_html, render_text
-from cleatlink.analysis.story import Story
+from cleatlink.analysis.story import RequestTimeline
 
-__all__ = ["LogLine", "LogReader", "Report", "Story", "render_html", "render_text"]
+__all__ = ["LogLine", "LogReader", "Report", "RequestTimeline", "render_html", "render_text"]
--- a/cleatlink/analysis/lines.py
+++ b/cleatlink/analysis/lines.py
@@ -1,9 +1,8 @@
-"""Reads lines of logs as the programs wrote them, or as something put a time before them.
+"""Reads log files, as written by the relay or with a prefix added to each line.
 
-A line is one JSON object. What stands before it may be the seconds of a clock and
-the name of an instance, as log collectors and test benches add. Files that end in
-``.gz`` are unpacked while they are read. Lines that can't be read are counted and
-never fatal.
+A line is one JSON object. Log collectors and test benches may add a prefix: a timestamp in seconds,
+the name of an instance, or both. Files with the suffix ``.gz`` are decompressed while they are
+read. Unreadable lines are counted and skipped.
 """
 
 import gzip
@@ -16,53 +15,54 @@
 
 __all__ = ["LogLine", "LogReader"]
 
-_MOST_LINE_BYTES = 65_536
+_MAX_LINE_BYTES = 65_536
 _DECODER = msgspec.json.Decoder(dict[str, Any])
 
 
 class LogLine(NamedTuple):
-    """One line.
+    """One log line.
 
     Attributes:
-        at: Seconds, of the clock before the line or of the instance that wrote it.
-        instance: Who wrote it; the file's name where the line does not tell.
-        message: What happened.
-        fields: The rest of the line.
+        timestamp_s: Time in seconds, from the prefix or else from the line itself.
+        instance: Name of the instance from the prefix, or else the name of the file.
+        message_type: The event that the line reports.
+        fields: All other fields of the line.
     """
 
-    at: float
+    timestamp_s: float
     instance: str
-    message: str
+    message_type: str
     fields: dict[str, Any]
 
     @property
-    def request(self) -> str:
-        """The request that it is about; empty for none."""
+    def request_id(self) -> str:
+        """ID of the request that the line is about; empty if there is none."""
         return str(self.fields.get("request", ""))
 
     def number(self, name: str, default: float = 0.0) -> float:
-        """Give a field that is a number."""
+        """Return the value of a field, or the default if it is missing or not a number."""
         value = self.fields.get(name)
         return float(value) if isinstance(value, int | float) else default
 
 
 class LogReader:
-    """Reads files one after the other and counts what it can't read."""
+    """Reads files one after the other and counts the unreadable lines by reason."""
 
     def __init__(self, paths: Sequence[Path], on_bytes: Callable[[int], None] | None = None):
         """Prepare to read.
 
         Args:
             paths: The files.
-            on_bytes: Told how many bytes of a file, as it lies on the disk, were read.
+            on_bytes: Called with the number of bytes read since the last call. Bytes of compressed
+                files are counted as stored.
         """
         self._paths = paths
         self._on_bytes = on_bytes or (lambda _: None)
-        self.unread: Counter[str] = Counter()
-        self.read = 0
+        self.unreadable: Counter[str] = Counter()
+        self.line_count = 0
 
     def __iter__(self) -> Iterator[LogLine]:
-        """Give the lines.
+        """Yield the readable lines of all files.
 
         Raises:
             OSError: A file can't be opened.
@@ -71,57 +71,62 @@
             yield from self._read_file(path)
 
     def _read_file(self, path: Path) -> Iterator[LogLine]:
-        with path.open("rb") as raw:
+        with path.open("rb") as raw_file:
             if path.suffix != ".gz":
-                yield from self._read_lines(raw, raw, path.stem)
+                yield from self._read_lines(raw_file, raw_file, path.stem)
                 return
             try:
-                with gzip.open(raw) as unpacked:
-                    yield from self._read_lines(unpacked, raw, path.stem)
+                with gzip.open(raw_file) as unpacked_file:
+                    yield from self._read_lines(unpacked_file, raw_file, path.stem)
             except (EOFError, gzip.BadGzipFile):
-                self.unread["a packed file that ends too early"] += 1
+                self.unreadable["truncated or invalid gzip file"] += 1
 
     def _read_lines(
-        self, file: IO[bytes] | gzip.GzipFile, raw: IO[bytes], instance: str
+        self, file: IO[bytes] | gzip.GzipFile, raw_file: IO[bytes], default_instance: str
     ) -> Iterator[LogLine]:
-        told = 0
-        while data := file.readline(_MOST_LINE_BYTES):
-            line = self._parse(data, instance)
+        position = 0
+        while data := file.readline(_MAX_LINE_BYTES):
+            line = self._parse(data, default_instance)
             if line is not None:
-                self.read += 1
+                self.line_count += 1
                 yield line
-            told, before = raw.tell(), told
-            self._on_bytes(told - before)
+            position, last_position = raw_file.tell(), position
+            self._on_bytes(position - last_position)
 
-    def _parse(self, data: bytes, instance: str) -> LogLine | None:
+    def _parse(self, data: bytes, default_instance: str) -> LogLine | None:
         data = data.strip()
         start = data.find(b"{")
         if not data:
             return None
         if start < 0:
-            self.unread["no JSON object"] += 1
+            self.unreadable["no JSON object"] += 1
             return None
         try:
             fields = _DECODER.decode(data[start:])
         except (msgspec.MsgspecError, UnicodeDecodeError):
-            self.unread["broken JSON"] += 1
+            self.unreadable["invalid JSON"] += 1
             return None
-        message = fields.pop("message_type", None)
+        message_type = fields.pop("message_type", None)
         written_at = fields.pop("timestamp", None)
-        if not isinstance(message, str) or not isinstance(written_at, int | float):
-            self.unread["no message_type or timestamp"] += 1
+        if not isinstance(message_type, str) or not isinstance(written_at, int | float):
+            self.unreadable["message_type or timestamp is missing or invalid"] += 1
             return None
-        at, name = _read_prefix(data[:start])
-        return LogLine(float(written_at) if at is None else at, name or instance, message, fields)
+        prefix_timestamp_s, prefix_instance = _parse_prefix(data[:start])
+        return LogLine(
+            float(written_at) if prefix_timestamp_s is None else prefix_timestamp_s,
+            prefix_instance or default_instance,
+            message_type,
+            fields,
+        )
 
 
-def _read_prefix(prefix: bytes) -> tuple[float | None, str]:
-    """Read the time and the name that stand before a line, if they do."""
+def _parse_prefix(prefix: bytes) -> tuple[float | None, str]:
+    """Return the timestamp and the instance name in a line's prefix; both may be missing."""
     words = prefix.decode("utf-8", "replace").split()
     if not words:
         return None, ""
     try:
-        at: float | None = float(words[0])
+        timestamp_s: float | None = float(words[0])
     except ValueError:
         return None, words[0]
-    return at, words[1] if len(words) > 1 else ""
+    return timestamp_s, words[1] if len(words) > 1 else ""
--- a/cleatlink/analysis/organisations.py
+++ b/cleatlink/analysis/organisations.py
@@ -1,4 +1,4 @@
-"""What became of organisations' requests, by organisation and data centre."""
+"""Counts the outcomes of organisations' requests by organisation and data centre."""
 
 from collections import Counter, defaultdict
 from collections.abc import Iterator
@@ -11,53 +11,54 @@
 
 
 class OrganisationRow(NamedTuple):
-    """One row.
+    """The requests of an organisation that arrived in one data centre.
 
     Attributes:
         organisation: Name of the organisation.
-        data_centre: Where its requests arrived; empty if the logs do not tell.
-        counts: How many of its requests came to which outcome.
-        over: How many were refused as over its limit, among those refused.
-        limit_per_s: Its limit when it was last over it; None if it never was.
+        data_centre: Data centre of the instances that received the requests; empty if unknown.
+        counts: Number of requests by outcome.
+        over_limit_count: Number of the refused requests that exceeded the organisation's rate
+            limit.
+        limit_per_s: The rate limit when a request last exceeded it; None if none did.
     """
 
     organisation: str
     data_centre: str
     counts: Counter[Outcome]
-    over: int
+    over_limit_count: int
     limit_per_s: float | None
 
 
 class OrganisationTable:
-    """Counts requests by whose they are."""
+    """Counts requests by organisation and data centre."""
 
     def __init__(self) -> None:
         self._data_centres: dict[str, str] = {}
         self._counts: dict[tuple[str, str], Counter[Outcome]] = defaultdict(Counter)
-        self._over: Counter[tuple[str, str]] = Counter()
-        self._limits: dict[str, float] = {}
+        self._over_limit_counts: Counter[tuple[str, str]] = Counter()
+        self._limits_per_s: dict[str, float] = {}
 
     def add(self, line: LogLine) -> None:
-        """Take a line that tells a limit, or where an instance runs."""
-        if line.message == "instance: starts":
+        """Add a log line that contains a rate limit or the data centre of an instance."""
+        if line.message_type == "instance: starts":
             self._data_centres[line.instance] = str(line.fields.get("data_centre", ""))
-        elif line.message == "relay: is above its organisation's rate limit":
+        elif line.message_type == "relay: is above its organisation's rate limit":
             organisation = str(line.fields.get("organisation", ""))
-            self._limits[organisation] = line.number("limit_per_s")
+            self._limits_per_s[organisation] = line.number("limit_per_s")
 
     def count(self, line: LogLine, outcome: Outcome) -> None:
-        """Count a request by the line that tells its end."""
+        """Count a request that has ended, by the log line that reports its end."""
         organisation = line.fields.get("organisation")
         if organisation is None:
             return
         key = str(organisation), self._data_centres.get(line.instance, "")
         self._counts[key][outcome] += 1
         if line.fields.get("kind") == "over_limit":
-            self._over[key] += 1
+            self._over_limit_counts[key] += 1
 
     def rows(self) -> Iterator[OrganisationRow]:
-        """Give the rows by name."""
+        """Yield the rows, sorted by organisation and data centre."""
         for (organisation, data_centre), counts in sorted(self._counts.items()):
-            over = self._over[organisation, data_centre]
-            limit = self._limits.get(organisation)
-            yield OrganisationRow(organisation, data_centre, counts, over, limit)
+            over_limit_count = self._over_limit_counts[organisation, data_centre]
+            limit_per_s = self._limits_per_s.get(organisation)
+            yield OrganisationRow(organisation, data_centre, counts, over_limit_count, limit_per_s)
--- a/cleatlink/analysis/outcomes.py
+++ b/cleatlink/analysis/outcomes.py
@@ -1,4 +1,4 @@
-"""What became of requests, by second and route."""
+"""Counts the outcomes of requests by second of arrival and route."""
 
 from collections import Counter, defaultdict
 from collections.abc import Callable, Iterator
@@ -6,36 +6,36 @@
 from typing import NamedTuple
 
 from cleatlink.analysis.lines import LogLine
-from cleatlink.analysis.quantiles import Sample
+from cleatlink.analysis.quantiles import ReservoirSample
 
 __all__ = ["Outcome", "OutcomeTable", "RouteSecond"]
 
-# Requests whose end was not seen yet; the oldest are given up beyond that.
-_MOST_OPEN = 200_000
-_MS = 1000.0
+# Maximum number of requests without a final line; beyond it, the oldest count as UNKNOWN.
+_MAX_PENDING = 200_000
+_MS_PER_S = 1000.0
 
 
 class Outcome(StrEnum):
-    """What became of a request."""
+    """Outcome of a request."""
 
     IN_TIME = "in time"
     LATE = "late"
     REFUSED = "refused"
-    BROKEN = "broken off"
+    CUT_OFF = "answer cut off"
     FAILED = "failed"
-    GONE = "caller left"
-    CUT = "cut off by a stop"
-    UNKNOWN = "end not seen"
+    CALLER_LEFT = "caller left"
+    INTERRUPTED = "ended by stop"
+    UNKNOWN = "end unknown"
 
 
 class RouteSecond(NamedTuple):
-    """One row: requests of a route that arrived within a second.
+    """The requests of a route that arrived within one second.
 
     Attributes:
         second: The second.
         route: Name of the route.
-        counts: How many came to which outcome.
-        retries: Sends beyond the first.
+        counts: Number of requests by outcome.
+        retries: Number of sends beyond the first of each request.
     """
 
     second: int
@@ -44,119 +44,120 @@
     retries: int
 
 
-class _Open:
-    """A request whose end was not seen yet."""
+class _PendingRequest:
+    """A request whose final line was not read yet."""
 
-    __slots__ = ("arrived_at", "back", "in_time", "prefills", "route", "waited_ms")
+    __slots__ = ("arrived_at", "is_in_time", "is_retry", "prefill_count", "route", "wait_ms")
 
     def __init__(self, arrived_at: float, route: str) -> None:
         self.arrived_at = arrived_at
         self.route = route
-        self.in_time = True
-        self.back = False
-        self.prefills = 0
-        self.waited_ms = 0.0
+        self.is_in_time = True
+        self.is_retry = False
+        self.prefill_count = 0
+        self.wait_ms = 0.0
 
 
-_ENDS = {
+_FINAL_MESSAGES = {
     "relay: is answered": Outcome.IN_TIME,
     "relay: is refused": Outcome.REFUSED,
-    "relay: cuts its answer off": Outcome.BROKEN,
+    "relay: cuts its answer off": Outcome.CUT_OFF,
     "relay: reached its deadline": Outcome.FAILED,
-    "relay: is cancelled because its caller disconnected": Outcome.GONE,
-    "relay: request interrupted by the end of the planned stop": Outcome.CUT,
+    "relay: is cancelled because its caller disconnected": Outcome.CALLER_LEFT,
+    "relay: request interrupted by the end of the planned stop": Outcome.INTERRUPTED,
 }
-_ENDPOINT_FAULTS = frozenset({"endpoint_failed", "internal", "deadline_passed"})
+# Kinds of refusals that count as failures, because an endpoint or the relay failed.
+_FAILURE_KINDS = frozenset({"endpoint_failed", "internal", "deadline_passed"})
 
 
 class OutcomeTable:
-    """Follows requests to their ends."""
+    """Follows each request from its first log line to its final one."""
 
     def __init__(self, on_end: Callable[[LogLine, Outcome], None] | None = None) -> None:
-        """Begin without requests.
+        """Start without any requests.
 
         Args:
-            on_end: Told of the line that ends a request, and what became of it.
+            on_end: Called with the final line of a request and its outcome.
         """
         self._on_end = on_end or (lambda line, outcome: None)
-        self._open: dict[str, _Open] = {}
+        self._pending: dict[str, _PendingRequest] = {}
         self._rows: dict[tuple[int, str], Counter[Outcome]] = defaultdict(Counter)
         self._retries: Counter[tuple[int, str]] = Counter()
         self.refusals: Counter[str] = Counter()
-        self.returned: Counter[Outcome] = Counter()
-        self.prompts_lost: Counter[str] = Counter()
-        self.waits_ms = Sample()
+        self.retry_outcomes: Counter[Outcome] = Counter()
+        self.wasted_prefills: Counter[str] = Counter()
+        self.reservation_waits_ms = ReservoirSample()
 
     def add(self, line: LogLine) -> None:
-        """Take a line."""
-        if not line.request:
+        """Add a log line; lines that are not about a request are ignored."""
+        if not line.request_id:
             return
-        found = self._open.get(line.request)
-        if found is None:
-            arrived_at = line.at - line.number("age_ms") / _MS
-            found = _Open(arrived_at, str(line.fields.get("route", "")))
-            self._open[line.request] = found
-            if len(self._open) > _MOST_OPEN:
-                self._give_up_oldest()
-        self._note(found, line)
-        outcome = _ENDS.get(line.message)
+        request = self._pending.get(line.request_id)
+        if request is None:
+            arrived_at = line.timestamp_s - line.number("age_ms") / _MS_PER_S
+            request = _PendingRequest(arrived_at, str(line.fields.get("route", "")))
+            self._pending[line.request_id] = request
+            if len(self._pending) > _MAX_PENDING:
+                self._discard_oldest()
+        self._update(request, line)
+        outcome = _FINAL_MESSAGES.get(line.message_type)
         if outcome is not None:
-            del self._open[line.request]
-            self._end(found, line, outcome)
+            del self._pending[line.request_id]
+            self._finish(request, line, outcome)
 
-    def _note(self, found: _Open, line: LogLine) -> None:
+    def _update(self, request: _PendingRequest, line: LogLine) -> None:
         if (
             line.fields.get("in_time") is False
-            or line.message == "relay: endpoint is slow, reporting it to peers"
+            or line.message_type == "relay: endpoint is slow, reporting it to peers"
         ):
-            found.in_time = False
-        if line.message == "relay: caller retried after a refusal":
-            found.back = True
-        elif line.message == "relay: prefill completed":
-            found.prefills += 1
-        elif line.message == "relay: retries":
-            self._retries[int(found.arrived_at), found.route] += 1
-        elif line.message == "relay: decode capacity reserved" and not found.waited_ms:
-            found.waited_ms = line.number("age_ms")
-            self.waits_ms.add(found.waited_ms)
-
-    def _end(self, found: _Open, line: LogLine, outcome: Outcome) -> None:
+            request.is_in_time = False
+        if line.message_type == "relay: caller retried after a refusal":
+            request.is_retry = True
+        elif line.message_type == "relay: prefill completed":
+            request.prefill_count += 1
+        elif line.message_type == "relay: retries":
+            self._retries[int(request.arrived_at), request.route] += 1
+        elif line.message_type == "relay: decode capacity reserved" and not request.wait_ms:
+            request.wait_ms = line.number("age_ms")
+            self.reservation_waits_ms.add(request.wait_ms)
+
+    def _finish(self, request: _PendingRequest, line: LogLine, outcome: Outcome) -> None:
         if outcome is Outcome.REFUSED:
             kind = str(line.fields.get("kind", ""))
             self.refusals[f"{kind}: {line.fields.get('detail', '')}"] += 1
-            if kind in _ENDPOINT_FAULTS:
+            if kind in _FAILURE_KINDS:
                 outcome = Outcome.FAILED
-        elif outcome is Outcome.IN_TIME and not found.in_time:
+        elif outcome is Outcome.IN_TIME and not request.is_in_time:
             outcome = Outcome.LATE
-        self._rows[int(found.arrived_at // 1), found.route][outcome] += 1
+        self._rows[int(request.arrived_at // 1), request.route][outcome] += 1
         self._on_end(line, outcome)
-        if found.back:
-            self.returned[outcome] += 1
-        served = outcome in (Outcome.IN_TIME, Outcome.LATE)
-        lost = found.prefills - (1 if served else 0)
-        if lost > 0:
-            self.prompts_lost["computed more than once" if served else str(outcome)] += lost
-
-    def _give_up_oldest(self) -> None:
-        oldest = next(iter(self._open))
-        self._count_unknown(self._open.pop(oldest))
-
-    def _count_unknown(self, found: _Open) -> None:
-        self._rows[int(found.arrived_at // 1), found.route][Outcome.UNKNOWN] += 1
-        if found.prefills:
-            self.prompts_lost[str(Outcome.UNKNOWN)] += found.prefills
+        if request.is_retry:
+            self.retry_outcomes[outcome] += 1
+        is_served = outcome in (Outcome.IN_TIME, Outcome.LATE)
+        wasted = request.prefill_count - (1 if is_served else 0)
+        if wasted > 0:
+            self.wasted_prefills["computed more than once" if is_served else str(outcome)] += wasted
+
+    def _discard_oldest(self) -> None:
+        oldest = next(iter(self._pending))
+        self._count_unknown(self._pending.pop(oldest))
+
+    def _count_unknown(self, request: _PendingRequest) -> None:
+        self._rows[int(request.arrived_at // 1), request.route][Outcome.UNKNOWN] += 1
+        if request.prefill_count:
+            self.wasted_prefills[str(Outcome.UNKNOWN)] += request.prefill_count
 
     def close(self) -> None:
-        """Count requests whose end was not seen."""
-        for found in self._open.values():
-            self._count_unknown(found)
-        self._open.clear()
+        """Count all requests without a final line as UNKNOWN, after the last line was added."""
+        for request in self._pending.values():
+            self._count_unknown(request)
+        self._pending.clear()
 
     def rows(self) -> Iterator[RouteSecond]:
-        """Give the rows in the order of time."""
+        """Yield the rows in chronological order."""
         for (second, route), counts in sorted(self._rows.items()):
             yield RouteSecond(second, route, counts, self._retries[second, route])
 
     def totals(self) -> Counter[Outcome]:
-        """Give how many requests came to which outcome in all."""
+        """Return the total number of requests by outcome."""
         return sum(self._rows.values(), Counter())
--- a/cleatlink/analysis/quantiles.py
+++ b/cleatlink/analysis/quantiles.py
@@ -1,52 +1,52 @@
-"""Quantiles of many figures in little memory."""
+"""Estimates quantiles of many values with bounded memory."""
 
 import random
 from typing import NamedTuple
 
-__all__ = ["Quantiles", "Sample"]
+__all__ = ["Quantiles", "ReservoirSample"]
 
-_MOST = 4_096
+_MAX_SAMPLE_SIZE = 4_096
 
 
 class Quantiles(NamedTuple):
-    """How some figures are spread.
+    """Quantiles of a sample.
 
     Attributes:
-        figures: How many there were.
-        low: One in twenty is below it.
-        median: Half are below it.
-        high: One in twenty is above it.
+        value_count: Number of all values, sampled or not.
+        p5: The 5th percentile.
+        p50: The median.
+        p95: The 95th percentile.
     """
 
-    figures: int
-    low: float
-    median: float
-    high: float
+    value_count: int
+    p5: float
+    p50: float
+    p95: float
 
 
-class Sample:
-    """Keeps an even sample of all figures that it is given."""
+class ReservoirSample:
+    """Keeps a uniform random sample of all values that were added."""
 
     def __init__(self) -> None:
-        self._kept: list[float] = []
-        self._count = 0
+        self._sample: list[float] = []
+        self._value_count = 0
         self._rng = random.Random(1)
 
-    def add(self, figure: float) -> None:
-        """Take a figure."""
-        self._count += 1
-        if len(self._kept) < _MOST:
-            self._kept.append(figure)
+    def add(self, value: float) -> None:
+        """Add a value."""
+        self._value_count += 1
+        if len(self._sample) < _MAX_SAMPLE_SIZE:
+            self._sample.append(value)
             return
-        place = self._rng.randrange(self._count)
-        if place < _MOST:
-            self._kept[place] = figure
+        index = self._rng.randrange(self._value_count)
+        if index < _MAX_SAMPLE_SIZE:
+            self._sample[index] = value
 
     def quantiles(self) -> Quantiles | None:
-        """Give how the figures are spread; None without any."""
-        if not self._kept:
+        """Return the quantiles; None if no value was added."""
+        if not self._sample:
             return None
-        kept = sorted(self._kept)
-        last = len(kept) - 1
-        low, median, high = (kept[round(share * last)] for share in (0.05, 0.5, 0.95))
-        return Quantiles(self._count, low, median, high)
+        sample = sorted(self._sample)
+        last = len(sample) - 1
+        p5, p50, p95 = (sample[round(share * last)] for share in (0.05, 0.5, 0.95))
+        return Quantiles(self._value_count, p5, p50, p95)
--- a/cleatlink/analysis/report_test.py
+++ b/cleatlink/analysis/report_test.py
@@ -1,4 +1,4 @@
-"""The analysis of lines that the relay's programs wrote, on our stand-in's fleet."""
+"""Analysis of log lines, most of them written by the relay with a simulated fleet."""
 
 import json
 import os
@@ -10,7 +10,7 @@
 import trio
 from click.testing import CliRunner
 
-from cleatlink.analysis import LogReader, Report, Story, render_html, render_text
+from cleatlink.analysis import LogReader, Report, RequestTimeline, render_html, render_text
 from cleatlink.analysis.outcomes import Outcome
 from cleatlink.relay.logs import LogWriter
 from cleatlink.scripts.commands import main
@@ -34,7 +34,7 @@
 
 
 def flush() -> None:
-    """Write what the destinations still hold."""
+    """Write the lines that the log writers still buffer."""
     for destination in eliot._output.Logger._destinations._destinations:
         if isinstance(destination, LogWriter):
             destination.flush()
@@ -58,34 +58,35 @@
             route["timeout_ms"] = 9000
         version = fleet.configure({"kv_cache_tokens": 150})
         await fleet.until(lambda: fleet.instances[0].records.table_revision == version)
-        served = fleet.caller()
-        patient = {**STREAM, "Deadline-Milliseconds": "9000"}
-        await served.send("/stream/x", "POST", body=b"p", headers=patient)
+        first_caller = fleet.caller()
+        headers = {**STREAM, "Deadline-Milliseconds": "9000"}
+        await first_caller.send("/stream/x", "POST", body=b"p", headers=headers)
         await fleet.until(lambda: bool(decode.runs))
-        # It waits until its caller would leave after 2 s; the answer takes longer.
-        refused = await fleet.caller().ask("/stream/x", "POST", body=b"mine", headers=patient)
+        # The second call waits for at most 2 s, after which its caller would leave; the first
+        # answer takes longer.
+        refused = await fleet.caller().ask("/stream/x", "POST", body=b"mine", headers=headers)
         assert refused.status == 503
         await trio.sleep(min(2.0, float(refused.headers["retry-after"])))
-        back = await fleet.caller().ask("/stream/x", "POST", body=b"mine", headers=patient)
-        assert back.status == 200
-        assert (await served.receive()).whole
+        retried = await fleet.caller().ask("/stream/x", "POST", body=b"mine", headers=headers)
+        assert retried.status == 200
+        assert (await first_caller.receive()).whole
     report = read(log)
     totals = report.outcomes.totals()
     assert totals[Outcome.REFUSED] == 1
     assert totals[Outcome.IN_TIME] + totals[Outcome.LATE] == 2
     assert report.outcomes.refusals == {"no_room: no decode endpoint has room": 1}
-    assert report.outcomes.returned.total() == 1
-    lengths = report.engines.length_errors.quantiles()
-    assert lengths is not None
-    assert lengths.figures == 2
-    streams = sum(use.streams for use in report.engines.uses.values())
-    prompts = sum(use.prompts for use in report.engines.uses.values())
+    assert report.outcomes.retry_outcomes.total() == 1
+    length_ratios = report.engines.output_length_ratios.quantiles()
+    assert length_ratios is not None
+    assert length_ratios.value_count == 2
+    streams = sum(usage.stream_count for usage in report.engines.usage.values())
+    prompts = sum(usage.prompt_count for usage in report.engines.usage.values())
     assert (streams, prompts) == (2, 2)
     rows = list(report.outcomes.rows())
     assert {row.route for row in rows} == {"r-stream"}
 
 
-async def test_broken_stream_is_a_prompt_for_nothing(log: Path) -> None:
+async def test_cut_off_stream_counts_as_wasted_prefill(log: Path) -> None:
     async with open_fleet() as fleet:
         workers = engines()
         await start(fleet, *workers)
@@ -94,30 +95,30 @@
         await fleet.caller().ask("/stream/x", "POST", body=b"p", headers=STREAM)
         await trio.sleep(0.05)
     report = read(log)
-    assert report.outcomes.totals() == {Outcome.BROKEN: 1}
-    assert report.outcomes.prompts_lost == {"broken off": 1}
+    assert report.outcomes.totals() == {Outcome.CUT_OFF: 1}
+    assert report.outcomes.wasted_prefills == {"answer cut off": 1}
 
 
-async def test_one_request_is_told_from_its_arrival_to_its_end(log: Path) -> None:
+async def test_timeline_covers_request_from_first_to_final_line(log: Path) -> None:
     async with open_fleet() as fleet:
         await start(fleet, *engines())
         caller = fleet.caller()
-        request = await caller.send("/stream/x", "POST", body=b"p", headers=STREAM)
+        request_id = await caller.send("/stream/x", "POST", body=b"p", headers=STREAM)
         await caller.receive()
         await fleet.caller().ask("/stream/x", "POST", body=b"other", headers=STREAM)
         await trio.sleep(0.05)
     flush()
-    story = Story(request)
+    timeline = RequestTimeline(request_id)
     for line in LogReader([log]):
-        story.add(line)
-    text = story.render().splitlines()
-    assert len(text) >= 4
-    assert "decode capacity reserved" in text[0]
-    assert "is answered" in text[-1]
-    assert Story("no such").render() == "no such: no line tells of it"
+        timeline.add(line)
+    events = timeline.render().splitlines()
+    assert len(events) >= 4
+    assert "decode capacity reserved" in events[0]
+    assert "is answered" in events[-1]
+    assert RequestTimeline("no such").render() == "no such: no log line contains this request ID"
 
 
-def test_command_writes_tables_and_a_page(tmp_path: Path) -> None:
+def test_command_prints_tables_and_writes_html_page(tmp_path: Path) -> None:
     rows = [
         {"message_type": "relay: decode capacity reserved", "timestamp": 5.2, "request": "a",
          "route": "r", "age_ms": 200, "endpoint": "e1", "reserved": 70, "running": 1},
@@ -132,18 +133,18 @@
     file.write_text("".join(json.dumps(row) + "\n" for row in rows) + "not a line\n")
     ran = CliRunner().invoke(main, ["analyze", str(file), "--html", str(page)])
     assert ran.exit_code == 0, ran.output
-    assert "4 lines read, 1 not" in ran.output
-    assert "end not seen" in ran.output
-    # Planned at 4.0 and serving as a decode at 5.2.
+    assert "4 lines read, 1 unreadable" in ran.output
+    assert "end unknown" in ran.output
+    # The role change was planned at 4.0 s, and the engine first served as a decode at 5.2 s.
     assert [line for line in ran.output.splitlines() if line.startswith("e1") and "1.2" in line]
     text = page.read_text()
     assert "e&lt;1&gt;" in text
     assert "e<1>" not in text
-    story = CliRunner().invoke(main, ["analyze", str(file), "--request", "b"])
-    assert "decode capacity reserved" in story.output
+    timeline = CliRunner().invoke(main, ["analyze", str(file), "--request", "b"])
+    assert "decode capacity reserved" in timeline.output
 
 
-def test_tables_render_without_any_line(tmp_path: Path) -> None:
+def test_tables_render_without_any_log_line(tmp_path: Path) -> None:
     file = tmp_path / "empty.log"
     file.write_text("")
     reader = LogReader([file])
@@ -151,11 +152,11 @@
     for line in reader:
         report.add(line)
     tables = report.tables(reader)
-    assert "Forecasts" in render_text(tables)
+    assert "Estimates and times" in render_text(tables)
     assert render_html(tables).startswith("<!doctype html>")
 
 
-def test_plot_is_a_picture_of_all_outcomes(tmp_path: Path) -> None:
+def test_command_writes_plot_as_png(tmp_path: Path) -> None:
     rows = [
         {"message_type": "relay: is answered", "timestamp": second + 0.5, "request": f"a{second}",
          "route": "r", "age_ms": 100, "in_time": second % 2 == 0}
@@ -181,13 +182,17 @@
             await caller.ask("/safe/x", headers={"Authorization": f"Bearer {key}"})
     first, other = read(log).organisations.rows()
     assert (first.organisation, first.data_centre, first.counts.total()) == ("first", "a", 8)
-    assert first.counts[Outcome.REFUSED] == first.over > 0
-    assert first.counts[Outcome.IN_TIME] == 8 - first.over
+    assert first.counts[Outcome.REFUSED] == first.over_limit_count > 0
+    assert first.counts[Outcome.IN_TIME] == 8 - first.over_limit_count
     assert first.limit_per_s == 100
-    assert (other.counts[Outcome.IN_TIME], other.over, other.limit_per_s) == (1, 0, None)
+    assert (other.counts[Outcome.IN_TIME], other.over_limit_count, other.limit_per_s) == (
+        1,
+        0,
+        None,
+    )
 
 
-async def test_requests_at_crashes_are_told_with_what_was_decided(log: Path) -> None:
+async def test_crashing_requests_are_listed_with_quarantine_decisions(log: Path) -> None:
     async with open_fleet() as fleet:
         worker = Worker("plain")
         worker.crashes_on = b"crash"
@@ -197,7 +202,7 @@
             await fleet.caller().ask("/unsafe/x", "POST", body=b"crash")
             await trio.sleep(0.3)
     (row,) = read(log).crashes.rows()
-    assert (row.endpoints, row.refused, row.tries) == (3, 3, 0)
-    assert row.held_at is not None
-    assert row.first_at < row.last_at <= row.held_at
-    assert row.asks in render_text(read(log).tables(LogReader([log])))
+    assert (row.endpoint_count, row.refusal_count, row.trial_count) == (3, 3, 0)
+    assert row.quarantined_at is not None
+    assert row.first_crash_at < row.last_crash_at <= row.quarantined_at
+    assert row.identity in render_text(read(log).tables(LogReader([log])))
--- a/cleatlink/scripts/analyze.py
+++ b/cleatlink/scripts/analyze.py
@@ -9,7 +9,7 @@
 
 import click
 
-from cleatlink.analysis import LogReader, Report, Story, render_html, render_text
+from cleatlink.analysis import LogReader, Report, RequestTimeline, render_html, render_text
 
 __all__ = ["analyze"]
 
@@ -19,39 +19,56 @@
 
 @click.command()
 @click.argument("files", type=_FILE, nargs=-1, required=True)
-@click.option("--request", default=None, help="Tell one request's story instead of the tables.")
-@click.option("--html", "page", type=_OUTPUT, default=None, help="Also write a page of HTML.")
-@click.option("--plot", "picture", type=_OUTPUT, default=None, help="Also write a PNG.")
+@click.option(
+    "--request", default=None, help="Show the timeline of one request instead of the tables."
+)
+@click.option(
+    "--html",
+    "page",
+    type=_OUTPUT,
+    default=None,
+    help="Also write the tables and the plot to an HTML file.",
+)
+@click.option(
+    "--plot",
+    "picture",
+    type=_OUTPUT,
+    default=None,
+    help="Also write a plot of the outcomes to a PNG file.",
+)
 def analyze(
     files: Sequence[Path], request: str | None, page: Path | None, picture: Path | None
 ) -> None:
-    """Tell from logs where requests were lost, and why.
+    """Analyze logs: which requests were lost, and why.
 
-    FILES are the relay's logs, as written to standard output or with a time and an
-    instance's name before each line; packed ones end in .gz. Lines that can't be
-    read are counted.
+    FILES are logs of the relay, as written to standard output or with a timestamp
+    and an instance name before each line. Files that end in .gz are decompressed.
+    Unreadable lines are counted and skipped.
     """
-    story = Story(request) if request is not None else None
+    timeline = RequestTimeline(request) if request is not None else None
     report = Report()
-    size = sum(path.stat().st_size for path in files)
-    with click.progressbar(length=size, label="reading", file=sys.stderr) as bar:
-        reader = LogReader(files, bar.update)
+    total_bytes = sum(path.stat().st_size for path in files)
+    with click.progressbar(length=total_bytes, label="reading", file=sys.stderr) as progress_bar:
+        reader = LogReader(files, progress_bar.update)
         for line in reader:
-            (report if story is None else story).add(line)
-    if story is not None:
-        click.echo(story.render())
+            (report if timeline is None else timeline).add(line)
+    if timeline is not None:
+        click.echo(timeline.render())
         return
     tables = report.tables(reader)
-    click.echo(f"{reader.read} lines read, {reader.unread.total()} not")
+    click.echo(f"{reader.line_count} lines read, {reader.unreadable.total()} unreadable")
     click.echo(render_text(tables), nl=False)
     if page is not None or picture is not None:
-        _write_pictures(report, tables, page, picture)
+        _write_files(report, tables, page, picture)
 
 
-def _write_pictures(
+def _write_files(
     report: Report, tables: Sequence[Any], page: Path | None, picture: Path | None
 ) -> None:
-    """Write what was asked for beside the tables."""
+    """Write the HTML page, the plot or both.
+
+    Without matplotlib the page contains no plot, and --plot is an error.
+    """
     try:
         plot: bytes = import_module("cleatlink.analysis.plot").plot_outcomes(report.outcomes.rows())
     except ImportError as error:
