--- a/cleatlink/scripts/__init__.py
+++ b/cleatlink/scripts/__init__.py
@@ -1,1 +1,1 @@
-"""Thin commands over the library."""
+"""The command-line interface."""
--- a/cleatlink/scripts/commands.py
+++ b/cleatlink/scripts/commands.py
@@ -1,6 +1,7 @@
 """The commands of ``cleatlink``.
 
-What only some commands need is imported by them: a relay has to start fast.
+Modules that only some commands need are imported when these commands run, so that a relay starts
+fast.
 """
 
 import json
@@ -32,14 +33,14 @@
 
 
 class AddressType(click.ParamType[Address]):
-    """An IP number and a port."""
+    """Type of flags whose value is an IP address and a port."""
 
     name = "IP:PORT"
 
     def convert(
         self, value: object, param: click.Parameter | None, ctx: click.Context | None
     ) -> Address:
-        """Convert a flag's text."""
+        """Convert the value of a flag."""
         if isinstance(value, Address):
             return value
         try:
@@ -67,41 +68,56 @@
     type=click.Path(path_type=Path),
     envvar=SETTINGS_VARIABLE,
     default=None,
-    help="Settings that a platform provides; relays its routes instead of the flags' ones.",
+    help="Settings file of a platform; only --metrics-listen and --without apply with it.",
 )
 @click.option(
-    "--metrics-listen", type=_ADDRESS, default=None, help="Metrics' address with --settings-file."
+    "--metrics-listen",
+    type=_ADDRESS,
+    default=None,
+    help="Address to serve metrics on, with --settings-file.",
 )
 @click.option(
     "--without",
     type=click.Choice([mechanism.value for mechanism in Mechanism]),
     multiple=True,
-    help="Mechanism to switch off, for an experiment with --settings-file.",
+    help="Mechanism to disable for an experiment, with --settings-file.",
 )
 @click.option("--name", default=None, help="Name of this instance in the instance list.")
-@click.option("--data-centre", default=None, help="Data centre in which it runs.")
-@click.option("--listen", type=_ADDRESS, default="127.0.0.1:8000", help="Callers' address.")
-@click.option("--peer-listen", type=_ADDRESS, default="127.0.0.1:8001", help="Peers' address.")
+@click.option("--data-centre", default=None, help="Data centre in which this instance runs.")
+@click.option("--listen", type=_ADDRESS, default="127.0.0.1:8000", help="Address for callers.")
+@click.option("--peer-listen", type=_ADDRESS, default="127.0.0.1:8001", help="Address for peers.")
 @click.option("--platform", type=_ADDRESS, default=None, help="Address of the platform's service.")
 @click.option(
-    "--peer", "peers", type=_ADDRESS, multiple=True, help="A peer to ask when the platform is out."
+    "--peer",
+    "peers",
+    type=_ADDRESS,
+    multiple=True,
+    help="Address of a peer to ask if the platform can't be reached.",
 )
-@click.option("--seed", type=int, default=None, help="Seed of random choices; else the time.")
+@click.option("--seed", type=int, default=None, help="Seed of random choices; by default the time.")
 @click.option("--poll-s", default=1.0, help="Seconds between two load reports of an endpoint.")
-@click.option("--connect-timeout-s", default=1.0, help="Seconds to reach an endpoint.")
-@click.option("--prefill-timeout-s", default=30.0, help="Seconds for a prefill to be done.")
-@click.option("--stall-timeout-s", default=2.0, help="Seconds without a token until a resume.")
-@click.option("--caller-timeout-s", default=10.0, help="Seconds a caller may take no byte.")
+@click.option(
+    "--connect-timeout-s", default=1.0, help="Timeout in seconds for connecting to an endpoint."
+)
+@click.option("--prefill-timeout-s", default=30.0, help="Timeout in seconds for a prefill.")
+@click.option(
+    "--stall-timeout-s", default=2.0, help="Seconds without a token until a stream is resumed."
+)
+@click.option(
+    "--caller-timeout-s",
+    default=10.0,
+    help="Seconds without reading until a caller counts as gone.",
+)
 def entry(
     settings_file: Path | None,
     metrics_listen: Address | None,
     without: tuple[str, ...],
     **flags: Any,
 ) -> None:
-    """Run an entry instance until SIGTERM; then finish all work and exit with 0.
+    """Run an entry instance until SIGTERM; then finish all requests and exit with 0.
 
-    Without a settings file it needs --name and --data-centre, and prints one
-    line of JSON with its addresses once it listens.
+    Without a settings file, --name and --data-centre are required, and the
+    instance prints one line of JSON with its addresses when it starts to listen.
     """
     if settings_file is not None:
         _run_relay(settings_file, metrics_listen, frozenset(map(Mechanism, without)))
@@ -127,19 +143,19 @@
             clock=SuspendAwareClock(),
         )
     except* SettingsError as group:
-        faults = [fault for error in _leaves(group) for fault in error.faults]
+        faults = [fault for error in _flatten(group) for fault in error.faults]
     except* ListenError as group:
-        faults = [str(error) for error in _leaves(group)]
+        faults = [str(error) for error in _flatten(group)]
     if faults:
         _print_faults(settings_file, faults)
         sys.exit(1)
 
 
-def _leaves(group: ExceptionGroup[ErrorT]) -> list[ErrorT]:
-    """Give the errors in a group of groups."""
+def _flatten(group: ExceptionGroup[ErrorT]) -> list[ErrorT]:
+    """Return the errors in an exception group and in the groups that it contains."""
     found: list[ErrorT] = []
     for error in group.exceptions:
-        found += _leaves(error) if isinstance(error, ExceptionGroup) else [error]
+        found += _flatten(error) if isinstance(error, ExceptionGroup) else [error]
     return found
 
 
@@ -173,39 +189,39 @@
     click.echo(json.dumps({"address": str(callers), "peer_address": str(peers)}))
 
 
-class _Lazy(click.Command):
-    """A command whose module is imported when it is used: a relay has to start fast."""
+class _LazyCommand(click.Command):
+    """A command whose module is imported when the command runs, so that a relay starts fast."""
 
     def __init__(self, name: str, module: str, short_help: str) -> None:
         super().__init__(name, short_help=short_help)
         self._module = module
 
     def make_context(self, *args: Any, **kwargs: Any) -> click.Context:
-        """Hand over to the command itself."""
+        """Make the context of the imported command."""
         return self._load().make_context(*args, **kwargs)
 
     def _load(self) -> click.Command:
-        found: click.Command = getattr(import_module(self._module), self.name or "")
-        return found
+        command: click.Command = getattr(import_module(self._module), self.name or "")
+        return command
 
 
 main.add_command(
-    _Lazy("analyze", "cleatlink.scripts.analyze", "Tell from logs where requests were lost.")
+    _LazyCommand("analyze", "cleatlink.scripts.analyze", "Analyze logs: which requests were lost.")
 )
 
 
 @main.group()
 def config() -> None:
-    """Work with configurations."""
+    """Check configurations."""
 
 
 @config.command()
 @click.argument("file", type=click.Path(exists=True, dir_okay=False, path_type=Path))
-@click.option("--json", "as_json", is_flag=True, help="Print data instead of lines.")
+@click.option("--json", "as_json", is_flag=True, help="Print the result as JSON.")
 def check(file: Path, as_json: bool) -> None:
     """Check a configuration or, if it ends in .toml, a platform's settings file.
 
-    Prints every fault and exits with 1 if there is one.
+    Prints all faults and exits with 1 if there are any.
     """
     if file.suffix == ".toml":
         _check_settings(file, as_json)
--- a/cleatlink/scripts/exits.py
+++ b/cleatlink/scripts/exits.py
@@ -1,20 +1,20 @@
-"""The end of a daemon's process, in a time that depends on nothing that it holds."""
+"""Ends a daemon's process in a time that does not depend on the size of its state."""
 
 import os
 import sys
 
-__all__ = ["leave_process"]
+__all__ = ["exit_without_cleanup"]
 
 
-def leave_process(code: str | int | None) -> None:
-    """End the process at once, without the interpreter's release of all that it holds.
+def exit_without_cleanup(code: str | int | None) -> None:
+    """End the process at once, without the interpreter's cleanup.
 
-    A stopped daemon has to be gone by the end of its grace. Threads, exit functions and objects
-    are left to the kernel; what is written is flushed.
+    A stopped daemon has to exit within its grace time. Standard output and standard error are
+    flushed. Threads are not joined, exit handlers do not run, and the kernel frees the memory.
 
     Args:
-        code: The exit code as ``SystemExit`` holds it. Returns where it is a text, which the
-            interpreter prints.
+        code: The code of a ``SystemExit``. If it is a text, this function returns instead, so that
+            the interpreter prints the text.
     """
     if isinstance(code, str):
         return
@@ -22,6 +22,6 @@
         try:
             stream.flush()
         except OSError:
-            # Nobody reads it any more, and no log line could reach anybody.
+            # The reader of the stream is gone, so the error can't be logged either.
             continue
     os._exit(code or 0)
--- a/cleatlink/scripts/imports.py
+++ b/cleatlink/scripts/imports.py
@@ -1,15 +1,18 @@
-"""Imports much at once without the garbage collector, which would look at it again and again."""
+"""Imports many modules without garbage collections, which would scan them repeatedly."""
 
 import gc
 from collections.abc import Iterator
 from contextlib import contextmanager
 
-__all__ = ["lasting_imports"]
+__all__ = ["imports_without_gc"]
 
 
 @contextmanager
-def lasting_imports() -> Iterator[None]:
-    """Import what lasts as long as the process: no collection looks at it, now or later."""
+def imports_without_gc() -> Iterator[None]:
+    """Pause garbage collection during imports, and exclude the imported objects from later ones.
+
+    Imported modules live as long as the process, so scanning them frees nothing.
+    """
     gc.disable()
     try:
         yield
--- a/cleatlink/scripts/imports_test.py
+++ b/cleatlink/scripts/imports_test.py
@@ -1,28 +1,28 @@
-"""What a relay imports, and what it does not.
+"""Imports of the relay's command.
 
-Each instance pays for its imports at every start; on small machines these are most of what a
-start costs. A parser of YAML, which no relay uses, came with the reader of settings.
+Guards against imports that a relay does not use. Imports take most of the time of a start on small
+machines. The module that reads settings once imported a YAML parser, which no relay uses.
 """
 
 import gc
 import subprocess
 import sys
 
-from cleatlink.scripts.imports import lasting_imports
+from cleatlink.scripts.imports import imports_without_gc
 
-UNUSED = ("yaml", "httpx", "quart", "hypercorn", "cleatlink.serving", "cleatlink.config")
+UNUSED_MODULES = ("yaml", "httpx", "quart", "hypercorn", "cleatlink.serving", "cleatlink.config")
 
 
-def test_relay_imports_nothing_that_it_does_not_use() -> None:
+def test_relay_does_not_import_unused_modules() -> None:
     script = "import sys, cleatlink.scripts.commands; print(*sys.modules)"
     command = [sys.executable, "-c", script]
-    ran = subprocess.run(command, capture_output=True, text=True, check=True)
-    assert not set(UNUSED) & set(ran.stdout.split())
+    finished = subprocess.run(command, capture_output=True, text=True, check=True)
+    assert not set(UNUSED_MODULES) & set(finished.stdout.split())
 
 
-def test_collector_works_again_after_imports_that_failed() -> None:
+def test_garbage_collection_is_enabled_again_after_failed_imports() -> None:
     try:
-        with lasting_imports():
+        with imports_without_gc():
             assert not gc.isenabled()
             raise ImportError
     except ImportError:
--- a/cleatlink/scripts/main.py
+++ b/cleatlink/scripts/main.py
@@ -1,31 +1,32 @@
-"""The ``cleatlink`` command: signals first, then all that takes time to import."""
+"""The ``cleatlink`` command; installs signal handlers before the imports that take time."""
 
 import sys
 
-from cleatlink.scripts.exits import leave_process
-from cleatlink.scripts.imports import lasting_imports
+from cleatlink.scripts.exits import exit_without_cleanup
+from cleatlink.scripts.imports import imports_without_gc
 from cleatlink.scripts.signals import handle_early_signals, ignore_late_signals
 
 __all__ = ["main"]
 
-# The command that serves until it is stopped.
-_DAEMON = "entry"
+# The command that runs until it is stopped.
+_DAEMON_COMMAND = "entry"
 
 
 def main() -> None:
     """Run the command."""
-    is_daemon = sys.argv[1:2] == [_DAEMON]
+    is_daemon = sys.argv[1:2] == [_DAEMON_COMMAND]
     if is_daemon:
-        # Imports take most of a start, and a reload that met them ended the process.
+        # Imports take most of the start time. Without a handler, a reload signal during the imports
+        # would end the process.
         handle_early_signals()
-    with lasting_imports():
+    with imports_without_gc():
         from cleatlink.scripts.commands import main as run_command  # noqa: PLC0415
 
     try:
         run_command()
-    except SystemExit as end:
+    except SystemExit as error:
         if is_daemon:
-            leave_process(end.code)
+            exit_without_cleanup(error.code)
         raise
     finally:
         ignore_late_signals()
--- a/cleatlink/scripts/signals.py
+++ b/cleatlink/scripts/signals.py
@@ -1,7 +1,7 @@
-"""Signals before a daemon handles them, and after it is done.
+"""Handling of signals before a daemon installs its own handlers, and after it has finished.
 
-A platform sends its signals whenever it likes: a reload to all processes of which some are
-just being started, a second stop to one that has almost ended.
+A platform may send signals at any time: a reload to all processes while some are still starting, or
+a second stop signal to a process that has almost ended.
 """
 
 import os
@@ -12,21 +12,25 @@
 
 
 def handle_early_signals() -> None:
-    """Let no reload end the process, and let a stop end it well.
+    """Ignore reload signals, and exit with 0 at a stop signal.
 
-    Holds until a daemon handles signals itself, and again once it has finished. A reload that
-    is dropped before loses nothing: the settings are read after a daemon handles signals. The
-    kernel would end the process by either signal.
+    By default, either signal would kill the process. These handlers are active until a daemon
+    installs its own, and again after it has finished. An ignored reload loses no change, because a
+    daemon reads its settings after it has installed its handlers.
     """
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     signal.signal(signal.SIGTERM, _exit)
 
 
 def ignore_late_signals() -> None:
-    """Let nothing end a process that has finished: as it ends, handlers of ours are gone first."""
+    """Ignore stop signals while the process exits.
+
+    The interpreter removes the Python handlers before the process ends; the default action would
+    then kill it.
+    """
     signal.signal(signal.SIGTERM, signal.SIG_IGN)
 
 
 def _exit(number: int, frame: FrameType | None) -> None:
-    """End at once: nothing was taken yet, or everything is finished and written."""
+    """Exit at once: no request was accepted yet, or all are finished and all output is written."""
     os._exit(0)
