--- a/cleatlink/serving/refusals_test.py
+++ b/cleatlink/serving/refusals_test.py
@@ -1,4 +1,4 @@
-"""What an endpoint's refusal says of itself, on the own interface."""
+"""How the endpoint client reads an endpoint's refusal: back-off, shutdown and execution status."""
 
 import httpx
 import pytest
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize(
-    ("headers", "rest_s"),
+    ("headers", "backoff_s"),
     [
         ({}, 0.0),
         ({"Retry-After": "3"}, 3.0),
@@ -20,12 +20,14 @@
         ({"Retry-After": "99999999"}, 300.0),
     ],
 )
-async def test_refusal_says_for_how_long(headers: dict[str, str], rest_s: float) -> None:
-    found = await _read_refusal(httpx.Response(503, headers=headers, json=BODY))
-    assert isinstance(found, EndpointRefusedError)
-    assert (found.rest_s, found.leaving) == (rest_s, False)
+async def test_refusal_has_the_backoff_of_its_retry_after_header(
+    headers: dict[str, str], backoff_s: float
+) -> None:
+    refusal = await _read_refusal(httpx.Response(503, headers=headers, json=BODY))
+    assert isinstance(refusal, EndpointRefusedError)
+    assert (refusal.rest_s, refusal.leaving) == (backoff_s, False)
 
 
-async def test_answer_that_proves_nothing_asks_for_nothing() -> None:
+async def test_answer_of_a_call_that_may_have_run_is_not_a_refusal() -> None:
     response = httpx.Response(503, headers={"Retry-After": "3"}, json={"error": {"ran": "yes"}})
     assert isinstance(await _read_refusal(response), OutcomeUnknownError)
--- a/cleatlink/serving/slow_bodies_test.py
+++ b/cleatlink/serving/slow_bodies_test.py
@@ -1,4 +1,4 @@
-"""Bodies that come slowly: those that go on coming are read, whatever their size."""
+"""Request bodies that arrive slowly are read if they arrive at the minimum rate."""
 
 from typing import Any
 
@@ -7,52 +7,56 @@
 from standins.fakes import Caller
 from standins.world import CONFIGURATION, World
 
-_PARTS = 20
+_CHUNK_COUNT = 20
 
 
 class SlowCaller(Caller):
-    """Sends its body in parts, a second apart."""
+    """Sends its body in chunks, one per second."""
 
-    def __init__(self, app: Any, part: bytes) -> None:
+    def __init__(self, app: Any, chunk: bytes) -> None:
         super().__init__(app)
-        self._slow_app = app
-        self._part = part
-        self._left = _PARTS
+        self._wrapped_app = app
+        self._chunk = chunk
+        self._remaining_chunks = _CHUNK_COUNT
         self._app = self._serve
 
     async def _serve(self, scope: Any, receive: Any, send: Any) -> None:
-        async def receive_part() -> dict[str, Any]:
-            if not self._left:
+        async def receive_chunk() -> dict[str, Any]:
+            if not self._remaining_chunks:
                 await trio.sleep_forever()
             await trio.sleep(1.0)
-            self._left -= 1
-            return {"type": "http.request", "body": self._part, "more_body": self._left > 0}
+            self._remaining_chunks -= 1
+            return {
+                "type": "http.request",
+                "body": self._chunk,
+                "more_body": self._remaining_chunks > 0,
+            }
 
-        scope["headers"] = [(b"content-length", b"%d" % (_PARTS * len(self._part)))]
-        await self._slow_app(scope, receive_part, send)
+        scope["headers"] = [(b"content-length", b"%d" % (_CHUNK_COUNT * len(self._chunk)))]
+        await self._wrapped_app(scope, receive_chunk, send)
 
 
-async def call(world: World, part: bytes) -> Caller:
-    """Call a plain service with a body that comes in such parts."""
-    caller = SlowCaller(world.entries["e1"].app, part)
+async def call_slowly(world: World, chunk: bytes) -> Caller:
+    """Call a plain service with a body that consists of repeated chunks, sent slowly."""
+    caller = SlowCaller(world.entries["e1"].app, chunk)
     return await caller.request("POST", "/services/orders/orders", b"", {})
 
 
-def test_large_body_over_a_slow_link_is_read() -> None:
-    """A body had ten seconds in all, whatever its size, and got 408 after that."""
+def test_large_body_over_a_slow_connection_is_read() -> None:
+    """A fixed timeout of 10 seconds for a body of any size would refuse this one with 408."""
 
-    async def story(world: World) -> None:
-        answer = await call(world, 40_000 * b"b")
+    async def scenario(world: World) -> None:
+        answer = await call_slowly(world, 40_000 * b"b")
         assert answer.status == 200
 
     world = World()
     world.configuration = CONFIGURATION.replace("deadline_s: 10", "deadline_s: 60")
-    world.run(story)
+    world.run(scenario)
 
 
-def test_body_that_hardly_comes_is_refused() -> None:
-    async def story(world: World) -> None:
-        answer = await call(world, b"b")
+def test_body_below_the_minimum_rate_is_refused() -> None:
+    async def scenario(world: World) -> None:
+        answer = await call_slowly(world, b"b")
         assert (answer.status, answer.error["code"]) == (408, "slow_sender")
 
-    World().run(story)
+    World().run(scenario)
