--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak: real programs under faults from outside, judged by what others saw."""
+"""Randomized soak tests: instances run under injected faults and are checked from outside."""
--- a/soak/broken.py
+++ b/soak/broken.py
@@ -1,4 +1,7 @@
-"""Runs the program with one mechanism switched off, to see the soak report it."""
+"""Runs the program with one mechanism disabled, to test that the soak test detects it.
+
+python -m soak.broken MECHANISM entry ...
+"""
 
 import sys
 from collections.abc import Callable
@@ -27,202 +30,205 @@
 
 
 class Ablation(NamedTuple):
-    """A mechanism that can be switched off.
+    """A mechanism that can be disabled.
 
     Attributes:
-        switch_off: Switches it off in this process.
-        check: The check that must then report it.
-        kinds: Faults under which it shows.
-        prefills: Engines that begin as prefills.
+        switch_off: Disables the mechanism in this process.
+        expected_check: Check that must fail without the mechanism.
+        fault_kinds: Faults under which that check fails.
+        prefill_count: Engines that start in the prefill role.
     """
 
     switch_off: Callable[[], None]
-    check: str
-    kinds: tuple[FaultKind, ...]
-    prefills: int = 2
+    expected_check: str
+    fault_kinds: tuple[FaultKind, ...]
+    prefill_count: int = 2
 
 
-def _replace(owner: Any, name: str, value: Any) -> Callable[[], None]:
+def _make_patch(owner: Any, name: str, value: Any) -> Callable[[], None]:
     return lambda: setattr(owner, name, value)
 
 
-def _always(*_: object) -> bool:
+def _return_true(*_: object) -> bool:
     return True
 
 
-def _take_any_table(self: FleetRecords, table: Any) -> bool:
+def _accept_any_table(self: FleetRecords, table: Any) -> bool:
     self._table = table
     return True
 
 
-async def _stop_at_once(self: RelayInstance) -> None:
+async def _stop_immediately(self: RelayInstance) -> None:
     self._planned_stop.begin(0.0, 0.0)
 
 
-def _forget_that_it_left(self: Call, endpoint: Any) -> None:
-    _note_sent(self, endpoint)
+def _note_sent_as_not_run(self: Call, endpoint: Any) -> None:
+    _original_note_sent(self, endpoint)
     self.ran = ExecutionStatus.NO
 
 
-async def _watch_nothing(self: CallerConnection, scope: Any) -> None:
+async def _skip_watch(self: CallerConnection, scope: Any) -> None:
     return None
 
 
-def _stay(self: Capacity, service: str, role: Any) -> list[Any]:
+def _list_with_leaving(self: Capacity, service: str, role: Any) -> list[Any]:
     return [item for item in self._by_service.get(service, ()) if item.role is role]
 
 
-def _keep_first(self: Follower, table: Any, source: str) -> None:
+def _apply_only_first_table(self: Follower, table: Any, source: str) -> None:
     if self.records.table is None:
-        _take_table(self, table, source)
+        _original_take_table(self, table, source)
+
 
+def _lead_without_election() -> None:
+    """Make every instance lead, without information about ordered role changes.
 
-def _lead_always() -> None:
-    """Let everybody lead, and not hear of what others ordered: else the second holds back."""
-    LeaderElection.update = _always  # type: ignore[method-assign, assignment]
-    Capacity.role_changes_left_s = _know_no_change  # type: ignore[method-assign]
+    An instance that knows that a role change was ordered gives no second order.
+    """
+    LeaderElection.update = _return_true  # type: ignore[method-assign, assignment]
+    Capacity.role_changes_left_s = _report_no_role_changes  # type: ignore[method-assign]
 
 
-def _know_no_change(self: Capacity, now: float) -> dict[str, float]:
+def _report_no_role_changes(self: Capacity, now: float) -> dict[str, float]:
     return {}
 
 
-_known: dict[bytes, Organisation] = {}
+_keys_seen: dict[bytes, Organisation] = {}
 
 
-def _keep_known(self: KeyTable, digest: bytes) -> Organisation | None:
-    found = _find_key(self, digest)
+def _find_current_or_old_key(self: KeyTable, digest: bytes) -> Organisation | None:
+    found = _original_find_key(self, digest)
     if found is not None:
-        _known[digest] = found
-    return _known.get(digest)
+        _keys_seen[digest] = found
+    return _keys_seen.get(digest)
 
 
-_find_key = KeyTable.find
-_note_sent = Call.note_sent
-_take_table = Follower.take_table
+_original_find_key = KeyTable.find
+_original_note_sent = Call.note_sent
+_original_take_table = Follower.take_table
 
 
-def _read_no_notice(self: Protocol, head: Any) -> EndpointNotice:
+def _read_empty_notice(self: Protocol, head: Any) -> EndpointNotice:
     return EMPTY_NOTICE
 
 
-def _read_no_rest(self: Protocol, head: Any) -> EndpointNotice:
-    return _read_notice(self, head)._replace(rest_s=0.0)
+def _read_notice_without_backoff(self: Protocol, head: Any) -> EndpointNotice:
+    return _original_read_notice(self, head)._replace(rest_s=0.0)
 
 
-def _tell_no_era(self: StoreClient, head: Any) -> int:
+def _return_era_zero(self: StoreClient, head: Any) -> int:
     return 0
 
 
-def _order_by_numbers() -> None:
-    """Know no eras, and read anew at once where changes can't be had."""
-    StoreClient._read_era = _tell_no_era  # type: ignore[method-assign]
-    Follower._reread_pause_s = _pause_never  # type: ignore[method-assign]
+def _ignore_eras() -> None:
+    """Ignore the eras of the store, and reread it without a delay after a failed watch."""
+    StoreClient._read_era = _return_era_zero  # type: ignore[method-assign]
+    Follower._reread_pause_s = _return_no_delay  # type: ignore[method-assign]
 
 
-def _pause_never(self: Follower) -> float:
+def _return_no_delay(self: Follower) -> float:
     return 0.0
 
 
-_read_notice = Protocol.read_notice
+_original_read_notice = Protocol.read_notice
 
 ABLATIONS = {
     "leaving-words": Ablation(
-        _replace(Protocol, "read_notice", _read_no_notice),
+        _make_patch(Protocol, "read_notice", _read_empty_notice),
         "a worker's word is heard",
         (FaultKind.WORKER_WORD,),
     ),
     "rests": Ablation(
-        _replace(Protocol, "read_notice", _read_no_rest),
+        _make_patch(Protocol, "read_notice", _read_notice_without_backoff),
         "rests are kept",
         (FaultKind.WORKER_REST,),
     ),
     "eras": Ablation(
-        _order_by_numbers,
+        _ignore_eras,
         "calls to the store stay few",
         (FaultKind.STORE_RESTORE, FaultKind.CONFIGURATION),
     ),
     "ran-memory": Ablation(
-        _replace(Call, "note_sent", _forget_that_it_left),
+        _make_patch(Call, "note_sent", _note_sent_as_not_run),
         "'not run' is true",
         (FaultKind.WORKER_LINK_RESET, FaultKind.WORKER_FAULTS),
     ),
     "whose-answer": Ablation(
-        _replace(Protocol, "belongs", _always),
+        _make_patch(Protocol, "belongs", _return_true),
         "the whole answer to its own request",
         (FaultKind.WORKER_FAULTS,),
     ),
     "planned-stop": Ablation(
-        _replace(RelayInstance, "_stop", _stop_at_once),
+        _make_patch(RelayInstance, "_stop", _stop_immediately),
         "a planned stop cuts nothing off",
         (FaultKind.INSTANCE_STOP,),
     ),
     "stop-foresight": Ablation(
-        _replace(PlannedStop, "leaves_time", _always),
+        _make_patch(PlannedStop, "leaves_time", _return_true),
         "a planned stop cuts nothing off",
         (FaultKind.INSTANCE_STOP, FaultKind.INSTANCE_ROLL),
     ),
     "caller-watch": Ablation(
-        _replace(CallerConnection, "_watch", _watch_nothing),
+        _make_patch(CallerConnection, "_watch", _skip_watch),
         "no work for callers that are gone",
         (FaultKind.INSTANCE_RELOAD,),
     ),
     "leaving": Ablation(
-        _replace(Capacity, "in_role", _stay),
+        _make_patch(Capacity, "in_role", _list_with_leaving),
         "a leaving worker gets nothing",
         (FaultKind.WORKER_DRAIN,),
     ),
     "new-tables": Ablation(
-        _replace(Follower, "take_table", _keep_first),
+        _make_patch(Follower, "take_table", _apply_only_first_table),
         "a configuration is in force",
         (FaultKind.CONFIGURATION,),
     ),
     "upwards-only": Ablation(
-        _replace(FleetRecords, "offer_table", _take_any_table),
+        _make_patch(FleetRecords, "offer_table", _accept_any_table),
         "a configuration never reverts",
         (FaultKind.CONFIGURATION, FaultKind.STORE_OLD_READ),
     ),
     "no-repeat": Ablation(
-        _replace(Call, "repeatable", property(_always)),
+        _make_patch(Call, "repeatable", property(_return_true)),
         "at most once",
         (FaultKind.WORKER_FAULTS,),
     ),
     "event-numbers": Ablation(
-        _replace(EventParser, "_is_new", _always),
+        _make_patch(EventParser, "_is_new", _return_true),
         "events in order",
         (FaultKind.WORKER_FAULTS, FaultKind.WORKER_CRASH),
     ),
     "endpoint-limits": Ablation(
-        _replace(EndpointLimits, "_find_limit", lambda *_: None),
+        _make_patch(EndpointLimits, "_find_limit", lambda *_: None),
         "limits of workers hold",
         (FaultKind.WORKER_LIMIT,),
     ),
     "quarantine": Ablation(
-        _replace(Call, "find_send_refusal", lambda self: None),
+        _make_patch(Call, "find_send_refusal", lambda self: None),
         "requests that crash workers stop",
         (FaultKind.CRASHING_REQUEST,),
     ),
     "key-table": Ablation(
-        _replace(KeyTable, "find", _keep_known),
+        _make_patch(KeyTable, "find", _find_current_or_old_key),
         "keys in force",
         (FaultKind.KEY,),
     ),
     "shared-limits": Ablation(
-        _replace(OrganisationLimits, "admit", lambda *_: Admission(True, 0)),
+        _make_patch(OrganisationLimits, "admit", lambda *_: Admission(True, 0)),
         "limits hold over all",
         (FaultKind.LIMIT,),
     ),
     "key-withheld": Ablation(
-        _replace(OrganisationAccess, "judges_keys", False),
+        _make_patch(OrganisationAccess, "judges_keys", False),
         "workers are told whose a request is",
         (FaultKind.INSTANCE_RELOAD,),
     ),
     "leadership": Ablation(
-        _lead_always,
+        _lead_without_election,
         "one gives orders",
         (FaultKind.INSTANCE_RELOAD,),
-        # Without a prefill there is something to order.
-        prefills=0,
+        # Without a prefill engine the leader has to order a role change.
+        prefill_count=0,
     ),
 }
 
--- a/soak/builds.py
+++ b/soak/builds.py
@@ -1,4 +1,4 @@
-"""Earlier builds of the program, taken from the history into folders of their own."""
+"""Sources of earlier builds of the program, extracted from the git history."""
 
 import subprocess
 import tarfile
@@ -8,26 +8,26 @@
 __all__ = ["LANDED", "extract_build"]
 
 _ROOT = Path(__file__).parent.parent
-# Versions that were given out since instances tell each other what they know, the oldest first.
+# Commits of the released builds whose instances exchange messages with peers, oldest first.
 LANDED = ("8d4f081", "e627dcc", "c558fa2", "820ff69", "709868b", "4207a6e")
 
 
 def extract_build(commit: str, folder: Path) -> Path:
-    """Write a build's sources into a folder.
+    """Extract the sources of a build.
 
     Args:
-        commit: The build's commit.
-        folder: Where to; a folder of the commit's name is made in it.
+        commit: Commit of the build.
+        folder: Parent folder; the sources are written to a subfolder named after the commit.
 
     Returns:
-        The folder that its packages lie in.
+        The subfolder, which contains the packages.
 
     Raises:
-        subprocess.CalledProcessError: The history has no such commit.
+        subprocess.CalledProcessError: The git history does not contain the commit.
     """
-    tree = folder / commit
+    source_folder = folder / commit
     command = ["git", "-C", str(_ROOT), "archive", "--format=tar", commit]
-    packed = subprocess.run(command, capture_output=True, check=True).stdout
-    with tarfile.open(fileobj=BytesIO(packed)) as archive:
-        archive.extractall(tree, filter="data")
-    return tree
+    archive_bytes = subprocess.run(command, capture_output=True, check=True).stdout
+    with tarfile.open(fileobj=BytesIO(archive_bytes)) as archive:
+        archive.extractall(source_folder, filter="data")
+    return source_folder
--- a/soak/clocked_test.py
+++ b/soak/clocked_test.py
@@ -1,4 +1,4 @@
-"""The program's clocks are where the soak sets them."""
+"""Tests of the clock offsets that the soak test sets."""
 
 import os
 import subprocess
@@ -11,10 +11,10 @@
 import sys, time
 from pathlib import Path
 from cleatlink import clock
-from soak.clocked import _set_clocks
-_set_clocks(Path(sys.argv[1]))
-ahead = clock.SuspendAwareClock().current_time() - time.clock_gettime(time.CLOCK_BOOTTIME)
-print(round(ahead), round(clock.unix_ms() / 1000 - time.time()))
+from soak.clocked import _patch_clocks
+_patch_clocks(Path(sys.argv[1]))
+ahead_s = clock.SuspendAwareClock().current_time() - time.clock_gettime(time.CLOCK_BOOTTIME)
+print(round(ahead_s), round(clock.unix_ms() / 1000 - time.time()))
 """
 
 
@@ -30,7 +30,7 @@
         os.close(descriptor)
 
 
-def test_both_clocks_are_ahead(tmp_path: Path) -> None:
+def test_both_clocks_are_shifted_by_their_offsets(tmp_path: Path) -> None:
     file = tmp_path / "clocks"
     write_offsets(file, ClockOffsets(12.0, -300.0))
     command = [sys.executable, "-c", PROGRAM, str(file)]
--- a/soak/emulation_test.py
+++ b/soak/emulation_test.py
@@ -1,4 +1,4 @@
-"""The page of what the platform allows names what is played, and nothing that is not."""
+"""Checks that the page on platform emulation lists the injected faults, checks and tests."""
 
 import re
 from pathlib import Path
@@ -12,14 +12,14 @@
 
 ROOT = Path(__file__).parent.parent
 PAGE = (ROOT / "docs" / "design" / "emulation.md").read_text("utf-8")
-NOTHING = "-"
+EMPTY_CELL = "-"
 
 
 class Row(NamedTuple):
-    """A row of the table."""
+    """One row of the table on the page."""
 
-    who: str
-    may: str
+    part: str
+    allowed_faults: str
     tests: str
     kinds: str
     checks: str
@@ -32,34 +32,36 @@
 ]
 
 
-def names(text: str) -> list[str]:
-    """Give what stands between backticks."""
+def quoted_names(text: str) -> list[str]:
+    """Return the names between backticks."""
     return re.findall(r"`([^`]+)`", text)
 
 
 def test_every_kind_of_fault_has_a_row() -> None:
-    played = {kind for row in ROWS for kind in names(row.kinds)}
-    assert played == {kind.name.lower() for kind in FaultKind}
+    injected = {kind for row in ROWS for kind in quoted_names(row.kinds)}
+    assert injected == {kind.name.lower() for kind in FaultKind}
 
 
 def test_every_fault_of_a_worker_has_a_row() -> None:
-    said = {name for row in ROWS if row.who == "endpoint" for name in names(row.may)}
-    assert said == {fault.name for fault in Fault}
+    listed = {
+        name for row in ROWS if row.part == "endpoint" for name in quoted_names(row.allowed_faults)
+    }
+    assert listed == {fault.name for fault in Fault}
 
 
-def test_every_check_judges_a_row() -> None:
-    judged = {check.strip() for row in ROWS for check in row.checks.split(",")} - {NOTHING}
-    assert judged == set(CHECKS)
+def test_every_check_has_a_row() -> None:
+    listed = {check.strip() for row in ROWS for check in row.checks.split(",")} - {EMPTY_CELL}
+    assert listed == set(CHECKS)
 
 
-@pytest.mark.parametrize("name", sorted({name for row in ROWS for name in names(row.tests)}))
-def test_tests_that_are_named_exist(name: str) -> None:
+@pytest.mark.parametrize("name", sorted({name for row in ROWS for name in quoted_names(row.tests)}))
+def test_named_tests_exist(name: str) -> None:
     folders = (ROOT / "cleatlink" / "relay", ROOT / "cleatlink")
     assert any((folder / name).exists() for folder in folders)
 
 
-def test_empty_places_are_counted() -> None:
-    empty = [row for row in ROWS if row.tests == row.kinds == row.checks == NOTHING]
-    without_kind = [row for row in ROWS if row.kinds == NOTHING]
+def test_page_states_counts_of_empty_cells() -> None:
+    empty = [row for row in ROWS if row.tests == row.kinds == row.checks == EMPTY_CELL]
+    without_kind = [row for row in ROWS if row.kinds == EMPTY_CELL]
     assert f"Empty in all three places: {len(empty)} rows" in PAGE
     assert f"soak: {len(without_kind)} rows" in PAGE.replace("\n", " ")
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -1,4 +1,4 @@
-"""The fleet of a run: store, workers behind links, and instances behind theirs."""
+"""The fleet of a run: a store, instances and workers, with a link in front of each connection."""
 
 from pathlib import Path
 
@@ -6,86 +6,89 @@
 
 from soak.link import Link
 from soak.organisations import SoakOrganisations
-from soak.processes import InstanceProcess, free_ports, instance_ip
+from soak.processes import InstanceProcess, find_free_ports, instance_ip
 from soak.records import LeavingWord, NamedLimit, Rest, Spell, Stop, Switch, Withdrawal
 from soak.workers import SoakWorker
 from standins.relay.fleet import Fleet
 
 __all__ = ["SoakFleet"]
 
-_SEEDS = 3
-_ENGINES = 5
-_ENGINE = {"slots": 16, "kv_cache_tokens": 4000, "role_switch_s": 2.0}
-
-# A worker that crashed is back after so long.
-_BACK_S = 0.5
+_MAX_SEED_PEERS = 3
+_ENGINE_COUNT = 5
+_ENGINE_SETTINGS = {"slots": 16, "kv_cache_tokens": 4000, "role_switch_s": 2.0}
+# Seconds until a worker that a request crashed is replaced.
+_CRASH_RESTART_DELAY_S = 0.5
 
 
 class SoakFleet:
-    """Everything that a run consists of, and the record of what was done to it."""
+    """The store, workers and instances of a run, with a record of the injected faults."""
 
     def __init__(
         self,
         nursery: trio.Nursery,
         folder: Path,
-        instances: int,
-        without: str,
+        instance_count: int,
+        ablation: str,
         *,
         organisations: SoakOrganisations | None = None,
-        older: Path | None = None,
-        moves_clocks: bool = False,
+        earlier_build_folder: Path | None = None,
+        shifts_clocks: bool = False,
     ) -> None:
-        """Prepare a fleet.
+        """Create a fleet without starting it.
 
         Args:
-            nursery: Runs what is no process.
-            folder: Where settings and output go.
-            instances: How many there are.
-            without: A mechanism that is switched off in them; empty for none.
-            organisations: Whose requests they get; None for nobody's.
-            older: Sources of the build that instances run at first; None for this one.
-            moves_clocks: Whether instances' clocks are to be set on.
+            nursery: Runs the tasks of the store, workers and links.
+            folder: Folder for the settings and logs of the instances.
+            instance_count: Number of instances.
+            ablation: Mechanism that is disabled in the instances; empty for none.
+            organisations: Organisations that send requests; None for a fleet without
+                organisations.
+            earlier_build_folder: Sources of the build that the instances run first; None for
+                this build.
+            shifts_clocks: Whether faults can shift the clocks of the instances.
         """
         self.platform = Fleet(nursery)
         self.organisations = organisations
         self.workers: list[SoakWorker] = []
-        self.present: list[SoakWorker] = []
+        self.active_workers: list[SoakWorker] = []
         self.links: dict[str, Link] = {}
         self.store_links: list[Link] = []
-        self.switches: list[Switch] = []
+        self.route_moves: list[Switch] = []
         self.withdrawals: list[Withdrawal] = []
         self.stops: list[Stop] = []
-        self.spells: list[Spell] = []
-        self.exits: list[str] = []
-        self.words: list[LeavingWord] = []
-        self.rests: list[Rest] = []
-        self.named_limits: list[NamedLimit] = []
-        self.older = older
-        # What each worker last wrote of itself, and the worker.
-        self._entries: dict[str, tuple[SoakWorker, str]] = {}
+        self.disturbances: list[Spell] = []
+        self.process_failures: list[str] = []
+        self.leaving_notices: list[LeavingWord] = []
+        self.backoffs: list[Rest] = []
+        self.announced_limits: list[NamedLimit] = []
+        self.earlier_build_folder = earlier_build_folder
+        # Workers with an entry in the store, and the state in the entry, by worker name.
+        self._registered: dict[str, tuple[SoakWorker, str]] = {}
         self._nursery = nursery
-        ports = free_ports(instances)
-        seeds = tuple(instance_ip(number + 1) for number in range(min(_SEEDS, instances)))
+        ports = find_free_ports(instance_count)
+        seeds = tuple(
+            instance_ip(number + 1) for number in range(min(_MAX_SEED_PEERS, instance_count))
+        )
         self.instances = [
-            InstanceProcess(number + 1, ports, seeds, folder, without, moves_clocks=moves_clocks)
-            for number in range(instances)
+            InstanceProcess(number + 1, ports, seeds, folder, ablation, shifts_clocks=shifts_clocks)
+            for number in range(instance_count)
         ]
         for instance in self.instances:
-            instance.tree = older
+            instance.source_folder = earlier_build_folder
 
-    async def start(self, prefills: int) -> None:
-        """Start all and wait until it serves.
+    async def start(self, prefill_count: int) -> None:
+        """Start the fleet and wait until the instances are ready.
 
         Args:
-            prefills: How many of the engines begin as prefills; without any, whoever leads
-                orders one to become one.
+            prefill_count: Number of engines that start in the prefill role. If it is 0, the
+                leader orders an engine to change to that role.
         """
         self.platform.store.era = 1
         await self.platform.store.start(self._nursery)
         for service, stage, count in (
             ("plain", "", 3),
-            ("model", "prefill", prefills),
-            ("model", "decode", _ENGINES - prefills),
+            ("model", "prefill", prefill_count),
+            ("model", "decode", _ENGINE_COUNT - prefill_count),
         ):
             for _ in range(count):
                 await self.add_worker(service, stage)
@@ -96,7 +99,7 @@
             "/resume/", "streaming", "model", timeout_ms=8000, attempts=3, resumable=True
         )
         self.platform.add_route("/switch/", "safe", "plain", attempts=1)
-        await self.move_switch()
+        await self.move_route()
         for instance in self.instances:
             link = Link(self.platform.store.address)
             await link.start(self._nursery)
@@ -105,7 +108,9 @@
             instance.start()
         for instance in self.instances:
             if not await instance.wait_ready():
-                self.exits.append(f"{instance.name} was not ready in time after its first start")
+                self.process_failures.append(
+                    f"{instance.name} was not ready in time after its first start"
+                )
 
     def write_settings(self, instance: InstanceProcess, retry_allowance: int) -> None:
         """Write an instance's settings file, with a retry allowance."""
@@ -113,9 +118,9 @@
         instance.write_settings(store, retry_allowance)
 
     def close(self) -> None:
-        """End every process, and close every socket."""
+        """Kill every process and close every socket."""
         for instance in self.instances:
-            instance.end()
+            instance.kill()
         self.platform.store.close()
         for worker in self.workers:
             worker.close()
@@ -125,7 +130,7 @@
     async def add_worker(
         self, service: str, stage: str = "", link: Link | None = None
     ) -> SoakWorker:
-        """Start a worker behind a link, its own or one that was another's, and register it."""
+        """Start a worker behind a new link or the link of an earlier worker, and register it."""
         worker = SoakWorker(service, stage)
         await worker.start(self._nursery)
         if link is None:
@@ -135,62 +140,62 @@
         worker.address = link.address
         self.links[worker.name] = link
         self.workers.append(worker)
-        self.present.append(worker)
+        self.active_workers.append(worker)
         self.register(worker)
         self._nursery.start_soon(self._replace_when_crashed, worker)
         return worker
 
     async def _replace_when_crashed(self, worker: SoakWorker) -> None:
-        """Have another worker come at the address of one that a request crashed."""
+        """Start another worker at the address of a worker once a request has crashed it."""
         await worker.crashed.wait()
         link, began_at = self.links[worker.name], trio.current_time()
-        link.refuse()
-        if worker in self.present:
-            self.present.remove(worker)
-        await trio.sleep(_BACK_S)
+        link.stop_accepting()
+        if worker in self.active_workers:
+            self.active_workers.remove(worker)
+        await trio.sleep(_CRASH_RESTART_DELAY_S)
         self.unregister(worker)
-        await link.accept_again(self._nursery)
+        await link.resume_accepting(self._nursery)
         await self.add_worker(worker.service, worker.stage, link)
-        self.note_spell(worker.name, began_at)
+        self.note_disturbance(worker.name, began_at)
 
     def register(self, worker: SoakWorker, state: str = "ready") -> None:
-        """Have a worker write its entry."""
-        self._entries[worker.name] = (worker, state)
+        """Write a worker's entry to the store."""
+        self._registered[worker.name] = (worker, state)
         self.platform.register(worker, state)
 
     def unregister(self, worker: SoakWorker) -> None:
-        """Have a worker's entry go."""
-        self._entries.pop(worker.name, None)
+        """Delete a worker's entry from the store."""
+        self._registered.pop(worker.name, None)
         self.platform.unregister(worker)
 
-    def write_again(self) -> None:
-        """Have the operator and the workers write again what a copy of the store lacks."""
-        for worker, state in self._entries.values():
+    def rewrite_entries(self) -> None:
+        """Write the configuration and all entries again, after the store was restored."""
+        for worker, state in self._registered.values():
             self.platform.register(worker, state)
         self.platform.publish_again()
 
-    def let_lapse(self) -> None:
-        """Have entries go that a copy brought back and nobody renews."""
-        self.platform.store.keep_only("servers/", {f"servers/{name}" for name in self._entries})
+    def expire_stale_entries(self) -> None:
+        """Delete entries of stopped workers that came back when the store was restored."""
+        self.platform.store.keep_only("servers/", {f"servers/{name}" for name in self._registered})
 
-    async def move_switch(self) -> None:
-        """Move the route that moves to a service that is new, with a worker of its own."""
-        service = f"move-{len(self.switches)}"
+    async def move_route(self) -> None:
+        """Move the ``/switch/`` route to a new service with its own worker."""
+        service = f"move-{len(self.route_moves)}"
         self.platform.plain_services.append(service)
         worker = await self.add_worker(service)
-        self.present.remove(worker)
+        self.active_workers.remove(worker)
         for route in self.platform.routes:
             if route["path_prefix"] == "/switch/":
                 route["service"] = service
         self.publish()
-        self.switches.append(Switch(service, trio.current_time()))
+        self.route_moves.append(Switch(service, trio.current_time()))
 
     def publish(self) -> None:
-        """Publish the routes and organisations as they are now."""
+        """Publish the current routes and organisations."""
         if self.organisations is not None:
             self.platform.organisations = self.organisations.entries()
-        self.platform.configure(_ENGINE)
+        self.platform.configure(_ENGINE_SETTINGS)
 
-    def note_spell(self, what: str, began_at: float) -> None:
-        """Note that something was disturbed until now."""
-        self.spells.append(Spell(what, began_at, trio.current_time()))
+    def note_disturbance(self, target: str, began_at: float) -> None:
+        """Record that a target was disturbed from a time until now."""
+        self.disturbances.append(Spell(target, began_at, trio.current_time()))
--- a/soak/link.py
+++ b/soak/link.py
@@ -1,4 +1,4 @@
-"""A loopback proxy between two parts, which can delay, silence, cut one way or reset."""
+"""A TCP proxy on the loopback interface that injects connection faults."""
 
 from enum import StrEnum
 
@@ -11,7 +11,7 @@
 
 
 class LinkFault(StrEnum):
-    """What a link does to the bytes that it carries."""
+    """Fault that a link injects into its connections."""
 
     DELAY = "delay"
     RESET = "reset"
@@ -20,63 +20,63 @@
 
 
 class Link:
-    """Carries connections to a target; the target may change, as an address does."""
+    """Forwards connections to a target address, which may change between connections."""
 
     def __init__(self, target: str) -> None:
         self.target = target
         self.address = ""
         self._fault: LinkFault | None = None
-        self._changed = trio.Event()
+        self._fault_changed = trio.Event()
         self._listener: trio.SocketListener | None = None
         self._streams: set[trio.SocketStream] = set()
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Start to carry connections."""
+        """Listen on a free port and forward connections."""
         self._listener = (await trio.open_tcp_listeners(0, host="127.0.0.1"))[0]
         self.address = f"127.0.0.1:{self._listener.socket.getsockname()[1]}"
-        nursery.start_soon(self._accept)
+        nursery.start_soon(self._accept_connections)
 
-    def refuse(self) -> None:
-        """Refuse connections, as the address of a crashed process does."""
+    def stop_accepting(self) -> None:
+        """Refuse connections, as at the address of a crashed process."""
         if self._listener is not None:
             self._listener.socket.close()
 
-    async def accept_again(self, nursery: trio.Nursery) -> None:
-        """Carry connections again, at the same address."""
+    async def resume_accepting(self, nursery: trio.Nursery) -> None:
+        """Accept connections again at the same address."""
         port = int(self.address.rpartition(":")[2])
         self._listener = (await trio.open_tcp_listeners(port, host="127.0.0.1"))[0]
-        nursery.start_soon(self._accept)
+        nursery.start_soon(self._accept_connections)
 
     def close(self) -> None:
-        """Stop, and end every connection."""
+        """Stop listening and close all connections."""
         if self._listener is not None:
             self._listener.socket.close()
-        self._end_all()
+        self._close_streams()
 
     def set_fault(self, fault: LinkFault | None) -> None:
-        """Put a fault in force, or heal the link; silent bytes go on when it is healed."""
+        """Set or clear the fault; data that a fault held back is forwarded once it is cleared."""
         self._fault = fault
-        self._changed.set()
-        self._changed = trio.Event()
+        self._fault_changed.set()
+        self._fault_changed = trio.Event()
         if fault is LinkFault.RESET:
-            self._end_all()
+            self._close_streams()
 
-    def _end_all(self) -> None:
+    def _close_streams(self) -> None:
         for stream in list(self._streams):
             stream.socket.close()
 
-    async def _accept(self) -> None:
-        assert self._listener is not None, "started before"
+    async def _accept_connections(self) -> None:
+        assert self._listener is not None, "the link is not started"
         async with trio.open_nursery() as nursery:
             while True:
                 try:
                     stream = await self._listener.accept()
                 except (trio.ClosedResourceError, OSError):
                     return
-                nursery.start_soon(self._carry, stream)
+                nursery.start_soon(self._proxy_connection, stream)
 
-    async def _carry(self, caller: trio.SocketStream) -> None:
-        """Carry one connection until either side ends it."""
+    async def _proxy_connection(self, caller: trio.SocketStream) -> None:
+        """Forward one connection until either side closes it."""
         self._streams.add(caller)
         target: trio.SocketStream | None = None
         try:
@@ -86,8 +86,8 @@
             target = await trio.open_tcp_stream(host, int(port))
             self._streams.add(target)
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._copy, caller, target, False, nursery.cancel_scope)
-                nursery.start_soon(self._copy, target, caller, True, nursery.cancel_scope)
+                nursery.start_soon(self._forward, caller, target, False, nursery.cancel_scope)
+                nursery.start_soon(self._forward, target, caller, True, nursery.cancel_scope)
         except OSError:
             return
         finally:
@@ -96,27 +96,29 @@
                     self._streams.discard(stream)
                     stream.socket.close()
 
-    async def _copy(
+    async def _forward(
         self,
         source: trio.SocketStream,
-        sink: trio.SocketStream,
-        answers: bool,
+        destination: trio.SocketStream,
+        is_response: bool,
         scope: trio.CancelScope,
     ) -> None:
         try:
             while True:
                 data = await source.receive_some(_READ_BYTES)
-                await self._hold(answers)
+                await self._apply_fault(is_response)
                 if not data:
                     break
-                await sink.send_all(data)
+                await destination.send_all(data)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             pass
         scope.cancel()
 
-    async def _hold(self, answers: bool) -> None:
-        """Wait for as long as the fault in force holds these bytes up."""
+    async def _apply_fault(self, is_response: bool) -> None:
+        """Wait while the current fault holds back data in this direction."""
         if self._fault is LinkFault.DELAY:
             await trio.sleep(_DELAY_S)
-        while self._fault is LinkFault.SILENCE or (self._fault is LinkFault.ONE_WAY and answers):
-            await self._changed.wait()
+        while self._fault is LinkFault.SILENCE or (
+            self._fault is LinkFault.ONE_WAY and is_response
+        ):
+            await self._fault_changed.wait()
--- a/soak/plan.py
+++ b/soak/plan.py
@@ -1,4 +1,4 @@
-"""Which faults strike when: a plan that follows from a seed alone."""
+"""The schedule of the faults in a run, generated from a seed alone."""
 
 import random
 from enum import StrEnum
@@ -7,65 +7,67 @@
 __all__ = [
     "CLOCK_KINDS",
     "CRASH_KINDS",
-    "MIXED_KINDS",
+    "MIXED_BUILD_KINDS",
     "MOVING_CLOCK_KINDS",
+    "NOTICE_KINDS",
     "ORGANISATION_KINDS",
     "RESTORE_KINDS",
     "STOP_KINDS",
     "WORKER_LIMIT_KINDS",
-    "WORD_KINDS",
     "FaultKind",
     "PlannedFault",
     "plan_faults",
 ]
 
-# Faults begin after a calm start and end before the final checks.
-_FIRST_S = 2.0
-_SHORTEST_S = 0.3
-_LONGEST_S = 3.0
-_SERIES = 0.3
+# Seconds without faults at the start of the traffic.
+_FIRST_FAULT_AT_S = 2.0
+_MIN_DURATION_S = 0.3
+# No fault starts later than this before the end of the traffic.
+_MAX_DURATION_S = 3.0
+# Probability that a fault is repeated, as a series.
+_SERIES_PROBABILITY = 0.3
 
 
 class FaultKind(StrEnum):
-    """Kinds of faults; the text tells the story of a seed."""
+    """Kinds of faults; the values describe the faults in the output of a failed run."""
 
-    INSTANCE_STOP = "an instance is stopped as planned and started again"
-    INSTANCE_SIGNALS = "an instance is stopped as planned, with more signals until it is gone"
-    INSTANCE_ROLL = "all instances are stopped as planned in turn, before the last one is back"
-    INSTANCE_KILL = "an instance is killed and started again"
+    INSTANCE_STOP = "an instance is stopped gracefully and restarted"
+    INSTANCE_SIGNALS = "an instance is stopped gracefully and gets more signals until it exits"
+    INSTANCE_ROLL = "all instances are stopped gracefully in turn, with overlapping stops"
+    INSTANCE_KILL = "an instance is killed and restarted"
     INSTANCE_PAUSE = "an instance is paused"
-    INSTANCE_SUSPEND = "an instance's machine is suspended; its clock has gone on meanwhile"
-    INSTANCE_CLOCK = "an instance's time of day steps forth or back"
-    INSTANCE_RELOAD = "an instance reloads settings that changed or can't be used, at any time"
-    STORE_LINK_DELAY = "an instance's link to the store is slow"
-    STORE_LINK_RESET = "an instance's link to the store resets"
-    STORE_LINK_SILENCE = "an instance's link to the store is silent"
-    STORE_LINK_ONE_WAY = "answers of the store do not reach an instance"
-    STORE_BUSY = "the store turns everybody away"
-    STORE_SILENT = "the store is silent"
-    STORE_RESET = "the store resets its connections"
-    STORE_FORGETS = "the store forgets its history"
-    STORE_OLD_READ = "the store shows an older configuration for a while"
-    STORE_LOSES = "the store loses its open waits"
-    WORKER_LINK_DELAY = "a worker's link is slow"
-    WORKER_LINK_RESET = "a worker's link resets"
-    WORKER_LINK_SILENCE = "a worker's link is silent"
-    WORKER_LINK_ONE_WAY = "answers of a worker do not arrive"
-    WORKER_FAULTS = "a worker answers wrongly a few times"
-    WORKER_CRASH = "a worker crashes; another comes at its address"
-    WORKER_DRAIN = "a worker drains and leaves; another comes"
+    INSTANCE_SUSPEND = "an instance's machine is suspended while its clock continues"
+    INSTANCE_CLOCK = "an instance's wall clock jumps forward or back, and returns later"
+    INSTANCE_RELOAD = "an instance reloads changed or invalid settings"
+    STORE_LINK_DELAY = "an instance's link to the store delays data"
+    STORE_LINK_RESET = "an instance's link to the store closes connections"
+    STORE_LINK_SILENCE = "an instance's link to the store carries no data"
+    STORE_LINK_ONE_WAY = "an instance's link to the store carries no responses"
+    STORE_BUSY = "the store rejects all requests"
+    STORE_SILENT = "the store does not respond"
+    STORE_RESET = "the store closes its connections"
+    STORE_FORGETS = "the store discards its change history"
+    STORE_OLD_READ = "the store returns an older configuration for a while"
+    STORE_LOSES = "the store drops its pending watches"
+    WORKER_LINK_DELAY = "a worker's link delays data"
+    WORKER_LINK_RESET = "a worker's link closes connections"
+    WORKER_LINK_SILENCE = "a worker's link carries no data"
+    WORKER_LINK_ONE_WAY = "a worker's link carries no responses"
+    WORKER_FAULTS = "a worker fails or sends a wrong response a few times"
+    WORKER_CRASH = "a worker crashes and another one starts at its address"
+    WORKER_DRAIN = "a worker is replaced, and drains before it exits"
     CONFIGURATION = "a route moves to another service"
-    KEY = "a key is taken away while connections are open, and another one given"
-    LIMIT = "an organisation's limit changes"
-    WORKER_WORD = "a worker that leaves says so in its answers alone"
-    WORKER_REST = "a worker turns everything away and asks for a rest"
-    WORKER_LIMIT = "a worker names the calls a second that it takes of all instances"
-    STORE_RESTORE = "the store is away, and comes back from a copy that is some seconds old"
-    UPGRADE = "all instances are replaced in turn by instances of the other build"
-    CRASHING_REQUEST = "a request that crashes each worker which runs it comes again and again"
+    KEY = "an API key is replaced by another one while connections are open"
+    LIMIT = "the rate limit of an organisation changes"
+    WORKER_WORD = "a worker announces its shutdown in response headers only"
+    WORKER_REST = "a worker rejects all requests and requests a backoff"
+    WORKER_LIMIT = "a worker announces its rate limit over all instances"
+    STORE_RESTORE = "the store is unavailable and is then restored from a copy that is seconds old"
+    UPGRADE = "all instances are replaced in turn by instances of the other build version"
+    CRASHING_REQUEST = "a request that crashes every worker that runs it is sent repeatedly"
 
 
-# Planned work alone: nothing of it may cut a request off.
+# Planned operations only; none of them may interrupt a request.
 STOP_KINDS = (
     FaultKind.INSTANCE_STOP,
     FaultKind.INSTANCE_ROLL,
@@ -74,15 +76,15 @@
     FaultKind.CONFIGURATION,
 )
 
-
-# What needs organisations in a run.
+# Kinds that need a run with organisations.
 ORGANISATION_KINDS = (FaultKind.KEY, FaultKind.LIMIT)
 
-# What workers say of themselves in answers, while the store is away, comes back older, and
-# instances are stopped, killed and paused.
-WORD_KINDS = (FaultKind.WORKER_WORD, FaultKind.WORKER_REST)
+# Notices that workers send in response headers.
+NOTICE_KINDS = (FaultKind.WORKER_WORD, FaultKind.WORKER_REST)
+# These notices, combined with an unavailable or restored store and with instances that are stopped,
+# killed and paused.
 RESTORE_KINDS = (
-    *WORD_KINDS,
+    *NOTICE_KINDS,
     FaultKind.STORE_RESTORE,
     FaultKind.STORE_SILENT,
     FaultKind.WORKER_DRAIN,
@@ -93,7 +95,8 @@
     FaultKind.INSTANCE_KILL,
     FaultKind.INSTANCE_PAUSE,
 )
-# Limits that workers name, while instances are stopped, killed, paused and cut off.
+# Rate limits that workers announce, combined with instances that are stopped, killed, paused and
+# disconnected from the store.
 WORKER_LIMIT_KINDS = (
     FaultKind.WORKER_LIMIT,
     FaultKind.WORKER_FAULTS,
@@ -106,8 +109,9 @@
     FaultKind.INSTANCE_PAUSE,
     FaultKind.INSTANCE_RELOAD,
 )
-# Clocks that move, while instances lead, are stopped, killed, paused and cut off.
 CLOCK_KINDS = (FaultKind.INSTANCE_SUSPEND, FaultKind.INSTANCE_CLOCK)
+# Clock changes, combined with instances that lead and are stopped, killed, paused and disconnected
+# from the store.
 MOVING_CLOCK_KINDS = (
     *CLOCK_KINDS,
     FaultKind.INSTANCE_STOP,
@@ -121,8 +125,8 @@
     FaultKind.WORKER_FAULTS,
     FaultKind.CONFIGURATION,
 )
-# What happens beside two builds of the program.
-MIXED_KINDS = (
+# Faults for runs in which instances run two different builds of the program.
+MIXED_BUILD_KINDS = (
     FaultKind.INSTANCE_KILL,
     FaultKind.INSTANCE_PAUSE,
     FaultKind.STORE_SILENT,
@@ -137,7 +141,8 @@
     FaultKind.CRASHING_REQUEST,
 )
 
-# Requests that crash workers, while instances are killed, suspended, stopped and cut off.
+# Requests that crash workers, combined with instances that are killed, paused, stopped and
+# disconnected from the store.
 CRASH_KINDS = (
     FaultKind.CRASHING_REQUEST,
     FaultKind.INSTANCE_KILL,
@@ -145,59 +150,62 @@
     FaultKind.INSTANCE_STOP,
     FaultKind.STORE_LINK_SILENCE,
 )
-# The plans of seeds that are kept stay what they were.
-_SPECIAL_KINDS = (
+# Kinds that a run has to name. Adding one to the default kinds would change the schedules of the
+# recorded seeds.
+_OPT_IN_KINDS = (
     *ORGANISATION_KINDS,
-    *WORD_KINDS,
+    *NOTICE_KINDS,
     *CLOCK_KINDS,
     FaultKind.WORKER_LIMIT,
     FaultKind.STORE_RESTORE,
     FaultKind.UPGRADE,
     FaultKind.CRASHING_REQUEST,
 )
-_USUAL_KINDS = tuple(kind for kind in FaultKind if kind not in _SPECIAL_KINDS)
+_DEFAULT_KINDS = tuple(kind for kind in FaultKind if kind not in _OPT_IN_KINDS)
 
 
 class PlannedFault(NamedTuple):
-    """One fault.
+    """One scheduled fault.
 
     Attributes:
-        at_s: When it strikes, in seconds from the start of traffic.
-        for_s: How long it lasts, where that fits.
-        kind: What it is.
-        target: Picks whom it strikes, among those that there are then.
+        at_s: Start time, in seconds from the start of the traffic.
+        duration_s: Duration in seconds, for the kinds that have one.
+        kind: Kind of the fault.
+        target: Number that selects the target among those present at the start time, modulo
+            their count.
     """
 
     at_s: float
-    for_s: float
+    duration_s: float
     kind: FaultKind
     target: int
 
 
 def plan_faults(
-    seed: int, seconds: float, rate: float, kinds: tuple[FaultKind, ...] = ()
+    seed: int, traffic_s: float, faults_per_s: float, kinds: tuple[FaultKind, ...] = ()
 ) -> list[PlannedFault]:
-    """Plan the faults of a run.
+    """Generate the faults of a run, in the order of their start times.
 
     Args:
-        seed: Decides everything.
-        seconds: Length of the traffic.
-        rate: Faults a second; they overlap, and a part comes in series.
-        kinds: Kinds of faults; all that need no organisations if empty.
+        seed: Seed of the random generator.
+        traffic_s: Duration of the traffic in seconds.
+        faults_per_s: Average number of faults per second; faults overlap, and some are repeated
+            as a series.
+        kinds: Kinds to choose from; if empty, the default kinds.
     """
     rng = random.Random(seed)
     faults: list[PlannedFault] = []
-    at_s = _FIRST_S
-    kinds = kinds or _USUAL_KINDS
-    last = seconds - _LONGEST_S
-    while at_s < last:
+    at_s = _FIRST_FAULT_AT_S
+    kinds = kinds or _DEFAULT_KINDS
+    last_start_s = traffic_s - _MAX_DURATION_S
+    while at_s < last_start_s:
         kind = rng.choice(kinds)
         target = rng.randrange(1000)
-        repeats = 3 if rng.random() < _SERIES else 1
-        for number in range(repeats):
-            for_s = rng.uniform(_SHORTEST_S, _LONGEST_S)
+        series_length = 3 if rng.random() < _SERIES_PROBABILITY else 1
+        for number in range(series_length):
+            duration_s = rng.uniform(_MIN_DURATION_S, _MAX_DURATION_S)
             start_s = at_s + 0.6 * number
-            if start_s < last:
-                faults.append(PlannedFault(start_s, for_s, kind, target + number))
-        at_s += rng.expovariate(rate / 1.6)
+            if start_s < last_start_s:
+                faults.append(PlannedFault(start_s, duration_s, kind, target + number))
+        at_s += rng.expovariate(faults_per_s / 1.6)
     return sorted(faults)
--- a/soak/processes.py
+++ b/soak/processes.py
@@ -1,4 +1,4 @@
-"""Instances of the program as processes, each at a loopback address of its own."""
+"""Instances of the program as processes, each with its own loopback address."""
 
 import os
 import signal
@@ -13,37 +13,37 @@
 from standins.relay.client import Caller
 from standins.relay.settings import Ports, write_instance_settings
 
-__all__ = ["InstanceProcess", "free_ports", "instance_ip"]
+__all__ = ["InstanceProcess", "find_free_ports", "instance_ip"]
 
-_START_S = 20.0
-_POLL_S = 0.05
+_READY_TIMEOUT_S = 20.0
+_POLL_INTERVAL_S = 0.05
 
 
 def instance_ip(number: int) -> str:
-    """Give the IP number of an instance, by its number from 1."""
+    """Return the IP address of the instance with a number, from 1."""
     return f"127.0.0.{number + 1}"
 
 
-def free_ports(instances: int) -> Ports:
-    """Find ports that are free at the IP number of every instance, for TCP and UDP."""
-    hosts = [instance_ip(number + 1) for number in range(instances)]
+def find_free_ports(instance_count: int) -> Ports:
+    """Find ports that are free at the IP addresses of all instances, for TCP and UDP."""
+    hosts = [instance_ip(number + 1) for number in range(instance_count)]
     return Ports(*(free_port(hosts) for _ in Ports._fields))
 
 
-def _answers_reload(pid: int) -> bool:
-    """Tell whether a process ignores or handles SIGHUP."""
+def _handles_sighup(pid: int) -> bool:
+    """Check whether a process ignores or handles SIGHUP."""
     try:
         lines = Path(f"/proc/{pid}/status").read_text().splitlines()
     except OSError:
-        # It is gone.
+        # The process has exited.
         return False
     fields = dict(line.split(":", 1) for line in lines)
-    answered = int(fields["SigIgn"], 16) | int(fields["SigCgt"], 16)
-    return bool(answered >> (signal.SIGHUP - 1) & 1)
+    handled_signals = int(fields["SigIgn"], 16) | int(fields["SigCgt"], 16)
+    return bool(handled_signals >> (signal.SIGHUP - 1) & 1)
 
 
 class InstanceProcess:
-    """One instance, through the lives of its process."""
+    """One instance, whose process can be restarted."""
 
     def __init__(
         self,
@@ -51,58 +51,58 @@
         ports: Ports,
         seeds: tuple[str, ...],
         folder: Path,
-        without: str,
+        ablation: str,
         *,
-        moves_clocks: bool = False,
+        shifts_clocks: bool = False,
     ) -> None:
-        """Prepare an instance.
+        """Create an instance without starting it.
 
         Args:
-            number: Its number, from 1.
-            ports: Ports, alike for all instances.
-            seeds: IP numbers of those that it asks first.
-            folder: Where its settings and its output go.
-            without: A mechanism that is switched off in it; empty for none.
-            moves_clocks: Whether its clocks are to be set on.
+            number: Number of the instance, from 1.
+            ports: Ports, the same for all instances.
+            seeds: IP addresses of the peers that it contacts first.
+            folder: Folder for its settings and log.
+            ablation: Mechanism that is disabled in it; empty for none.
+            shifts_clocks: Whether faults can shift its clocks.
         """
         self.number = number
         self.life = 0
         self.ports = ports
         self.ip = instance_ip(number)
-        self.output = folder / f"n{number}.log"
-        # Sources of the build that it runs from its next start on; None for this one.
-        self.tree: Path | None = None
-        # Whether the process that runs is of an earlier build.
+        self.log_path = folder / f"n{number}.log"
+        # Sources of the build to run from the next start; None for this build.
+        self.source_folder: Path | None = None
+        # Whether the current process runs an earlier build.
         self.is_earlier_build = False
         self._seeds = seeds
-        self._settings = folder / f"n{number}.toml"
+        self._settings_path = folder / f"n{number}.toml"
         self._offsets = ClockOffsets()
-        self._clocks = folder / f"n{number}.clocks"
-        write_offsets(self._clocks, self._offsets)
-        module = ["cleatlink.scripts.main"]
-        if without:
-            module = ["soak.broken", without]
-        elif moves_clocks:
-            module = ["soak.clocked", str(self._clocks)]
-        self._command = [sys.executable, "-m", *module, "entry"]
-        self._command += ["--settings-file", str(self._settings)]
+        self._offsets_path = folder / f"n{number}.clocks"
+        write_offsets(self._offsets_path, self._offsets)
+        module_arguments = ["cleatlink.scripts.main"]
+        if ablation:
+            module_arguments = ["soak.broken", ablation]
+        elif shifts_clocks:
+            module_arguments = ["soak.clocked", str(self._offsets_path)]
+        self._command = [sys.executable, "-m", *module_arguments, "entry"]
+        self._command += ["--settings-file", str(self._settings_path)]
         self._command += ["--metrics-listen", f"{self.ip}:{ports.metrics}"]
         self._process: subprocess.Popen[bytes] | None = None
 
     @property
     def name(self) -> str:
-        """How histories call it."""
+        """Name of the instance in the history of a run."""
         return f"instance {self.number}"
 
     @property
     def front(self) -> str:
-        """Where callers reach it."""
+        """Address for callers."""
         return f"{self.ip}:{self.ports.front}"
 
     def write_settings(self, store: str, retry_allowance: int = 50) -> None:
-        """Write its settings file."""
+        """Write the settings file."""
         write_instance_settings(
-            self._settings,
+            self._settings_path,
             self.ports,
             store,
             name=f"n{self.number}",
@@ -112,66 +112,71 @@
             retry_allowance=retry_allowance,
         )
 
-    def break_settings(self) -> None:
-        """Leave a settings file that can't be used, as one that is being written."""
-        self._settings.write_text("node = ")
+    def write_invalid_settings(self) -> None:
+        """Write an incomplete settings file, as during a write that is not atomic."""
+        self._settings_path.write_text("node = ")
 
     def start(self) -> None:
-        """Start a process."""
+        """Start a new process."""
         self.life += 1
         environment = None
-        self.is_earlier_build = self.tree is not None
-        if self.tree is not None:
-            environment = {**os.environ, "PYTHONPATH": str(self.tree)}
-        with self.output.open("ab") as output:
+        self.is_earlier_build = self.source_folder is not None
+        if self.source_folder is not None:
+            environment = {**os.environ, "PYTHONPATH": str(self.source_folder)}
+        with self.log_path.open("ab") as log_file:
             self._process = subprocess.Popen(
-                self._command, stdout=output, stderr=output, cwd=self.tree, env=environment
+                self._command,
+                stdout=log_file,
+                stderr=log_file,
+                cwd=self.source_folder,
+                env=environment,
             )
 
-    def move_clocks(self, steady_s: float, wall_s: float) -> None:
-        """Set its clocks on, or the time of day back.
+    def shift_clocks(self, suspended_s: float, step_s: float) -> None:
+        """Shift the clocks of the instance.
 
         Args:
-            steady_s: Seconds for which its machine seems to have been suspended.
-            wall_s: Seconds by which its time of day steps.
+            suspended_s: Seconds by which the monotonic clock advances, as if the machine had been
+                suspended.
+            step_s: Seconds by which the wall clock jumps; may be negative.
         """
         before = self._offsets
-        self._offsets = ClockOffsets(before.steady + steady_s, before.wall + wall_s)
-        write_offsets(self._clocks, self._offsets)
+        self._offsets = ClockOffsets(before.monotonic_s + suspended_s, before.wall_s + step_s)
+        write_offsets(self._offsets_path, self._offsets)
 
     def exit_code(self) -> int | None:
-        """Give the exit code; None while the process runs."""
+        """Return the exit code; None while the process runs."""
         return self._process.poll() if self._process is not None else None
 
-    def send(self, number: signal.Signals) -> None:
-        """Send the process a signal, if it runs."""
+    def send_signal(self, number: signal.Signals) -> None:
+        """Send a signal to the process if it runs."""
         if self._process is not None and self._process.poll() is None:
             self._process.send_signal(number)
 
     def stop(self) -> None:
-        """Have it stop as planned."""
-        self.send(signal.SIGTERM)
+        """Start a graceful stop."""
+        self.send_signal(signal.SIGTERM)
 
     def reload(self) -> None:
-        """Send SIGHUP, once the program's own code runs.
+        """Send SIGHUP if the process handles it.
 
-        In the first milliseconds of a process the kernel alone answers its signals, and ends it.
+        In the first milliseconds of a process no handler is installed, and SIGHUP ends it.
         """
-        if self._process is not None and _answers_reload(self._process.pid):
-            self.send(signal.SIGHUP)
+        if self._process is not None and _handles_sighup(self._process.pid):
+            self.send_signal(signal.SIGHUP)
 
-    async def wait(self, within_s: float) -> int | None:
-        """Wait for the end; None if it did not come in time."""
-        with trio.move_on_after(within_s):
+    async def wait_for_exit(self, timeout_s: float) -> int | None:
+        """Wait until the process exits; return its exit code, or None after the timeout."""
+        with trio.move_on_after(timeout_s):
             while self.exit_code() is None:
-                await trio.sleep(_POLL_S)
+                await trio.sleep(_POLL_INTERVAL_S)
         return self.exit_code()
 
     async def wait_ready(self) -> bool:
-        """Wait until it takes callers; tells whether it does."""
-        with trio.move_on_after(_START_S):
+        """Wait until the instance is ready; return False after the timeout."""
+        with trio.move_on_after(_READY_TIMEOUT_S):
             while not await self._is_ready():
-                await trio.sleep(_POLL_S)
+                await trio.sleep(_POLL_INTERVAL_S)
             return True
         return False
 
@@ -184,8 +189,8 @@
         finally:
             caller.close()
 
-    def end(self) -> None:
-        """Kill the process, whatever it does."""
+    def kill(self) -> None:
+        """Kill the process, also if it is paused."""
         if self._process is not None and self._process.poll() is None:
             self._process.send_signal(signal.SIGCONT)
             self._process.kill()
--- a/soak/run.py
+++ b/soak/run.py
@@ -1,4 +1,4 @@
-"""One run: a fleet, its traffic and its faults, and the history that they leave."""
+"""One soak run: starts a fleet, sends traffic, injects faults and checks the history."""
 
 import tempfile
 from collections import Counter
@@ -14,34 +14,34 @@
 from soak.plan import CLOCK_KINDS, FaultKind, PlannedFault, plan_faults
 from soak.processes import InstanceProcess
 from soak.records import History
-from soak.strike import Striker
+from soak.strike import FaultInjector
 from soak.traffic import Traffic
 from standins.relay.client import Caller
 
 __all__ = ["RunResult", "RunSettings", "run_soak"]
 
-_ALLOWANCE = 50.0
-_HEAL_S = 4.0
-_TRIES = 20
-_LAST_LINES = 12
-_FIRST_UPGRADE_S = 2.0
+_MAX_RETRY_ALLOWANCE = 50.0
+_RECOVERY_S = 4.0
+_MAX_SERVE_ATTEMPTS = 20
+_LAST_LOG_LINES = 12
+_FIRST_UPGRADE_AT_S = 2.0
 
 
 class RunSettings(NamedTuple):
-    """What a run is made of.
+    """Settings of a run.
 
     Attributes:
-        seed: Decides the faults and what callers do.
-        seconds: Length of the traffic with faults.
-        instances: Processes of the program.
-        callers: Connections of callers at a time.
-        rate: Faults a second.
-        without: A mechanism that is switched off in the program; empty for none.
-        kinds: Kinds of faults; all that need no organisations if empty.
-        prefills: How many of the five engines begin as prefills.
-        organisations: Whether callers have keys of organisations, one of them over its limit.
-        older: A commit: instances begin as its build, are replaced in turn by this one, and
-            back again; empty for this build alone.
+        seed: Seed of the faults and of the callers' choices.
+        seconds: Duration of the traffic with faults, in seconds.
+        instances: Number of instances, each a process.
+        callers: Number of concurrent callers, each with one connection at a time.
+        rate: Faults per second.
+        without: Mechanism that is disabled in the instances; empty for none.
+        kinds: Kinds of faults; if empty, the default kinds.
+        prefill_count: Number of engines that start in the prefill role, of five.
+        organisations: Whether callers use keys of organisations, one of them over its limit.
+        older: Commit of an earlier build. The instances start with it, are upgraded to this build
+            in turn, and are downgraded again. Empty to run only this build.
     """
 
     seed: int
@@ -51,84 +51,87 @@
     rate: float = 1.2
     without: str = ""
     kinds: tuple[FaultKind, ...] = ()
-    prefills: int = 2
+    prefill_count: int = 2
     organisations: bool = False
     older: str = ""
 
 
 class RunResult(NamedTuple):
-    """What a run came to.
+    """Result of a run.
 
     Attributes:
-        settings: What it was made of.
-        violations: Promises that did not hold.
-        requests: How many requests callers made, by kind and status.
-        faults: Faults that were done, in order.
-        story: Log lines of the requests that a violation names.
+        settings: Settings of the run.
+        violations: Violations that the checks found.
+        request_counts: Number of requests, by kind and status.
+        faults: Injected faults, in the order in which they ended.
+        log_excerpt: If there are violations, log lines of the instances: those of the requests
+            involved, those of starts and stops, and the last ones.
     """
 
     settings: RunSettings
     violations: list[Violation]
-    requests: Counter[str]
+    request_counts: Counter[str]
     faults: list[PlannedFault]
-    story: list[str]
+    log_excerpt: list[str]
 
 
 async def run_soak(settings: RunSettings) -> RunResult:
-    """Run a fleet under the faults of a seed, and judge it."""
+    """Run a fleet under random faults, and check the history."""
     with tempfile.TemporaryDirectory(prefix="soak-") as name:
         folder = Path(name)
         async with trio.open_nursery() as nursery:
             organisations = SoakOrganisations(settings.seed) if settings.organisations else None
-            older = extract_build(settings.older, folder) if settings.older else None
+            earlier_build_folder = extract_build(settings.older, folder) if settings.older else None
             fleet = SoakFleet(
                 nursery,
                 folder,
                 settings.instances,
                 settings.without,
                 organisations=organisations,
-                older=older,
-                moves_clocks=bool(set(settings.kinds) & set(CLOCK_KINDS)),
+                earlier_build_folder=earlier_build_folder,
+                shifts_clocks=bool(set(settings.kinds) & set(CLOCK_KINDS)),
             )
             try:
-                await fleet.start(settings.prefills)
+                await fleet.start(settings.prefill_count)
                 traffic = Traffic(fleet, settings.seed)
-                striker = Striker(fleet, settings.seed)
-                await _run_traffic(settings, traffic, striker)
-                history = await _close_history(settings, fleet, traffic)
+                injector = FaultInjector(fleet, settings.seed)
+                await _run_traffic(settings, traffic, injector)
+                history = await _build_history(settings, fleet, traffic)
             finally:
                 fleet.close()
                 nursery.cancel_scope.cancel()
         violations = judge(history)
-        story = _tell_story(folder, violations)
-    counts = Counter(f"{request.kind} {request.status}" for request in history.requests)
-    return RunResult(settings, violations, counts, striker.done, story)
+        log_excerpt = _collect_log_excerpt(folder, violations)
+    request_counts = Counter(f"{request.kind} {request.status}" for request in history.requests)
+    return RunResult(settings, violations, request_counts, injector.injected, log_excerpt)
 
 
-async def _run_traffic(settings: RunSettings, traffic: Traffic, striker: Striker) -> None:
+async def _run_traffic(settings: RunSettings, traffic: Traffic, injector: FaultInjector) -> None:
     faults = plan_faults(settings.seed, settings.seconds, settings.rate, settings.kinds)
     if settings.older:
         faults = sorted([*faults, *_plan_upgrades(settings)])
     async with trio.open_nursery() as nursery:
         nursery.start_soon(traffic.run, settings.callers)
-        async with trio.open_nursery() as both:
-            both.start_soon(striker.run, faults)
-            both.start_soon(trio.sleep, settings.seconds)
-        await trio.sleep(_HEAL_S)
+        async with trio.open_nursery() as fault_nursery:
+            fault_nursery.start_soon(injector.run, faults)
+            fault_nursery.start_soon(trio.sleep, settings.seconds)
+        await trio.sleep(_RECOVERY_S)
         traffic.stop()
 
 
 def _plan_upgrades(settings: RunSettings) -> list[PlannedFault]:
-    """Plan the way to this build, and back."""
-    there_s = _FIRST_UPGRADE_S
-    back_s = there_s + (settings.seconds - there_s) / 2
-    return [PlannedFault(at_s, 0.0, FaultKind.UPGRADE, 0) for at_s in (there_s, back_s)]
+    """Schedule the upgrade to this build and the later downgrade."""
+    upgrade_at_s = _FIRST_UPGRADE_AT_S
+    downgrade_at_s = upgrade_at_s + (settings.seconds - upgrade_at_s) / 2
+    return [
+        PlannedFault(at_s, 0.0, FaultKind.UPGRADE, 0) for at_s in (upgrade_at_s, downgrade_at_s)
+    ]
 
 
-async def _close_history(settings: RunSettings, fleet: SoakFleet, traffic: Traffic) -> History:
+async def _build_history(settings: RunSettings, fleet: SoakFleet, traffic: Traffic) -> History:
     unserved = [item.number for item in fleet.instances if not await _serves(item)]
-    ended = [item for item in fleet.instances if item.exit_code() is not None]
-    exits = [*fleet.exits, *(f"{item.name} ended by itself" for item in ended)]
+    exited = [item for item in fleet.instances if item.exit_code() is not None]
+    exits = [*fleet.process_failures, *(f"{item.name} exited unexpectedly" for item in exited)]
     workers = fleet.workers
     return History(
         requests=traffic.requests,
@@ -136,19 +139,19 @@
         runs=[run for worker in workers for run in worker.worker_runs()],
         orders=[order for worker in workers for order in worker.ordered],
         withdrawals=fleet.withdrawals,
-        switches=fleet.switches,
+        switches=fleet.route_moves,
         stops=fleet.stops,
-        spells=fleet.spells,
+        spells=fleet.disturbances,
         exits=exits,
         unserved=unserved,
-        budget=_ALLOWANCE,
+        budget=_MAX_RETRY_ALLOWANCE,
         ended_at=trio.current_time(),
         keys=tuple(fleet.organisations.keys) if fleet.organisations is not None else (),
         limits=tuple(fleet.organisations.limits) if fleet.organisations is not None else (),
         crashes=tuple(run for worker in workers for run in worker.crashing_runs()),
-        words=tuple(fleet.words),
-        rests=tuple(fleet.rests),
-        named_limits=tuple(fleet.named_limits),
+        words=tuple(fleet.leaving_notices),
+        rests=tuple(fleet.backoffs),
+        named_limits=tuple(fleet.announced_limits),
         store_calls=fleet.platform.store.calls,
         instances=len(fleet.instances),
         seconds=settings.seconds,
@@ -156,13 +159,13 @@
 
 
 async def _serves(instance: InstanceProcess) -> bool:
-    """Tell whether an instance serves a call of an old route and of the newest, in a few tries."""
+    """Check that an instance serves an original route and the last moved one, with retries."""
     return await _serves_path(instance, "/safe/x") and await _serves_path(instance, "/switch/x")
 
 
 async def _serves_path(instance: InstanceProcess, path: str) -> bool:
     headers = {"Authorization": "Bearer steady-0"}
-    for _ in range(_TRIES):
+    for _ in range(_MAX_SERVE_ATTEMPTS):
         caller = Caller(instance.front)
         try:
             with trio.move_on_after(1.0):
@@ -176,15 +179,17 @@
     return False
 
 
-def _tell_story(folder: Path, violations: list[Violation]) -> list[str]:
-    """Give what the instances logged of the requests in question, and their last lines."""
-    names = {name for violation in violations for name in violation.requests}
-    marks = [f'"request":"{name}"' for name in names]
-    story: list[str] = []
+def _collect_log_excerpt(folder: Path, violations: list[Violation]) -> list[str]:
+    """Return log lines of the requests in violations, of starts and stops, and the last ones."""
+    request_ids = {request_id for violation in violations for request_id in violation.requests}
+    request_marks = [f'"request":"{request_id}"' for request_id in request_ids]
+    log_excerpt: list[str] = []
     for file in sorted(folder.glob("*.log")) if violations else ():
         lines = file.read_text("utf-8", "replace").splitlines()
-        found = [line for line in lines if any(mark in line for mark in marks)]
-        lives = [line for line in lines if '"message_type":"instance: ' in line]
-        beliefs = [line for line in lines if '"request"' not in line][-_LAST_LINES:]
-        story += [f"{file.stem} {line}" for line in (*found, *lives, *beliefs)]
-    return story
+        request_lines = [line for line in lines if any(mark in line for mark in request_marks)]
+        lifecycle_lines = [line for line in lines if '"message_type":"instance: ' in line]
+        last_lines = [line for line in lines if '"request"' not in line][-_LAST_LOG_LINES:]
+        log_excerpt += [
+            f"{file.stem} {line}" for line in (*request_lines, *lifecycle_lines, *last_lines)
+        ]
+    return log_excerpt
--- a/soak/soak_test.py
+++ b/soak/soak_test.py
@@ -1,4 +1,4 @@
-"""The soak itself: its plan, its links, a short run, and each check on a broken program."""
+"""Tests of the soak test: fault schedule, links, short runs, disabled mechanisms."""
 
 import contextlib
 
@@ -11,11 +11,11 @@
 from soak.plan import (
     CLOCK_KINDS,
     CRASH_KINDS,
-    MIXED_KINDS,
+    MIXED_BUILD_KINDS,
     MOVING_CLOCK_KINDS,
+    NOTICE_KINDS,
     ORGANISATION_KINDS,
     RESTORE_KINDS,
-    WORD_KINDS,
     WORKER_LIMIT_KINDS,
     FaultKind,
     plan_faults,
@@ -26,29 +26,29 @@
 from standins.relay.client import Caller
 
 CI_SEED = 7
-# On a busy machine a seed's faults may meet few requests.
-MOST_SEEDS = 5
+# On a busy machine, the faults of one seed may affect too few requests to be detected.
+MAX_SEEDS = 5
 
 
-def test_plan_follows_from_its_seed_and_overlaps() -> None:
+def test_schedule_depends_on_seed_alone_and_has_overlapping_faults() -> None:
     plans = [plan_faults(seed, 30.0, 2.0) for seed in (1, 1, 2)]
     assert plans[0] == plans[1] != plans[2]
-    usual = {fault.kind for seed in range(40) for fault in plan_faults(seed, 30.0, 2.0)}
-    special = {
+    default_kinds = {fault.kind for seed in range(40) for fault in plan_faults(seed, 30.0, 2.0)}
+    opt_in_kinds = {
         *ORGANISATION_KINDS,
-        *WORD_KINDS,
+        *NOTICE_KINDS,
         *CLOCK_KINDS,
         FaultKind.WORKER_LIMIT,
         FaultKind.STORE_RESTORE,
         FaultKind.UPGRADE,
         FaultKind.CRASHING_REQUEST,
     }
-    assert usual == set(FaultKind) - special
+    assert default_kinds == set(FaultKind) - opt_in_kinds
     kinds = tuple(FaultKind)
-    every = {fault.kind for seed in range(40) for fault in plan_faults(seed, 30.0, 2.0, kinds)}
-    assert every == set(FaultKind)
+    all_kinds = {fault.kind for seed in range(40) for fault in plan_faults(seed, 30.0, 2.0, kinds)}
+    assert all_kinds == set(FaultKind)
     assert any(
-        later.at_s < fault.at_s + fault.for_s
+        later.at_s < fault.at_s + fault.duration_s
         for fault, later in zip(plans[0], plans[0][1:], strict=False)
     )
     assert {fault.kind for fault in plan_faults(1, 30.0, 2.0, (FaultKind.STORE_BUSY,))} == {
@@ -57,7 +57,7 @@
 
 
 @pytest.mark.parametrize("fault", list(LinkFault))
-async def test_link_does_what_its_fault_says_and_heals(fault: LinkFault) -> None:
+async def test_link_injects_each_fault_and_recovers(fault: LinkFault) -> None:
     async with trio.open_nursery() as nursery:
         worker = Worker("plain")
         await worker.start(nursery)
@@ -91,35 +91,35 @@
 
 
 @pytest.mark.alone
-async def test_short_run_holds_every_promise() -> None:
+async def test_short_run_has_no_violations() -> None:
     result = await run_soak(RunSettings(CI_SEED, seconds=10.0, instances=3, rate=2.0))
     assert result.violations == []
     assert len(result.faults) > 5
-    assert sum(result.requests.values()) > 200
+    assert sum(result.request_counts.values()) > 200
 
 
 @pytest.mark.alone
-async def test_short_run_with_organisations_holds_every_promise() -> None:
+async def test_short_run_with_organisations_has_no_violations() -> None:
     settings = RunSettings(CI_SEED, seconds=14.0, instances=3, rate=2.0, organisations=True)
     result = await run_soak(settings._replace(kinds=tuple(FaultKind)))
     assert result.violations == []
     assert len(result.faults) > 5
-    assert sum(count for what, count in result.requests.items() if what.endswith(" 429")) > 20
+    assert sum(count for key, count in result.request_counts.items() if key.endswith(" 429")) > 20
 
 
 @pytest.mark.alone
-async def test_stops_in_series_cut_off_nothing() -> None:
+async def test_consecutive_stops_interrupt_no_request() -> None:
     result = await run_soak(STOPS_IN_SERIES._replace(seed=CI_SEED))
     assert result.violations == []
-    # Which kind stops an instance that two of them want depends on the moment.
+    # If faults of two kinds select the same instance, timing decides which one is injected.
     stops = {FaultKind.INSTANCE_STOP, FaultKind.INSTANCE_ROLL, FaultKind.INSTANCE_SIGNALS}
     assert sum(fault.kind in stops for fault in result.faults) > 5
     assert any(fault.kind is FaultKind.INSTANCE_ROLL for fault in result.faults)
-    assert result.requests["stream 200"] > 50
+    assert result.request_counts["stream 200"] > 50
 
 
 @pytest.mark.alone
-async def test_requests_that_crash_workers_stop_whatever_else_happens() -> None:
+async def test_crashing_requests_are_quarantined_under_other_faults() -> None:
     settings = RunSettings(CI_SEED, seconds=20.0, instances=3, rate=1.0, kinds=CRASH_KINDS)
     result = await run_soak(settings)
     assert result.violations == []
@@ -129,17 +129,17 @@
 
 
 @pytest.mark.alone
-async def test_store_that_comes_back_older_and_words_of_workers_break_nothing() -> None:
+async def test_restored_store_and_worker_notices_cause_no_violations() -> None:
     settings = RunSettings(CI_SEED, seconds=25.0, instances=3, rate=1.2, kinds=RESTORE_KINDS)
     result = await run_soak(settings._replace(organisations=True))
     assert result.violations == []
     kinds = {fault.kind for fault in result.faults}
     assert FaultKind.STORE_RESTORE in kinds
-    assert kinds & set(WORD_KINDS)
+    assert kinds & set(NOTICE_KINDS)
 
 
 @pytest.mark.alone
-async def test_limits_that_workers_name_hold_whatever_else_happens() -> None:
+async def test_limits_announced_by_workers_hold_under_other_faults() -> None:
     settings = RunSettings(
         CI_SEED, seconds=20.0, instances=4, callers=12, rate=0.8, kinds=WORKER_LIMIT_KINDS
     )
@@ -151,9 +151,9 @@
 
 
 @pytest.mark.alone
-async def test_clocks_that_move_break_nothing() -> None:
+async def test_shifted_clocks_cause_no_violations() -> None:
     settings = RunSettings(
-        CI_SEED, seconds=20.0, instances=3, rate=1.2, kinds=MOVING_CLOCK_KINDS, prefills=0
+        CI_SEED, seconds=20.0, instances=3, rate=1.2, kinds=MOVING_CLOCK_KINDS, prefill_count=0
     )
     result = await run_soak(settings)
     assert result.violations == []
@@ -164,37 +164,38 @@
 
 @pytest.mark.alone
 async def test_two_builds_side_by_side_hold_every_promise() -> None:
-    settings = RunSettings(CI_SEED, seconds=36.0, instances=3, rate=0.7, kinds=MIXED_KINDS)
+    settings = RunSettings(CI_SEED, seconds=36.0, instances=3, rate=0.7, kinds=MIXED_BUILD_KINDS)
     result = await run_soak(settings._replace(organisations=True, older=LANDED[-1]))
     assert result.violations == []
     upgrades = sum(fault.kind is FaultKind.UPGRADE for fault in result.faults)
     assert upgrades == 2 * settings.instances
 
 
-# What needs organisations comes last, so that the groups of the others stay what they were.
-_OF_ORGANISATIONS = ["key-table", "key-withheld", "shared-limits"]
-_LATER = ["leaving-words", "rests", "eras", "quarantine", "endpoint-limits"]
-_NAMES = sorted(ABLATIONS.keys() - {*_OF_ORGANISATIONS, *_LATER})
+# Ablations that need organisations and the separate ones form their own groups, so that a new one
+# changes no other group.
+_ORGANISATION_ABLATIONS = ["key-table", "key-withheld", "shared-limits"]
+_SEPARATE_ABLATIONS = ["leaving-words", "rests", "eras", "quarantine", "endpoint-limits"]
+_OTHER_ABLATIONS = sorted(ABLATIONS.keys() - {*_ORGANISATION_ABLATIONS, *_SEPARATE_ABLATIONS})
 
 
 @pytest.mark.parametrize(
     "names",
     [
         ["leaving-words", "rests", "eras"],
-        _NAMES[:4],
-        _NAMES[4:8],
-        _NAMES[8:],
-        _OF_ORGANISATIONS[:2],
+        _OTHER_ABLATIONS[:4],
+        _OTHER_ABLATIONS[4:8],
+        _OTHER_ABLATIONS[8:],
+        _ORGANISATION_ABLATIONS[:2],
         ["quarantine"],
         pytest.param(["endpoint-limits"], marks=pytest.mark.alone),
-        pytest.param(_OF_ORGANISATIONS[2:], marks=pytest.mark.alone),
+        pytest.param(_ORGANISATION_ABLATIONS[2:], marks=pytest.mark.alone),
     ],
 )
-async def test_broken_program_is_reported(names: list[str]) -> None:
-    """A few at a time, each on a fleet of its own, by the first seeds that show it."""
+async def test_disabled_mechanism_is_detected(names: list[str]) -> None:
+    """Each ablation runs with its own fleet until a seed detects it; a group runs concurrently."""
     reported: dict[str, set[str]] = {name: set() for name in names}
 
-    async def play(name: str) -> None:
+    async def run_until_reported(name: str) -> None:
         ablation = ABLATIONS[name]
         settings = RunSettings(
             CI_SEED,
@@ -202,18 +203,18 @@
             instances=2,
             rate=3.0,
             without=name,
-            kinds=ablation.kinds,
-            prefills=ablation.prefills,
-            organisations=name in _OF_ORGANISATIONS,
+            kinds=ablation.fault_kinds,
+            prefill_count=ablation.prefill_count,
+            organisations=name in _ORGANISATION_ABLATIONS,
         )
-        for number in range(MOST_SEEDS):
+        for number in range(MAX_SEEDS):
             result = await run_soak(settings._replace(seed=CI_SEED + number))
             reported[name] |= {violation.check for violation in result.violations}
-            if ablation.check in reported[name]:
+            if ablation.expected_check in reported[name]:
                 return
 
     async with trio.open_nursery() as nursery:
         for name in names:
-            nursery.start_soon(play, name)
+            nursery.start_soon(run_until_reported, name)
     for name in names:
-        assert ABLATIONS[name].check in reported[name]
+        assert ABLATIONS[name].expected_check in reported[name]
--- a/soak/strike.py
+++ b/soak/strike.py
@@ -1,4 +1,4 @@
-"""How each planned fault is done and undone."""
+"""Injects the scheduled faults of a run and reverts them."""
 
 import random
 import signal
@@ -16,18 +16,18 @@
 from standins.relay import Fault, StoreMode
 from standins.relay.client import Caller
 
-__all__ = ["Striker"]
-
-_GRACE_S = 5.0
-_RESTART_S = 0.3
-_KEEPS_SERVING_S = 2.4
-# Pauses between the signals of a series, and between the stops of one.
-_SIGNALS_EVERY_S = 0.4
-_ROLL_GAP_S = 0.7
-# Allowances that a reload may bring; the checks go by the largest.
-_ALLOWANCES = (20, 35, 50)
-# Changes that callers check need time to be told apart.
-_BETWEEN_SWITCHES_S = 3.0
+__all__ = ["FaultInjector"]
+
+_EXIT_TIMEOUT_S = 5.0
+_RESTART_DELAY_S = 0.3
+_MIN_DRAIN_S = 2.4
+# Average interval between the signals to a stopping instance, and between stops in turn.
+_SIGNAL_INTERVAL_S = 0.4
+_ROLL_INTERVAL_S = 0.7
+# Retry allowances that a reload chooses from; the retry budget check uses the largest.
+_RETRY_ALLOWANCES = (20, 35, 50)
+# The checks can only tell two route moves apart if there is enough time between them.
+_MIN_ROUTE_MOVE_INTERVAL_S = 3.0
 _WORKER_FAULTS = (
     Fault.FULL,
     Fault.ERROR,
@@ -41,28 +41,30 @@
     Fault.CUT,
 )
 _STREAM_FAULTS = (Fault.FULL, Fault.RESET_BEFORE, Fault.MUTE, Fault.CUT)
-# A store is away so long before it comes back from a copy; its writers write again within the
-# second time, and what nobody renews lapses after the third.
-_AWAY_S = 0.5
-_WRITTEN_AGAIN_S = 1.5
-_LAPSE_S = 2.5
-# Other writers have written so often between the copy and the return, and since.
-_MOST_LOST = 80
-_ELSEWHERE = "elsewhere/x"
-# Shortest and longest rest that a worker asks for.
-_RESTS_S = (1.0, 4.0)
-# Lowest and highest limit that a worker names, in calls a second, and for how long at the least.
-_LIMITS_PER_S = (0.5, 3.0)
-_LIMIT_S = 7.0
-# Seconds by which a machine was suspended beyond its pause, and by which a time of day steps.
-_SUSPENDED_S = (0.5, 30.0)
-_STEPS_S = (1.0, 4000.0)
+# Seconds for which a store is unavailable before it is restored from a copy, then the maximum until
+# its writers write their entries again, then until entries that no writer renews expire.
+_STORE_OUTAGE_S = 0.5
+_MAX_REWRITE_DELAY_S = 1.5
+_STALE_ENTRY_EXPIRY_S = 2.5
+# Limits the number of unrelated writes between the copy and the restore, and after the restore.
+_MAX_UNRELATED_WRITES = 80
+_UNRELATED_KEY = "elsewhere/x"
+# Shortest and longest backoff that a worker requests.
+_BACKOFF_RANGE_S = (1.0, 4.0)
+# Lowest and highest rate limit that a worker announces, in calls per second, and the shortest time
+# for which it announces the limit.
+_LIMIT_RANGE_PER_S = (0.5, 3.0)
+_MIN_LIMIT_DURATION_S = 7.0
+# Seconds by which a suspension appears longer than the pause of the process, and by which a wall
+# clock jumps.
+_EXTRA_SUSPENSION_RANGE_S = (0.5, 30.0)
+_CLOCK_STEP_RANGE_S = (1.0, 4000.0)
 _BUSY_POLL_S = 0.05
-# A request that crashes workers comes so often, for longer than it takes to be held back.
-_CRASHING_TRIES = 20
-_CRASHING_PAUSE_S = 0.4
-_CRASHING_WAIT_S = 3.0
-_CRASHING_PATHS: tuple[tuple[str, dict[str, str]], ...] = (
+# A crashing request is repeated for longer than it takes to be quarantined.
+_CRASHING_REQUEST_COUNT = 20
+_CRASHING_REQUEST_INTERVAL_S = 0.4
+_CRASHING_REQUEST_TIMEOUT_S = 3.0
+_CRASHING_REQUEST_TARGETS: tuple[tuple[str, dict[str, str]], ...] = (
     ("/unsafe/x", {}),
     ("/stream/x", STREAM_HEADERS),
     ("/resume/x", STREAM_HEADERS),
@@ -85,8 +87,9 @@
     FaultKind.WORKER_LINK_ONE_WAY: LinkFault.ONE_WAY,
 }
 
-# What these do excuses nothing, or they note themselves what it excuses.
-_NO_EXCUSE = frozenset(
+# Kinds that are not recorded as disturbances of their target, during which checks are suspended:
+# they must not affect requests, or they record the disturbance themselves.
+_UNRECORDED_KINDS = frozenset(
     {
         FaultKind.CONFIGURATION,
         FaultKind.INSTANCE_RELOAD,
@@ -105,78 +108,89 @@
 )
 
 
-class Striker:
-    """Carries a plan out; a fault whose target is busy with another one is left out."""
+class FaultInjector:
+    """Injects faults; a fault whose target is under another fault is skipped."""
 
     def __init__(self, fleet: SoakFleet, seed: int) -> None:
-        self.done: list[PlannedFault] = []
+        self.injected: list[PlannedFault] = []
         self._fleet = fleet
         self._rng = random.Random(seed)
-        self._busy: set[str] = set()
-        self._switched_at = trio.current_time()
+        self._busy_targets: set[str] = set()
+        self._route_moved_at = trio.current_time()
 
     async def run(self, faults: list[PlannedFault]) -> None:
-        """Strike as planned, from now on, and return when all is healed."""
+        """Inject the faults at their start times, relative to now; return when all are reverted."""
         began_at = trio.current_time()
         async with trio.open_nursery() as nursery:
             for fault in faults:
                 await trio.sleep_until(began_at + fault.at_s)
-                nursery.start_soon(self._strike, fault)
+                nursery.start_soon(self._inject, fault)
 
-    async def _strike(self, fault: PlannedFault) -> None:
+    async def _inject(self, fault: PlannedFault) -> None:
         kind = fault.kind
         if kind in _STORE_MODES:
-            await self._hold("store", fault, self._set_store_mode)
+            await self._inject_exclusively("store", fault, self._set_store_mode)
         elif kind in _STORE_LINK_FAULTS:
             instance = self._pick_instance(fault)
-            await self._hold(instance.name, fault, self._cut_store_link)
+            await self._inject_exclusively(instance.name, fault, self._inject_store_link_fault)
         elif kind in _WORKER_LINK_FAULTS:
-            await self._hold(self._pick_worker(fault).name, fault, self._cut_worker_link)
+            await self._inject_exclusively(
+                self._pick_worker(fault).name, fault, self._inject_worker_link_fault
+            )
         elif kind is FaultKind.INSTANCE_RELOAD:
-            # Whatever else happens to the instance.
+            # A reload may coincide with any other fault of the instance.
             await self._reload_instance(fault)
         elif kind is FaultKind.INSTANCE_ROLL:
             await self._roll_instances(fault)
         elif kind is FaultKind.UPGRADE:
             await self._upgrade_instances(fault)
         elif kind is FaultKind.CRASHING_REQUEST:
-            await self._hold(f"request {fault.target}", fault, self._send_crashing)
-        elif kind in _INSTANCE_FAULTS:
-            await self._hold(self._pick_instance(fault).name, fault, _INSTANCE_FAULTS[kind](self))
-        elif kind in _WORKER_CHANGES:
-            await self._hold(self._pick_worker(fault).name, fault, _WORKER_CHANGES[kind](self))
+            await self._inject_exclusively(
+                f"request {fault.target}", fault, self._send_crashing_requests
+            )
+        elif kind in _INSTANCE_ACTIONS:
+            await self._inject_exclusively(
+                self._pick_instance(fault).name, fault, _INSTANCE_ACTIONS[kind](self)
+            )
+        elif kind in _WORKER_ACTIONS:
+            await self._inject_exclusively(
+                self._pick_worker(fault).name, fault, _WORKER_ACTIONS[kind](self)
+            )
         else:
-            await self._hold("store", fault, self._do_to_store)
+            await self._inject_exclusively("store", fault, self._inject_store_fault)
 
-    async def _hold(
-        self, what: str, fault: PlannedFault, act: Callable[[PlannedFault], Awaitable[None]]
+    async def _inject_exclusively(
+        self,
+        target_name: str,
+        fault: PlannedFault,
+        action: Callable[[PlannedFault], Awaitable[None]],
     ) -> None:
-        """Do something to a target that nothing else is done to, and note the time of it."""
-        if what in self._busy:
+        """Inject a fault unless its target is under another one, and record the disturbance."""
+        if target_name in self._busy_targets:
             return
-        self._busy.add(what)
+        self._busy_targets.add(target_name)
         began_at = trio.current_time()
         try:
-            await act(fault)
-            self.done.append(fault)
+            await action(fault)
+            self.injected.append(fault)
         finally:
-            self._busy.discard(what)
-            if fault.kind not in _NO_EXCUSE:
-                self._fleet.note_spell(what, began_at)
+            self._busy_targets.discard(target_name)
+            if fault.kind not in _UNRECORDED_KINDS:
+                self._fleet.note_disturbance(target_name, began_at)
 
     def _pick_instance(self, fault: PlannedFault) -> InstanceProcess:
         return self._fleet.instances[fault.target % len(self._fleet.instances)]
 
     def _pick_worker(self, fault: PlannedFault) -> SoakWorker:
-        return self._fleet.present[fault.target % len(self._fleet.present)]
+        return self._fleet.active_workers[fault.target % len(self._fleet.active_workers)]
 
     async def _set_store_mode(self, fault: PlannedFault) -> None:
         store = self._fleet.platform.store
         store.mode = _STORE_MODES[fault.kind]
-        await trio.sleep(fault.for_s)
+        await trio.sleep(fault.duration_s)
         store.mode = StoreMode.UP
 
-    async def _do_to_store(self, fault: PlannedFault) -> None:
+    async def _inject_store_fault(self, fault: PlannedFault) -> None:
         store = self._fleet.platform.store
         if fault.kind is FaultKind.STORE_RESTORE:
             await self._restore_store(fault)
@@ -185,32 +199,33 @@
         elif fault.kind is FaultKind.STORE_LOSES:
             store.forget_watches()
         elif fault.kind is FaultKind.STORE_OLD_READ:
-            await self._show_old_configuration(fault)
+            await self._publish_old_configuration(fault)
         elif fault.kind in ORGANISATION_KINDS:
             self._change_organisations(fault)
-        elif trio.current_time() - self._switched_at >= _BETWEEN_SWITCHES_S:
-            self._switched_at = trio.current_time()
-            await self._fleet.move_switch()
+        elif trio.current_time() - self._route_moved_at >= _MIN_ROUTE_MOVE_INTERVAL_S:
+            self._route_moved_at = trio.current_time()
+            await self._fleet.move_route()
 
     async def _restore_store(self, fault: PlannedFault) -> None:
-        """Have the store lose what is written in a while; those who wrote it write it again."""
+        """Restore the store from an older copy; writers then write the lost entries again."""
         store = self._fleet.platform.store
         copy = store.copy()
-        for _ in range(self._rng.randrange(_MOST_LOST)):
-            store.put(_ELSEWHERE, {})
-        await trio.sleep(fault.for_s)
+        for _ in range(self._rng.randrange(_MAX_UNRELATED_WRITES)):
+            store.put(_UNRELATED_KEY, {})
+        await trio.sleep(fault.duration_s)
         store.mode = StoreMode.RESET
         store.forget_watches()
-        await trio.sleep(_AWAY_S)
+        await trio.sleep(_STORE_OUTAGE_S)
         store.restore(copy)
-        # Revisions stay below those that are known, or are past them again.
-        for _ in range(self._rng.randrange(_MOST_LOST)):
-            store.put(_ELSEWHERE, {})
+        # Depending on their number, the revision stays below the one that instances know, or
+        # exceeds it.
+        for _ in range(self._rng.randrange(_MAX_UNRELATED_WRITES)):
+            store.put(_UNRELATED_KEY, {})
         store.mode = StoreMode.UP
-        await trio.sleep(self._rng.uniform(0.0, _WRITTEN_AGAIN_S))
-        self._fleet.write_again()
-        await trio.sleep(_LAPSE_S)
-        self._fleet.let_lapse()
+        await trio.sleep(self._rng.uniform(0.0, _MAX_REWRITE_DELAY_S))
+        self._fleet.rewrite_entries()
+        await trio.sleep(_STALE_ENTRY_EXPIRY_S)
+        self._fleet.expire_stale_entries()
 
     def _change_organisations(self, fault: PlannedFault) -> None:
         organisations = self._fleet.organisations
@@ -222,72 +237,76 @@
             organisations.change_limit()
         self._fleet.publish()
 
-    async def _show_old_configuration(self, fault: PlannedFault) -> None:
+    async def _publish_old_configuration(self, fault: PlannedFault) -> None:
         platform = self._fleet.platform
         if len(platform.published) > 1:
             platform.store.put("op/config", platform.published[-2])
-            await trio.sleep(fault.for_s)
+            await trio.sleep(fault.duration_s)
             platform.store.put("op/config", platform.published[-1])
 
-    async def _cut(self, link: Link, kind: LinkFault, for_s: float) -> None:
+    async def _inject_link_fault(self, link: Link, kind: LinkFault, duration_s: float) -> None:
         link.set_fault(kind)
         try:
-            await trio.sleep(for_s)
+            await trio.sleep(duration_s)
         finally:
             link.set_fault(None)
 
-    async def _cut_store_link(self, fault: PlannedFault) -> None:
+    async def _inject_store_link_fault(self, fault: PlannedFault) -> None:
         number = self._pick_instance(fault).number
         link = self._fleet.store_links[number - 1]
-        await self._cut(link, _STORE_LINK_FAULTS[fault.kind], fault.for_s)
+        await self._inject_link_fault(link, _STORE_LINK_FAULTS[fault.kind], fault.duration_s)
 
-    async def _cut_worker_link(self, fault: PlannedFault) -> None:
+    async def _inject_worker_link_fault(self, fault: PlannedFault) -> None:
         link = self._fleet.links[self._pick_worker(fault).name]
-        await self._cut(link, _WORKER_LINK_FAULTS[fault.kind], fault.for_s)
+        await self._inject_link_fault(link, _WORKER_LINK_FAULTS[fault.kind], fault.duration_s)
 
     async def _stop_instance(self, fault: PlannedFault) -> None:
         await self._stop(self._pick_instance(fault))
 
     async def _stop_with_signals(self, fault: PlannedFault) -> None:
-        """Stop an instance, and go on with signals until it is gone."""
+        """Stop an instance, and send more signals until it exits."""
         instance = self._pick_instance(fault)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._send_always, instance)
+            nursery.start_soon(self._send_signals, instance)
             await self._stop(instance)
             nursery.cancel_scope.cancel()
 
-    async def _send_always(self, instance: InstanceProcess) -> None:
+    async def _send_signals(self, instance: InstanceProcess) -> None:
         life = instance.life
         while instance.life == life:
-            await trio.sleep(_SIGNALS_EVERY_S * self._rng.uniform(0.5, 1.5))
+            await trio.sleep(_SIGNAL_INTERVAL_S * self._rng.uniform(0.5, 1.5))
             if instance.life == life:
                 self._rng.choice((instance.stop, instance.reload))()
 
     async def _roll_instances(self, fault: PlannedFault) -> None:
-        """Stop all in turn; several are stopping at a time."""
+        """Stop all instances in turn, with overlapping stops."""
         async with trio.open_nursery() as nursery:
             for number in range(len(self._fleet.instances)):
-                turn = fault._replace(target=fault.target + number)
-                instance = self._pick_instance(turn)
-                nursery.start_soon(self._hold, instance.name, turn, self._stop_instance)
-                await trio.sleep(_ROLL_GAP_S * self._rng.uniform(0.5, 1.5))
+                instance_fault = fault._replace(target=fault.target + number)
+                instance = self._pick_instance(instance_fault)
+                nursery.start_soon(
+                    self._inject_exclusively, instance.name, instance_fault, self._stop_instance
+                )
+                await trio.sleep(_ROLL_INTERVAL_S * self._rng.uniform(0.5, 1.5))
 
     async def _upgrade_instances(self, fault: PlannedFault) -> None:
-        """Replace all in turn by instances of the other build, as an operator does."""
+        """Restart all instances with the other build, one at a time, as an operator does."""
         fleet = self._fleet
-        tree = fleet.older if fleet.instances[0].tree is None else None
+        source_folder = (
+            fleet.earlier_build_folder if fleet.instances[0].source_folder is None else None
+        )
         for instance in fleet.instances:
-            while instance.name in self._busy:
+            while instance.name in self._busy_targets:
                 await trio.sleep(_BUSY_POLL_S)
-            instance.tree = tree
-            turn = fault._replace(target=instance.number - 1)
-            await self._hold(instance.name, turn, self._stop_instance)
+            instance.source_folder = source_folder
+            instance_fault = fault._replace(target=instance.number - 1)
+            await self._inject_exclusively(instance.name, instance_fault, self._stop_instance)
 
     async def _stop(self, instance: InstanceProcess) -> None:
         began_at, life = trio.current_time(), instance.life
         is_earlier_build = instance.is_earlier_build
         instance.stop()
-        code = await instance.wait(_GRACE_S)
+        code = await instance.wait_for_exit(_EXIT_TIMEOUT_S)
         ended_at = trio.current_time()
         self._fleet.stops.append(
             Stop(
@@ -299,158 +318,166 @@
                 is_earlier_build,
             )
         )
-        # The stop itself excuses nothing; what follows it does.
+        # Checks still apply during the stop itself, but not while the instance restarts.
         await self._restart(instance)
-        self._fleet.note_spell(instance.name, ended_at)
+        self._fleet.note_disturbance(instance.name, ended_at)
 
     async def _kill_instance(self, fault: PlannedFault) -> None:
         instance = self._pick_instance(fault)
-        instance.send(signal.SIGKILL)
-        await instance.wait(_GRACE_S)
+        instance.send_signal(signal.SIGKILL)
+        await instance.wait_for_exit(_EXIT_TIMEOUT_S)
         await self._restart(instance)
 
     async def _restart(self, instance: InstanceProcess) -> None:
-        await trio.sleep(_RESTART_S)
-        instance.end()
+        await trio.sleep(_RESTART_DELAY_S)
+        instance.kill()
         instance.start()
         if not await instance.wait_ready():
-            self._fleet.exits.append(f"{instance.name} was not ready in time after a restart")
+            self._fleet.process_failures.append(
+                f"{instance.name} was not ready in time after a restart"
+            )
 
     async def _pause_instance(self, fault: PlannedFault) -> None:
         instance = self._pick_instance(fault)
-        instance.send(signal.SIGSTOP)
+        instance.send_signal(signal.SIGSTOP)
         try:
-            await trio.sleep(fault.for_s)
+            await trio.sleep(fault.duration_s)
         finally:
-            instance.send(signal.SIGCONT)
+            instance.send_signal(signal.SIGCONT)
 
     async def _suspend_instance(self, fault: PlannedFault) -> None:
-        """Pause an instance; by its clock it was away for longer."""
+        """Pause an instance; its clock shows a longer suspension."""
         instance = self._pick_instance(fault)
-        instance.send(signal.SIGSTOP)
+        instance.send_signal(signal.SIGSTOP)
         try:
-            await trio.sleep(fault.for_s)
+            await trio.sleep(fault.duration_s)
         finally:
-            away_s = self._rng.uniform(*_SUSPENDED_S)
-            instance.move_clocks(away_s, away_s)
-            instance.send(signal.SIGCONT)
+            extra_s = self._rng.uniform(*_EXTRA_SUSPENSION_RANGE_S)
+            instance.shift_clocks(extra_s, extra_s)
+            instance.send_signal(signal.SIGCONT)
 
     async def _step_clock(self, fault: PlannedFault) -> None:
-        """Have an instance's time of day step, and back after a while."""
+        """Make an instance's wall clock jump, and jump back later."""
         instance = self._pick_instance(fault)
-        step_s = self._rng.choice((-1, 1)) * self._rng.uniform(*_STEPS_S)
-        instance.move_clocks(0.0, step_s)
-        await trio.sleep(fault.for_s)
-        instance.move_clocks(0.0, -step_s)
+        step_s = self._rng.choice((-1, 1)) * self._rng.uniform(*_CLOCK_STEP_RANGE_S)
+        instance.shift_clocks(0.0, step_s)
+        await trio.sleep(fault.duration_s)
+        instance.shift_clocks(0.0, -step_s)
 
     async def _reload_instance(self, fault: PlannedFault) -> None:
-        """Change the settings file, or spoil it for a moment, and signal that it changed."""
+        """Change the settings, sometimes after a moment of invalid ones, and send SIGHUP."""
         instance = self._pick_instance(fault)
-        # One that is being started anew would rightly end by such a file.
-        if self._rng.random() < 0.5 and instance.name not in self._busy:
-            instance.break_settings()
+        # A busy instance may be restarting; it would exit because of an invalid file, which is
+        # correct.
+        if self._rng.random() < 0.5 and instance.name not in self._busy_targets:
+            instance.write_invalid_settings()
             instance.reload()
             await trio.sleep(0.2)
-        self._fleet.write_settings(instance, self._rng.choice(_ALLOWANCES))
+        self._fleet.write_settings(instance, self._rng.choice(_RETRY_ALLOWANCES))
         instance.reload()
-        self.done.append(fault)
+        self.injected.append(fault)
 
-    async def _send_crashing(self, fault: PlannedFault) -> None:
-        """Send a request that crashes workers again and again, through any instance."""
-        path, headers = _CRASHING_PATHS[fault.target % len(_CRASHING_PATHS)]
+    async def _send_crashing_requests(self, fault: PlannedFault) -> None:
+        """Send a request that crashes workers repeatedly, each time through a random instance."""
+        path, headers = _CRASHING_REQUEST_TARGETS[fault.target % len(_CRASHING_REQUEST_TARGETS)]
         body = CRASHING + str(fault.target).encode()
-        for _ in range(_CRASHING_TRIES):
+        for _ in range(_CRASHING_REQUEST_COUNT):
             caller = Caller(self._rng.choice(self._fleet.instances).front)
             try:
-                with trio.move_on_after(_CRASHING_WAIT_S):
+                with trio.move_on_after(_CRASHING_REQUEST_TIMEOUT_S):
                     await caller.ask(path, "POST", body=body, headers=headers)
             except (OSError, trio.BrokenResourceError, trio.ClosedResourceError):
-                # The instance is not there just now; its caller tries another one.
+                # The instance is down; the next attempt uses another one.
                 pass
             finally:
                 caller.close()
-            await trio.sleep(_CRASHING_PAUSE_S)
+            await trio.sleep(_CRASHING_REQUEST_INTERVAL_S)
 
-    async def _make_worker_fail(self, fault: PlannedFault) -> None:
+    async def _inject_worker_faults(self, fault: PlannedFault) -> None:
         worker = self._pick_worker(fault)
-        kinds = _STREAM_FAULTS if worker.stage else _WORKER_FAULTS
-        worker.faults += self._rng.choices(kinds, k=3)
-        await trio.sleep(fault.for_s)
+        worker_faults = _STREAM_FAULTS if worker.stage else _WORKER_FAULTS
+        worker.faults += self._rng.choices(worker_faults, k=3)
+        await trio.sleep(fault.duration_s)
         worker.faults.clear()
 
     async def _crash_worker(self, fault: PlannedFault) -> None:
-        """Crash a worker; one of its service comes later at its address, or another's."""
+        """Crash a worker; another worker of its service starts at its address later."""
         fleet, worker = self._fleet, self._pick_worker(fault)
-        fleet.present.remove(worker)
+        fleet.active_workers.remove(worker)
         worker.close()
-        await trio.sleep(fault.for_s)
+        await trio.sleep(fault.duration_s)
         fleet.unregister(worker)
         await fleet.add_worker(worker.service, worker.stage, fleet.links[worker.name])
 
-    async def _say_in_answers(self, fault: PlannedFault) -> None:
-        """Let a worker leave whose entry says nothing of it, as where the store is away."""
+    async def _announce_leaving_in_responses(self, fault: PlannedFault) -> None:
+        """Replace a worker that announces its shutdown in responses but not in its entry.
 
-        def say(worker: SoakWorker) -> None:
+        This happens when the worker can't reach the store.
+        """
+
+        def announce(worker: SoakWorker) -> None:
             worker.says_leaving = True
-            self._fleet.words.append(LeavingWord(worker.name, trio.current_time()))
+            self._fleet.leaving_notices.append(LeavingWord(worker.name, trio.current_time()))
 
-        await self._let_leave(fault, say)
+        await self._replace_leaving_worker(fault, announce)
 
-    async def _ask_for_rest(self, fault: PlannedFault) -> None:
-        """Have a worker turn everything away for a while."""
+    async def _request_backoff(self, fault: PlannedFault) -> None:
+        """Make a worker reject all requests and request a backoff for a while."""
         worker, began_at = self._pick_worker(fault), trio.current_time()
-        rest_s = self._rng.uniform(*_RESTS_S)
-        worker.asks_rest_s, worker.sheds = rest_s, True
-        await trio.sleep(fault.for_s)
+        backoff_s = self._rng.uniform(*_BACKOFF_RANGE_S)
+        worker.asks_rest_s, worker.sheds = backoff_s, True
+        await trio.sleep(fault.duration_s)
         worker.sheds = False
-        self._fleet.rests.append(Rest(worker.name, began_at, trio.current_time(), rest_s))
+        self._fleet.backoffs.append(Rest(worker.name, began_at, trio.current_time(), backoff_s))
 
-    async def _name_limit(self, fault: PlannedFault) -> None:
-        """Have a worker name the calls a second that it takes of all instances, for a while."""
+    async def _announce_limit(self, fault: PlannedFault) -> None:
+        """Make a worker announce its rate limit over all instances for a while."""
         worker, began_at = self._pick_worker(fault), trio.current_time()
-        rate = round(self._rng.uniform(*_LIMITS_PER_S), 1)
-        worker.names_limit = f"{rate:g}"
-        await trio.sleep(_LIMIT_S + fault.for_s)
+        rate_per_s = round(self._rng.uniform(*_LIMIT_RANGE_PER_S), 1)
+        worker.names_limit = f"{rate_per_s:g}"
+        await trio.sleep(_MIN_LIMIT_DURATION_S + fault.duration_s)
         worker.names_limit = None
-        self._fleet.named_limits.append(
-            NamedLimit(worker.name, began_at, trio.current_time(), rate)
+        self._fleet.announced_limits.append(
+            NamedLimit(worker.name, began_at, trio.current_time(), rate_per_s)
         )
 
     async def _drain_worker(self, fault: PlannedFault) -> None:
-        """Let a worker drain and leave."""
+        """Replace a worker that sets its entry to draining."""
 
-        def say(worker: SoakWorker) -> None:
+        def announce(worker: SoakWorker) -> None:
             self._fleet.register(worker, "draining")
             self._fleet.withdrawals.append(Withdrawal(worker.name, trio.current_time()))
 
-        await self._let_leave(fault, say)
+        await self._replace_leaving_worker(fault, announce)
 
-    async def _let_leave(self, fault: PlannedFault, say: Callable[[SoakWorker], None]) -> None:
-        """Have a worker say that it leaves, serve on and end; its successor is there before."""
+    async def _replace_leaving_worker(
+        self, fault: PlannedFault, announce: Callable[[SoakWorker], None]
+    ) -> None:
+        """Start a replacement, announce the worker's shutdown, and stop it after a drain."""
         fleet, worker = self._fleet, self._pick_worker(fault)
         await fleet.add_worker(worker.service, worker.stage)
-        fleet.present.remove(worker)
-        say(worker)
-        await trio.sleep(_KEEPS_SERVING_S + fault.for_s)
+        fleet.active_workers.remove(worker)
+        announce(worker)
+        await trio.sleep(_MIN_DRAIN_S + fault.duration_s)
         fleet.unregister(worker)
         worker.close()
-        fleet.note_spell(worker.name, trio.current_time())
+        fleet.note_disturbance(worker.name, trio.current_time())
 
 
-_Act = Callable[[PlannedFault], Awaitable[None]]
-_INSTANCE_FAULTS: dict[FaultKind, Callable[[Striker], _Act]] = {
-    FaultKind.INSTANCE_STOP: lambda striker: striker._stop_instance,
-    FaultKind.INSTANCE_KILL: lambda striker: striker._kill_instance,
-    FaultKind.INSTANCE_PAUSE: lambda striker: striker._pause_instance,
-    FaultKind.INSTANCE_SUSPEND: lambda striker: striker._suspend_instance,
-    FaultKind.INSTANCE_CLOCK: lambda striker: striker._step_clock,
-    FaultKind.INSTANCE_SIGNALS: lambda striker: striker._stop_with_signals,
+_FaultAction = Callable[[PlannedFault], Awaitable[None]]
+_INSTANCE_ACTIONS: dict[FaultKind, Callable[[FaultInjector], _FaultAction]] = {
+    FaultKind.INSTANCE_STOP: lambda injector: injector._stop_instance,
+    FaultKind.INSTANCE_KILL: lambda injector: injector._kill_instance,
+    FaultKind.INSTANCE_PAUSE: lambda injector: injector._pause_instance,
+    FaultKind.INSTANCE_SUSPEND: lambda injector: injector._suspend_instance,
+    FaultKind.INSTANCE_CLOCK: lambda injector: injector._step_clock,
+    FaultKind.INSTANCE_SIGNALS: lambda injector: injector._stop_with_signals,
 }
-_WORKER_CHANGES: dict[FaultKind, Callable[[Striker], _Act]] = {
-    FaultKind.WORKER_FAULTS: lambda striker: striker._make_worker_fail,
-    FaultKind.WORKER_CRASH: lambda striker: striker._crash_worker,
-    FaultKind.WORKER_DRAIN: lambda striker: striker._drain_worker,
-    FaultKind.WORKER_WORD: lambda striker: striker._say_in_answers,
-    FaultKind.WORKER_REST: lambda striker: striker._ask_for_rest,
-    FaultKind.WORKER_LIMIT: lambda striker: striker._name_limit,
+_WORKER_ACTIONS: dict[FaultKind, Callable[[FaultInjector], _FaultAction]] = {
+    FaultKind.WORKER_FAULTS: lambda injector: injector._inject_worker_faults,
+    FaultKind.WORKER_CRASH: lambda injector: injector._crash_worker,
+    FaultKind.WORKER_DRAIN: lambda injector: injector._drain_worker,
+    FaultKind.WORKER_WORD: lambda injector: injector._announce_leaving_in_responses,
+    FaultKind.WORKER_REST: lambda injector: injector._request_backoff,
+    FaultKind.WORKER_LIMIT: lambda injector: injector._announce_limit,
 }
