--- a/standins/ports.py
+++ b/standins/ports.py
@@ -1,4 +1,4 @@
-"""Ports of loopback for tests, below those that the system gives to outgoing connections."""
+"""Free loopback ports for tests, below the range that the system uses for connections."""
 
 import os
 import random
@@ -7,32 +7,36 @@
 
 __all__ = ["free_port"]
 
-# From 32,768 on the system takes ports for outgoing connections: one that was free when it was
-# looked for could be taken by the time an instance listened, two of five starts of six
-# instances ended so.
-_FIRST = 10_000
-_LAST = 32_000
-# Test runs beside each other take ports of a part of their own.
-_PARTS = 10
+# The system assigns ports from 32,768 upwards to outgoing connections. Such a port can be free
+# when it is checked and in use when an instance listens: two of five starts of six instances
+# failed for this reason.
+_FIRST_PORT = 10_000
+_LAST_PORT = 32_000
+# The ports are divided into ranges of equal size; each parallel test process uses its own range.
+_RANGE_COUNT = 10
 _rng = random.Random()
-_given: set[int] = set()
+_allocated_ports: set[int] = set()
 
 
 def free_port(hosts: Sequence[str] = ("127.0.0.1",)) -> int:
-    """Give a port that is free for TCP and UDP at some addresses; none is given twice."""
-    size = (_LAST - _FIRST) // _PARTS
-    first = _FIRST + size * _part()
+    """Return a port that is free for TCP and UDP on all hosts; no port is returned twice.
+
+    Args:
+        hosts: IPv4 addresses on which the port must be free.
+    """
+    range_size = (_LAST_PORT - _FIRST_PORT) // _RANGE_COUNT
+    first = _FIRST_PORT + range_size * _range_index()
     while True:
-        port = _rng.randrange(first, first + size)
-        if port not in _given and all(_is_free(host, port) for host in hosts):
-            _given.add(port)
+        port = _rng.randrange(first, first + range_size)
+        if port not in _allocated_ports and all(_is_free(host, port) for host in hosts):
+            _allocated_ports.add(port)
             return port
 
 
-def _part() -> int:
-    """Give which part of the ports this process has; runs by themselves have the last one."""
-    number = os.environ.get("PYTEST_XDIST_WORKER", "").removeprefix("gw")
-    return int(number) % (_PARTS - 1) if number.isdigit() else _PARTS - 1
+def _range_index() -> int:
+    """Return the index of this process's range; a run without pytest-xdist uses the last range."""
+    worker_number = os.environ.get("PYTEST_XDIST_WORKER", "").removeprefix("gw")
+    return int(worker_number) % (_RANGE_COUNT - 1) if worker_number.isdigit() else _RANGE_COUNT - 1
 
 
 def _is_free(host: str, port: int) -> bool:
--- a/standins/virtual_time.py
+++ b/standins/virtual_time.py
@@ -1,8 +1,8 @@
 """Runs tests of whole fleets in virtual time, with real sockets.
 
-Time all but stands still while anything happens and goes on to the next deadline once nothing
-does. What a test finds then depends on the waits of the program alone, not on what else the
-machine does.
+The virtual clock advances very slowly while any task or socket is active, and jumps to the next
+deadline when all are idle. The result of a test therefore depends only on the program's waits,
+and not on the load of the machine.
 """
 
 import random
@@ -14,17 +14,18 @@
 
 __all__ = ["run_in_virtual_time", "run_with_pauses"]
 
-# Real seconds without any event after which nothing happens any more: bytes that were sent over
-# loopback have arrived by then.
-_SETTLED_S = 0.002
-# Seconds of virtual time in a real one: a wait that is too short to be told from none ends too.
-_RATE = 1e-4
-# A machine's clock is never near zero.
-_FIRST_S = 100_000.0
-# Pauses of the whole machine: seconds from one to the next, on the average, and their bounds.
-_BETWEEN_PAUSES_S = 1.0
-_SHORTEST_PAUSE_S = 0.1
-_LONGEST_PAUSE_S = 0.6
+# Real seconds without any event after which all tasks count as idle; bytes sent over loopback
+# arrive within this time.
+_IDLE_THRESHOLD_S = 0.002
+# Rate of the virtual clock between jumps; above zero so that a wait also ends when it is too short
+# to be distinguished from no wait.
+_VIRTUAL_S_PER_REAL_S = 1e-4
+# Initial virtual time; large, because a machine's monotonic clock is never near zero.
+_START_TIME_S = 100_000.0
+# Simulated pauses of the whole machine, in seconds: mean interval, shortest and longest pause.
+_MEAN_PAUSE_INTERVAL_S = 1.0
+_MIN_PAUSE_S = 0.1
+_MAX_PAUSE_S = 0.6
 
 
 def run_in_virtual_time(
@@ -33,8 +34,8 @@
     clock: trio.abc.Clock | None = None,
     **options: Any,
 ) -> Any:
-    """Run like ``trio.run``, in virtual time unless a clock is given."""
-    return trio.run(function, *args, clock=clock or _virtual_clock(), **options)
+    """Run a function like ``trio.run``, in virtual time unless a clock is given."""
+    return trio.run(function, *args, clock=clock or _build_virtual_clock(), **options)
 
 
 def run_with_pauses(
@@ -44,33 +45,33 @@
     clock: trio.abc.Clock | None = None,
     **options: Any,
 ) -> Any:
-    """Run in virtual time, in which the whole machine stands still at random moments.
+    """Run a function in virtual time and simulate pauses of the machine at random times.
 
     Args:
-        seed: Of the moments.
-        function: What is run, as by ``trio.run``.
-        args: Its arguments.
-        clock: In place of virtual time, which then has no pauses.
-        options: As of ``trio.run``.
+        seed: Seed of the times and lengths of the pauses.
+        function: Async function to run, as for ``trio.run``.
+        args: Arguments of the function.
+        clock: Clock to use in place of the virtual clock; there are no pauses then.
+        options: Options of ``trio.run``.
     """
     if clock is not None:
         return trio.run(function, *args, clock=clock, **options)
-    virtual = _virtual_clock()
+    virtual = _build_virtual_clock()
 
-    async def run_beside_pauses(*args: object) -> Any:
-        trio.lowlevel.spawn_system_task(_pause, virtual, random.Random(seed))
+    async def run_with_pause_task(*args: object) -> Any:
+        trio.lowlevel.spawn_system_task(_inject_pauses, virtual, random.Random(seed))
         return await function(*args)
 
-    return trio.run(run_beside_pauses, *args, clock=virtual, **options)
+    return trio.run(run_with_pause_task, *args, clock=virtual, **options)
 
 
-def _virtual_clock() -> trio.testing.MockClock:
-    clock = trio.testing.MockClock(_RATE, _SETTLED_S)
-    clock.jump(_FIRST_S)
+def _build_virtual_clock() -> trio.testing.MockClock:
+    clock = trio.testing.MockClock(_VIRTUAL_S_PER_REAL_S, _IDLE_THRESHOLD_S)
+    clock.jump(_START_TIME_S)
     return clock
 
 
-async def _pause(clock: trio.testing.MockClock, rng: random.Random) -> None:
+async def _inject_pauses(clock: trio.testing.MockClock, rng: random.Random) -> None:
     while True:
-        await trio.sleep(rng.expovariate(1 / _BETWEEN_PAUSES_S))
-        clock.jump(rng.uniform(_SHORTEST_PAUSE_S, _LONGEST_PAUSE_S))
+        await trio.sleep(rng.expovariate(1 / _MEAN_PAUSE_INTERVAL_S))
+        clock.jump(rng.uniform(_MIN_PAUSE_S, _MAX_PAUSE_S))
--- a/standins/virtual_time_test.py
+++ b/standins/virtual_time_test.py
@@ -1,4 +1,4 @@
-"""Virtual time for tests of whole fleets."""
+"""Tests of virtual time for tests of whole fleets."""
 
 import time
 
@@ -10,30 +10,30 @@
 pytestmark = pytest.mark.virtual_time
 
 
-async def test_only_waits_take_time() -> None:
-    began_at, real = trio.current_time(), time.monotonic()
+async def test_only_waits_advance_virtual_time() -> None:
+    started_at, real_started_at = trio.current_time(), time.monotonic()
     time.sleep(0.2)
-    assert trio.current_time() - began_at < 0.01
+    assert trio.current_time() - started_at < 0.01
     await trio.sleep(30.0)
-    assert 30.0 <= trio.current_time() - began_at < 30.01
-    assert time.monotonic() - real < 10.0
+    assert 30.0 <= trio.current_time() - started_at < 30.01
+    assert time.monotonic() - real_started_at < 10.0
 
 
 @pytest.mark.real_time
-async def test_mark_for_real_time_goes_first() -> None:
-    began_at = trio.current_time()
+async def test_real_time_mark_takes_precedence() -> None:
+    started_at = trio.current_time()
     time.sleep(0.05)
-    assert trio.current_time() - began_at >= 0.04
+    assert trio.current_time() - started_at >= 0.04
 
 
-def test_answer_over_a_socket_comes_before_a_timeout() -> None:
-    async def answer(stream: trio.SocketStream) -> None:
+def test_answer_over_a_socket_arrives_before_a_timeout() -> None:
+    async def echo(stream: trio.SocketStream) -> None:
         await stream.send_all(await stream.receive_some(1))
 
-    async def ask() -> int:
+    async def count_answers() -> int:
         answers = 0
         async with trio.open_nursery() as nursery:
-            listeners = await nursery.start(trio.serve_tcp, answer, 0)
+            listeners = await nursery.start(trio.serve_tcp, echo, 0)
             port = listeners[0].socket.getsockname()[1]
             for _ in range(100):
                 with trio.move_on_after(0.001):
@@ -43,19 +43,19 @@
             nursery.cancel_scope.cancel()
         return answers
 
-    assert run_in_virtual_time(ask) == 100
+    assert run_in_virtual_time(count_answers) == 100
 
 
-def test_pauses_of_a_seed_come_at_the_same_moments() -> None:
-    async def look() -> list[float]:
-        began_at, late = trio.current_time(), []
-        while trio.current_time() < began_at + 10.0:
+def test_pauses_of_a_seed_occur_at_the_same_times() -> None:
+    async def find_delayed_waits() -> list[float]:
+        started_at, delayed_at = trio.current_time(), []
+        while trio.current_time() < started_at + 10.0:
             due_at = trio.current_time() + 0.01
             await trio.sleep_until(due_at)
             if trio.current_time() > due_at + 0.05:
-                late.append(round(due_at - began_at, 2))
-        return late
+                delayed_at.append(round(due_at - started_at, 2))
+        return delayed_at
 
-    first, again, other = (run_with_pauses(seed, look) for seed in (1, 1, 2))
+    first, repeated, other_seed = (run_with_pauses(seed, find_delayed_waits) for seed in (1, 1, 2))
     assert len(first) >= 3
-    assert first == again != other
+    assert first == repeated != other_seed
