--- a/standins/ablate.py
+++ b/standins/ablate.py
@@ -1,4 +1,7 @@
-"""Switches one mechanism off, as a pytest plugin, to show that a scenario needs it."""
+"""Pytest plugin that disables one mechanism, to show that its scenarios then fail.
+
+The environment variable ``CLEATLINK_ABLATE`` names the mechanism.
+"""
 
 import os
 from collections.abc import Callable
@@ -23,163 +26,189 @@
 
 
 class Ablation(NamedTuple):
-    """One mechanism, how to switch it off, and the scenarios that must then fail."""
+    """A mechanism that can be disabled, and the scenarios that must then fail.
+
+    Attributes:
+        switch_off: Disables the mechanism in this process.
+        scenarios: Pytest ``-k`` expression that selects the scenarios.
+        guarantee: Guarantee of the router that the scenarios check.
+    """
 
     switch_off: Callable[[], None]
     scenarios: str
-    promise: str
+    guarantee: str
 
 
-def _replace(owner: Any, name: str, value: Any) -> Callable[[], None]:
+def _replace_attribute(owner: Any, name: str, value: Any) -> Callable[[], None]:
     return lambda: setattr(owner, name, value)
 
 
-def _relay_anything(self: ModelRequestMachine, event: Any) -> list[Any]:
+def _forward_every_chunk(self: ModelRequestMachine, event: Any) -> list[Any]:
     if event.end:
-        return _receive(self, event._replace(position=self._next_position))
+        return _original_receive(self, event._replace(position=self._next_position))
     self._next_position = event.position + 1
     return [ForwardEvent(event.position, event.data), ReadStreamEvent(self._attempt)]
 
 
-def _grant_always(self: IdempotencyKeyRegistry, *arguments: Any) -> ClaimResult:
+def _grant_every_claim(self: IdempotencyKeyRegistry, *arguments: Any) -> ClaimResult:
     return ClaimResult(ClaimState.GRANTED)
 
 
-def _any_time(made: float, owner_since: float, now: float) -> bool:
+def _accept_every_key(created_at: float, owner_since: float, now: float) -> bool:
     return True
 
 
-def _owner_among_alive(self: MembershipView, key: str, data_centre: str, now: float) -> Any:
+def _owner_without_instance_list(
+    self: MembershipView, key: str, data_centre: str, now: float
+) -> Any:
     listed, self._listed = self._listed, {}
     try:
-        return _owner(self, key, data_centre, now)
+        return _original_owner(self, key, data_centre, now)
     finally:
         self._listed = listed
 
 
-def _retry_unknown(self: CallMachine, event: Any) -> list[Any]:
+def _retry_unknown_outcome(self: CallMachine, event: Any) -> list[Any]:
     self._repeatable = True
-    return _fail(self, event)
+    return _original_fail(self, event)
 
 
-def _say_not_run(self: CallMachine) -> Any:
+def _report_not_run(self: CallMachine) -> Any:
     return Refusal(ErrorKind.ENDPOINT_REFUSED, "")
 
 
-def _usable_always(self: FleetView, endpoint: Any, now: float) -> bool:
+def _is_always_usable(self: FleetView, endpoint: Any, now: float) -> bool:
     return True
 
 
-def _usable_by_report(self: FleetView, endpoint: Any, now: float) -> bool:
+def _is_usable_by_report(self: FleetView, endpoint: Any, now: float) -> bool:
     return not endpoint.leaving and endpoint.name in self._reports
 
 
-def _adopt_anything(self: ActiveConfiguration, published: Any) -> OfferResult:
+def _adopt_every_revision(self: ActiveConfiguration, published: Any) -> OfferResult:
     self._published = None
-    return _offer(self, published)
+    return _original_offer(self, published)
 
 
-async def _stop_at_once(self: Entry) -> None:
+async def _stop_without_drain(self: Entry) -> None:
     self._stopping = True
 
 
-async def _ask_nobody(self: Entry) -> None:
+async def _skip_peers(self: Entry) -> None:
     await trio.lowlevel.checkpoint()
 
 
-async def _try_once(self: Canceller, *arguments: Any) -> bool:
-    await _try(self, *arguments)
+async def _cancel_once(self: Canceller, *arguments: Any) -> bool:
+    await _original_try(self, *arguments)
     return True
 
 
-async def _run_here(parts: Any, run: Callable[[], Any]) -> Any:
+async def _run_in_caller_task(parts: Any, run: Callable[[], Any]) -> Any:
     return await run()
 
 
-def _no_action(*arguments: Any, **named: Any) -> Any:
+def _do_nothing(*arguments: Any, **named: Any) -> Any:
     return []
 
 
-_receive = ModelRequestMachine._receive
-_owner = MembershipView.owner
-_fail = CallMachine._fail
-_offer = ActiveConfiguration.offer
-_try = Canceller._try
+_original_receive = ModelRequestMachine._receive
+_original_owner = MembershipView.owner
+_original_fail = CallMachine._fail
+_original_offer = ActiveConfiguration.offer
+_original_try = Canceller._try
 
 ABLATIONS = {
     "cancel": Ablation(
-        _replace(Canceller, "cancel", _no_action),
+        _replace_attribute(Canceller, "cancel", _do_nothing),
         "caller_goes_away and not order",
-        "no memory held",
+        "no memory stays reserved",
     ),
     "cancel-retry": Ablation(
-        _replace(Canceller, "_try", _try_once), "cancels_are_lost", "no memory held"
+        _replace_attribute(Canceller, "_try", _cancel_once),
+        "cancels_are_lost",
+        "no memory stays reserved",
     ),
     "notes": Ablation(
-        _replace(InFlightNotes, "take_due", _no_action),
+        _replace_attribute(InFlightNotes, "take_due", _do_nothing),
         "entry_dies and not prefilling",
-        "no memory held",
+        "no memory stays reserved",
     ),
     "note-repeat": Ablation(
-        _replace(peers.Peers, "_repeat_notes", _no_action), "first_notes", "no memory held"
+        _replace_attribute(peers.Peers, "_repeat_notes", _do_nothing),
+        "first_notes",
+        "no memory stays reserved",
     ),
     "stream-position": Ablation(
-        _replace(ModelRequestMachine, "_receive", _relay_anything),
+        _replace_attribute(ModelRequestMachine, "_receive", _forward_every_chunk),
         "chunks_go_wrong and (drop or double or swap or foreign)",
-        "the whole answer, once",
+        "complete answer, exactly once",
     ),
     "resume": Ablation(
-        _replace(
+        _replace_attribute(
             ModelRequestMachine, "_resume", lambda self: self._give_up(self._failure_refusal())
         ),
         "chunks_go_wrong and (drop or swap or cut)",
-        "the whole answer",
+        "complete answer",
     ),
     "key-owner": Ablation(
-        _replace(IdempotencyKeyRegistry, "claim", _grant_always), "one_key_at_two", "at most once"
+        _replace_attribute(IdempotencyKeyRegistry, "claim", _grant_every_claim),
+        "one_key_at_two",
+        "at most one execution",
     ),
     "key-age": Ablation(
-        _replace(IdempotencyKeyRegistry, "_is_ours", staticmethod(_any_time)),
+        _replace_attribute(IdempotencyKeyRegistry, "_is_ours", staticmethod(_accept_every_key)),
         "owner_of_the_key_dies or all_entries_are_replaced",
-        "at most once",
+        "at most one execution",
     ),
     "listed-owner": Ablation(
-        _replace(MembershipView, "owner", _owner_among_alive),
+        _replace_attribute(MembershipView, "owner", _owner_without_instance_list),
         "within_a_data_centre",
-        "at most once",
+        "at most one execution",
     ),
     "no-repeat": Ablation(
-        _replace(CallMachine, "_fail", _retry_unknown),
+        _replace_attribute(CallMachine, "_fail", _retry_unknown_outcome),
         "connection_to_the_endpoint_fails and after",
-        "at most once",
+        "at most one execution",
     ),
     "ran-memory": Ablation(
-        _replace(CallMachine, "_failure", _say_not_run),
+        _replace_attribute(CallMachine, "_failure", _report_not_run),
         "connection_to_the_endpoint_fails and (during or after)",
-        "'not run' is true",
+        "'not run' is never reported for a call that may have run",
     ),
     "key-refusal": Ablation(
-        _replace(callers, "_admit_call", callers._admit), "stopping_entry", "'not run' is true"
+        _replace_attribute(callers, "_admit_call", callers._admit),
+        "stopping_entry",
+        "'not run' is never reported for a call that may have run",
     ),
     "run-to-end": Ablation(
-        _replace(callers, "_run_to_the_end", _run_here),
+        _replace_attribute(callers, "_run_to_the_end", _run_in_caller_task),
         "caller_goes_away_while_its_order",
-        "at most once",
+        "at most one execution",
     ),
     "leaving": Ablation(
-        _replace(FleetView, "is_usable", _usable_by_report),
+        _replace_attribute(FleetView, "is_usable", _is_usable_by_report),
         "an_endpoint_is_leaving and (report or refusals or peer)",
-        "a leaving endpoint",
+        "no new work for a leaving endpoint",
     ),
     "report-age": Ablation(
-        _replace(FleetView, "is_usable", _usable_always), "reports_stop", "a leaving endpoint"
+        _replace_attribute(FleetView, "is_usable", _is_always_usable),
+        "reports_stop",
+        "no new work for a leaving endpoint",
+    ),
+    "drain": Ablation(
+        _replace_attribute(Entry, "stop", _stop_without_drain),
+        "planned_stop",
+        "no request lost by a planned stop",
     ),
-    "drain": Ablation(_replace(Entry, "stop", _stop_at_once), "planned_stop", "a planned stop"),
     "upwards-only": Ablation(
-        _replace(ActiveConfiguration, "offer", _adopt_anything), "old_replica", "configuration"
+        _replace_attribute(ActiveConfiguration, "offer", _adopt_every_revision),
+        "old_replica",
+        "configuration",
     ),
     "ask-peers": Ablation(
-        _replace(Entry, "_ask_peers", _ask_nobody), "starts_beside_a_stale", "configuration"
+        _replace_attribute(Entry, "_ask_peers", _skip_peers),
+        "starts_beside_a_stale",
+        "configuration",
     ),
 }
 
