--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for what the router meets: engines, a plain service, the platform."""
+"""Stand-ins for the systems around the router: model engines, plain services, the platform."""
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,8 +1,9 @@
-"""A model engine: slots and memory, prefill by length, KV kept seconds, a link.
+"""Simulates a model engine: slots, KV memory, prefill and decode speed, a transfer link.
 
-Memory is held until the work is done or cancelled, also when nobody reads the
-stream any more: a router that forgets to cancel shows in the ledger. The
-answer is a pure function of the prompt, so a test can compare it in full.
+Memory stays reserved until the work has ended or is cancelled, even after the
+reader of the stream has disconnected. A missing cancel of the router is therefore
+visible in the engine's ``memory``. The answer depends only on the prompt, so a test
+can compare all of it.
 """
 
 from collections import Counter
@@ -18,20 +19,26 @@
     "Engine",
     "EngineSettings",
     "Faults",
-    "Kv",
+    "KvReference",
     "Order",
     "OrderRefusedError",
     "expected_tokens",
     "prompt_tokens",
 ]
 
-_TOMBSTONE_S = 120.0
-# Prompts with an equal beginning of this length share cached work.
+# Time for which an engine refuses late orders of a cancelled request, in seconds.
+_CANCELLATION_RETENTION_S = 120.0
+# Prompts whose first bytes, up to this length, are equal share cached KV.
 PREFIX_BYTES = 1024
 
 
 class OrderRefusedError(Exception):
-    """The engine refuses an order, which therefore did not run."""
+    """The engine refused an order; the order did not run.
+
+    Attributes:
+        status: HTTP status of the response.
+        code: Error code of the response.
+    """
 
     def __init__(self, status: int, code: str) -> None:
         super().__init__(code)
@@ -40,7 +47,21 @@
 
 
 class EngineSettings(NamedTuple):
-    """How large and how fast an engine is; rates in tokens a second."""
+    """Size and speed of an engine.
+
+    Attributes:
+        name: Name of the engine.
+        slots: Maximum number of decodes at the same time.
+        memory_tokens: KV memory in tokens.
+        prefill_rate: Prefill speed in tokens per second.
+        token_s: Time between two decoded tokens, in seconds.
+        kv_keep_s: Time for which a prefill's KV is kept for export, in seconds.
+        link_rate: Speed of a KV transfer in tokens per second.
+        report_lag_s: Age of the load reports, in seconds.
+        max_cached_prefixes: Maximum number of cached prompt prefixes.
+        event_lag_s: Delay of the cache events, in seconds.
+        checks_fences: Whether the engine refuses commands with a stale fencing token.
+    """
 
     name: str
     slots: int = 16
@@ -50,13 +71,28 @@
     kv_keep_s: float = 3.0
     link_rate: float = 500_000.0
     report_lag_s: float = 0.2
-    cached_prefixes: int = 64
+    max_cached_prefixes: int = 64
     event_lag_s: float = 0.5
     checks_fences: bool = True
 
 
 class Faults(TypedDict, total=False):
-    """Faults an engine can be told to have; positions are token positions."""
+    """Faults that an engine can simulate; a position is the index of a token in the answer.
+
+    Attributes:
+        hang: Never answer a prefill, a decode or a resume.
+        stall_at: Pause each decode at this position while the fault is set.
+        drop_at: Leave out the chunk at this position.
+        double_at: Send the chunk at this position twice.
+        swap_at: Send the chunk at this position after the next one.
+        foreign_at: Send a chunk of another request before the chunk at this position.
+        cut_at: End the stream with an error at this position.
+        slow_prefill_s: Additional time of each prefill, in seconds.
+        slow_decode_s: Additional delay of the next decode, in seconds.
+        stale_report: Stop updating the load report.
+        lose_events: Number of cache events to leave out of the next response.
+        lose_cancels: Number of cancels to answer with an error and ignore.
+    """
 
     hang: bool
     stall_at: int
@@ -73,7 +109,16 @@
 
 
 class Order(NamedTuple):
-    """One order from a router; ``attempt`` grows with each try."""
+    """An order from a router to prefill or decode a prompt.
+
+    Attributes:
+        request: Name of the request.
+        attempt: Number that increases with each attempt of the request.
+        prompt: Text of the prompt.
+        max_tokens: Length of the whole answer in tokens.
+        position: Number of tokens of the answer that exist already.
+        resumed_text: Text of these tokens.
+    """
 
     request: str
     attempt: int
@@ -83,8 +128,15 @@
     resumed_text: str = ""
 
 
-class Kv(NamedTuple):
-    """A prefill's result as the decode side names it."""
+class KvReference(NamedTuple):
+    """Identifies the KV that a prefill computed.
+
+    Attributes:
+        engine: Name of the engine that computed the KV; over HTTP, the address of an engine other
+            than the importing one.
+        request: Name of the request.
+        attempt: Attempt of the request.
+    """
 
     engine: str
     request: str
@@ -92,7 +144,14 @@
 
 
 class Chunk(NamedTuple):
-    """One token on its way out; ``owner`` is ``request.attempt``."""
+    """One token of a stream.
+
+    Attributes:
+        owner: Request and attempt, as ``request.attempt``.
+        position: Index of the token in the answer.
+        text: Text of the token.
+        last: Whether the token is the last of the answer.
+    """
 
     owner: str
     position: int
@@ -101,37 +160,47 @@
 
 
 class _Stream:
-    """A decode in progress: its tokens so far and who may read them."""
+    """A decode in progress; only the reader that started last gets its tokens."""
 
     def __init__(self, order: Order) -> None:
         self.order = order
         self.tokens: list[str] = []
-        self.news = trio.Event()
+        self.changed = trio.Event()
         self.done = False
         self.cancelled = False
-        self.reader = 0
+        self.reader_number = 0
 
-    def wake(self) -> None:
-        """Tell readers that something changed."""
-        self.news.set()
-        self.news = trio.Event()
+    def notify_readers(self) -> None:
+        """Wake the readers after a change."""
+        self.changed.set()
+        self.changed = trio.Event()
 
 
 def prompt_tokens(prompt: str) -> int:
-    """Count a prompt's tokens: one for each four bytes, as a rough engine would."""
+    """Return the number of tokens of a prompt, estimated as one per four bytes."""
     return len(prompt.encode()) // 4 + 1
 
 
 def expected_tokens(prompt: str, count: int) -> list[str]:
-    """Give the answer that any engine gives to a prompt."""
+    """Return the tokens with which every engine answers a prompt."""
     return [f"{xxhash.xxh32_intdigest(f'{prompt}/{i}'.encode()) % 9973} " for i in range(count)]
 
 
-FetchKv = Callable[[Kv], Awaitable[int]]
+FetchKv = Callable[[KvReference], Awaitable[int]]
 
 
 class Engine:
-    """An engine in process; ``run`` must run for as long as it lives."""
+    """An engine in this process; ``run`` must run during its whole lifetime.
+
+    Attributes:
+        settings: Size and speed of the engine.
+        faults: Faults that are simulated now.
+        leaving: Whether the engine refuses new orders.
+        counts: Numbers of operations and tokens by name.
+        memory: Reserved memory in tokens by request, attempt and kind of work.
+        fence: Highest fencing token accepted.
+        state: State set by commands, by kind.
+    """
 
     def __init__(self, settings: EngineSettings, fetch_kv: FetchKv) -> None:
         self.settings = settings
@@ -141,75 +210,83 @@
         self.memory: dict[tuple[str, int, str], int] = {}
         self._fetch_kv = fetch_kv
         self._streams: dict[str, _Stream] = {}
-        self._kv_expiry: dict[tuple[str, int], float] = {}
-        self._cancelled: dict[str, tuple[int, float]] = {}
-        self._waiting_tokens = 0
+        self._kv_expires_at: dict[tuple[str, int], float] = {}
+        self._cancellations: dict[str, tuple[int, float]] = {}
+        self._queued_tokens = 0
         self._prefill_lock = trio.StrictFIFOLock()
-        self._scopes: dict[tuple[str, int, str], trio.CancelScope] = {}
+        self._prefill_scopes: dict[tuple[str, int, str], trio.CancelScope] = {}
         self._nursery: trio.Nursery | None = None
         self.fence = 0
         self.state: dict[str, str] = {}
-        self._cache: dict[int, float] = {}
-        self._events: list[tuple[float, dict[str, Any]]] = []
-        self._event_count = 0
-        self._held_back: Chunk | None = None
-        self._reports: list[tuple[float, dict[str, Any]]] = []
+        self._prefix_used_at: dict[int, float] = {}
+        self._past_cache_events: list[tuple[float, dict[str, Any]]] = []
+        self._cache_event_count = 0
+        self._swapped_chunk: Chunk | None = None
+        self._past_reports: list[tuple[float, dict[str, Any]]] = []
 
     @property
     def memory_used(self) -> int:
-        """Tokens of memory held now."""
+        """Memory reserved now, in tokens."""
         return sum(self.memory.values())
 
     @property
     def running(self) -> int:
-        """Decodes in progress; finished ones that can still be read don't count."""
+        """Number of decodes in progress, without finished decodes that can still be read."""
         return sum(not stream.done for stream in self._streams.values())
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Expire KV and take reports until cancelled."""
+        """Expire KV and record load reports until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             task_status.started()
             while True:
                 self._expire(trio.current_time())
                 if not self.faults.get("stale_report"):
-                    self._reports.append((trio.current_time(), self._report()))
-                    del self._reports[:-20]
+                    self._past_reports.append((trio.current_time(), self._current_report()))
+                    del self._past_reports[:-20]
                 await trio.sleep(0.1)
 
-    async def prefill(self, order: Order) -> Kv:
-        """Compute a prompt's KV and keep it for a few seconds."""
-        await self._hang()
-        self._check_new(order)
+    async def prefill(self, order: Order) -> KvReference:
+        """Compute a prompt's KV and keep it for ``kv_keep_s`` seconds.
+
+        Raises:
+            OrderRefusedError: The engine is leaving, its memory is full or the order is cancelled.
+        """
+        await self._hang_if_faulty()
+        self._check_admission(order)
         size = prompt_tokens(order.prompt + order.resumed_text)
         self._reserve((order.request, order.attempt, "prefill"), size)
-        kv: Kv = await self._go_on(partial(self._compute, order, size))
+        kv: KvReference = await self._run_detached(partial(self._compute, order, size))
         return kv
 
-    async def _compute(self, order: Order, size: int) -> Kv:
+    async def _compute(self, order: Order, size: int) -> KvReference:
         key = (order.request, order.attempt, "prefill")
-        self._waiting_tokens += size
-        scope = self._scopes[key] = trio.CancelScope()
+        self._queued_tokens += size
+        scope = self._prefill_scopes[key] = trio.CancelScope()
         with scope:
             async with self._prefill_lock:
                 self.counts["prefill_tokens"] += size
-                new = size - self._take_cached(order.prompt, size)
-                self.counts["computed_tokens"] += new
+                computed = size - self._use_cached_prefix(order.prompt, size)
+                self.counts["computed_tokens"] += computed
                 slow_s = self.faults.get("slow_prefill_s", 0.0)
-                await trio.sleep(new / self.settings.prefill_rate + slow_s)
-        self._waiting_tokens -= size
-        del self._scopes[key]
+                await trio.sleep(computed / self.settings.prefill_rate + slow_s)
+        self._queued_tokens -= size
+        del self._prefill_scopes[key]
         if scope.cancelled_caught:
             raise OrderRefusedError(409, "cancelled")
         self.counts["prefills"] += 1
-        until = trio.current_time() + self.settings.kv_keep_s
-        self._kv_expiry[order.request, order.attempt] = until
-        return Kv(self.settings.name, order.request, order.attempt)
+        expires_at = trio.current_time() + self.settings.kv_keep_s
+        self._kv_expires_at[order.request, order.attempt] = expires_at
+        return KvReference(self.settings.name, order.request, order.attempt)
 
     async def export_kv(self, request: str, attempt: int) -> int:
-        """Send a prefill's KV over the link; afterwards it is held no more."""
+        """Transfer a prefill's KV, release its memory and return its size in tokens.
+
+        Raises:
+            OrderRefusedError: The KV has expired or is unknown.
+        """
         size = self.memory.get((request, attempt, "prefill"))
-        if size is None or (request, attempt) not in self._kv_expiry:
+        if size is None or (request, attempt) not in self._kv_expires_at:
             raise OrderRefusedError(410, "kv_gone")
         await trio.sleep(size / self.settings.link_rate)
         self._release((request, attempt, "prefill"))
@@ -217,27 +294,31 @@
         self.counts["kv_used_tokens"] += size
         return size
 
-    async def decode(self, order: Order, kv: Kv) -> AsyncIterator[Chunk]:
-        """Import KV, then start to decode; the stream can be read at once."""
-        await self._hang()
-        self._check_new(order)
+    async def decode(self, order: Order, kv: KvReference) -> AsyncIterator[Chunk]:
+        """Import KV, start to decode and return the stream.
+
+        Raises:
+            OrderRefusedError: The engine refuses the order, or the KV cannot be imported.
+        """
+        await self._hang_if_faulty()
+        self._check_admission(order)
         if self.running >= self.settings.slots:
             raise OrderRefusedError(503, "full")
         await trio.sleep(self.faults.pop("slow_decode_s", 0.0))
         key = (order.request, order.attempt, "decode")
         self._reserve(key, prompt_tokens(order.prompt) + order.max_tokens)
         stream = self._streams[order.request] = _Stream(order)
-        await self._go_on(partial(self._import_kv, stream, kv))
+        await self._run_detached(partial(self._import_kv, stream, kv))
         return self._read(stream, order.position)
 
-    async def _import_kv(self, stream: _Stream, kv: Kv) -> None:
+    async def _import_kv(self, stream: _Stream, kv: KvReference) -> None:
         try:
             if kv.engine == self.settings.name:
                 await self.export_kv(kv.request, kv.attempt)
             else:
                 await self._fetch_kv(kv)
         except OrderRefusedError:
-            self._drop_stream(stream)
+            self._remove_stream(stream)
             raise
         if stream.cancelled:
             raise OrderRefusedError(409, "cancelled")
@@ -246,8 +327,12 @@
         self._nursery.start_soon(self._generate, stream)
 
     async def resume(self, request: str, attempt: int, position: int) -> AsyncIterator[Chunk]:
-        """Read a running stream again from a position; an older reader stops."""
-        await self._hang()
+        """Read a stream again from a position; the previous reader of the stream stops.
+
+        Raises:
+            OrderRefusedError: The attempt has no stream at this engine.
+        """
+        await self._hang_if_faulty()
         stream = self._streams.get(request)
         if stream is None or stream.order.attempt != attempt or stream.cancelled:
             raise OrderRefusedError(410, "stream_gone")
@@ -255,71 +340,79 @@
         return self._read(stream, position)
 
     def cancel(self, request: str, attempt: int) -> None:
-        """Drop all work of a request up to an attempt, also what arrives later."""
+        """Cancel all work of a request up to an attempt, including orders that arrive later."""
         if self.faults.get("lose_cancels", 0) > 0:
             self.faults["lose_cancels"] -= 1
             raise OrderRefusedError(503, "cancel_lost")
         self.counts["cancels"] += 1
-        self._cancelled[request] = (attempt, trio.current_time() + _TOMBSTONE_S)
+        self._cancellations[request] = (attempt, trio.current_time() + _CANCELLATION_RETENTION_S)
         for key in [key for key in self.memory if key[0] == request and key[1] <= attempt]:
-            if key in self._scopes:
-                self._scopes[key].cancel()
+            if key in self._prefill_scopes:
+                self._prefill_scopes[key].cancel()
             self._release(key)
         stream = self._streams.get(request)
         if stream is not None and stream.order.attempt <= attempt:
             stream.cancelled = True
-            stream.wake()
+            stream.notify_readers()
             self._streams.pop(request)
 
-    def give_order(self, kind: str, value: str, fence: int) -> None:
-        """Take a desired state; one that checks fences refuses an old order."""
+    def apply_command(self, kind: str, value: str, fence: int) -> None:
+        """Set a desired state.
+
+        Raises:
+            OrderRefusedError: The engine checks fencing tokens and the token is stale.
+        """
         if self.settings.checks_fences and fence <= self.fence:
             raise OrderRefusedError(409, f"fence {self.fence}")
         self.fence = fence
         self.state[kind] = value
 
     def cache_events(self, after: int) -> dict[str, Any]:
-        """Give cache events after a number, late, and with some of them lost."""
-        seen = trio.current_time() - self.settings.event_lag_s
-        old = [event for at, event in self._events if at <= seen]
-        last = old[-1]["number"] if old else 0
-        events = [event for event in old if event["number"] > after]
+        """Return the cache events after a number, with the simulated delay and losses."""
+        visible_until = trio.current_time() - self.settings.event_lag_s
+        visible = [
+            event for created_at, event in self._past_cache_events if created_at <= visible_until
+        ]
+        last_number = visible[-1]["number"] if visible else 0
+        events = [event for event in visible if event["number"] > after]
         lost = self.faults.pop("lose_events", 0)
-        return {"cache_events": events[lost:], "last_event": last}
+        return {"cache_events": events[lost:], "last_event": last_number}
 
-    def _take_cached(self, prompt: str, size: int) -> int:
-        """Tell how many tokens of a prompt are cached, and cache its prefix."""
+    def _use_cached_prefix(self, prompt: str, size: int) -> int:
+        """Return the number of cached tokens of a prompt, and cache its prefix."""
         data = prompt.encode()[:PREFIX_BYTES]
         prefix = xxhash.xxh3_64_intdigest(data)
-        hit = prefix in self._cache
-        self._cache.pop(prefix, None)
-        self._cache[prefix] = trio.current_time()
-        if not hit:
-            self._note_event(prefix, stored=True)
-        while len(self._cache) > self.settings.cached_prefixes:
-            oldest = next(iter(self._cache))
-            del self._cache[oldest]
-            self._note_event(oldest, stored=False)
-        return min(size, len(data) // 4) if hit else 0
-
-    def _note_event(self, prefix: int, stored: bool) -> None:
-        self._event_count += 1
-        event = {"number": self._event_count, "prefix": prefix, "stored": stored}
-        self._events.append((trio.current_time(), event))
-        del self._events[:-1000]
+        is_cached = prefix in self._prefix_used_at
+        self._prefix_used_at.pop(prefix, None)
+        self._prefix_used_at[prefix] = trio.current_time()
+        if not is_cached:
+            self._record_cache_event(prefix, stored=True)
+        while len(self._prefix_used_at) > self.settings.max_cached_prefixes:
+            oldest = next(iter(self._prefix_used_at))
+            del self._prefix_used_at[oldest]
+            self._record_cache_event(oldest, stored=False)
+        return min(size, len(data) // 4) if is_cached else 0
+
+    def _record_cache_event(self, prefix: int, stored: bool) -> None:
+        self._cache_event_count += 1
+        event = {"number": self._cache_event_count, "prefix": prefix, "stored": stored}
+        self._past_cache_events.append((trio.current_time(), event))
+        del self._past_cache_events[:-1000]
 
     def report(self) -> dict[str, Any]:
-        """Give the load as it was one report lag ago."""
-        seen = trio.current_time() - self.settings.report_lag_s
-        old = [report for at, report in self._reports if at <= seen]
-        return old[-1] if old else self._report()
-
-    def _report(self) -> dict[str, Any]:
+        """Return the load of ``report_lag_s`` seconds ago."""
+        visible_until = trio.current_time() - self.settings.report_lag_s
+        visible = [
+            report for created_at, report in self._past_reports if created_at <= visible_until
+        ]
+        return visible[-1] if visible else self._current_report()
+
+    def _current_report(self) -> dict[str, Any]:
         return {
             "endpoint": self.settings.name,
             "slots": self.settings.slots,
             "running": self.running,
-            "waiting_tokens": self._waiting_tokens,
+            "waiting_tokens": self._queued_tokens,
             "memory_tokens": self.settings.memory_tokens,
             "memory_free_tokens": self.settings.memory_tokens - self.memory_used,
             "leaving": self.leaving,
@@ -327,8 +420,8 @@
             "prefill_tokens_per_s": self.settings.prefill_rate,
         }
 
-    async def _go_on(self, work: Callable[[], Awaitable[Any]]) -> Any:
-        """Await work that goes on although the one who ordered it has gone."""
+    async def _run_detached(self, work: Callable[[], Awaitable[Any]]) -> Any:
+        """Await work in a task of its own, which continues when the caller is cancelled."""
         results: list[Any] = []
         done = trio.Event()
 
@@ -346,15 +439,15 @@
             raise results[0]
         return results[0]
 
-    async def _hang(self) -> None:
+    async def _hang_if_faulty(self) -> None:
         if self.faults.get("hang"):
             await trio.sleep_forever()
 
-    def _check_new(self, order: Order) -> None:
+    def _check_admission(self, order: Order) -> None:
         if self.leaving:
             self.counts["refused_leaving"] += 1
             raise OrderRefusedError(503, "leaving")
-        attempt, _ = self._cancelled.get(order.request, (-1, 0.0))
+        attempt, _ = self._cancellations.get(order.request, (-1, 0.0))
         if order.attempt <= attempt:
             raise OrderRefusedError(409, "cancelled")
 
@@ -366,16 +459,20 @@
     def _release(self, key: tuple[str, int, str]) -> None:
         self.memory.pop(key, None)
         if key[2] == "prefill":
-            self._kv_expiry.pop(key[:2], None)
+            self._kv_expires_at.pop(key[:2], None)
 
     def _expire(self, now: float) -> None:
-        for request, attempt in [key for key, until in self._kv_expiry.items() if until < now]:
+        for request, attempt in [
+            key for key, expires_at in self._kv_expires_at.items() if expires_at < now
+        ]:
             self.counts["kv_expired"] += 1
             self._release((request, attempt, "prefill"))
-        for request in [name for name, (_, until) in self._cancelled.items() if until < now]:
-            del self._cancelled[request]
+        for request in [
+            name for name, (_, expires_at) in self._cancellations.items() if expires_at < now
+        ]:
+            del self._cancellations[request]
 
-    def _drop_stream(self, stream: _Stream) -> None:
+    def _remove_stream(self, stream: _Stream) -> None:
         order = stream.order
         self._release((order.request, order.attempt, "decode"))
         if self._streams.get(order.request) is stream:
@@ -392,33 +489,35 @@
             if stream.cancelled:
                 return
             stream.tokens.append(token)
-            stream.wake()
+            stream.notify_readers()
         stream.done = True
-        stream.wake()
+        stream.notify_readers()
         self._release((order.request, order.attempt, "decode"))
-        # The finished text stays readable for as long as KV would, so that a
-        # chunk lost at the very end can be asked for again.
+        # The finished stream stays readable for kv_keep_s, so that a router can resume it
+        # when the last chunk was lost.
         await trio.sleep(self.settings.kv_keep_s)
-        self._drop_stream(stream)
+        self._remove_stream(stream)
 
     async def _read(self, stream: _Stream, position: int) -> AsyncIterator[Chunk]:
-        stream.reader += 1
-        reader = stream.reader
+        stream.reader_number += 1
+        reader_number = stream.reader_number
         owner = f"{stream.order.request}.{stream.order.attempt}"
-        stream.wake()
-        while not stream.cancelled and stream.reader == reader:
-            news = stream.news
+        stream.notify_readers()
+        while not stream.cancelled and stream.reader_number == reader_number:
+            changed = stream.changed
             while position < len(stream.tokens):
                 last = position + 1 == stream.order.max_tokens
-                for chunk in self._spoil(Chunk(owner, position, stream.tokens[position], last)):
+                for chunk in self._apply_stream_faults(
+                    Chunk(owner, position, stream.tokens[position], last)
+                ):
                     yield chunk
                 position += 1
             if stream.done:
                 return
-            await news.wait()
+            await changed.wait()
 
-    def _spoil(self, chunk: Chunk) -> list[Chunk]:
-        """Apply the faults of this engine to one chunk; each strikes once."""
+    def _apply_stream_faults(self, chunk: Chunk) -> list[Chunk]:
+        """Apply this engine's stream faults to a chunk; each fault applies once."""
         at = chunk.position
         if self.faults.get("cut_at") == at:
             del self.faults["cut_at"]
@@ -434,9 +533,9 @@
             return [chunk._replace(owner="another-request.0", text="WRONG "), chunk]
         if self.faults.get("swap_at") == at:
             del self.faults["swap_at"]
-            self._held_back = chunk
+            self._swapped_chunk = chunk
             return []
-        held_back, self._held_back = self._held_back, None
-        if held_back is not None and held_back.owner == chunk.owner:
-            return [chunk, held_back]
+        swapped_chunk, self._swapped_chunk = self._swapped_chunk, None
+        if swapped_chunk is not None and swapped_chunk.owner == chunk.owner:
+            return [chunk, swapped_chunk]
         return [chunk]
--- a/standins/engine_app.py
+++ b/standins/engine_app.py
@@ -1,4 +1,4 @@
-"""The model engine over HTTP, in the field's usual forms."""
+"""Serves the simulated model engine over HTTP, with the usual completions API."""
 
 import json
 from collections.abc import AsyncIterator
@@ -8,16 +8,16 @@
 from quart import Response, request
 from quart_trio import QuartTrio
 
-from standins.engine import Chunk, Engine, EngineSettings, Kv, Order, OrderRefusedError
+from standins.engine import Chunk, Engine, EngineSettings, KvReference, Order, OrderRefusedError
 
-__all__ = ["build_app", "build_engine", "event_data"]
+__all__ = ["build_app", "build_engine", "encode_event_data"]
 
 
 def build_engine(settings: EngineSettings) -> Engine:
-    """Make an engine that fetches KV from other engines over HTTP."""
+    """Build an engine that fetches KV from other engines over HTTP."""
     client = httpx.AsyncClient(timeout=30.0)
 
-    async def fetch(kv: Kv) -> int:
+    async def fetch(kv: KvReference) -> int:
         try:
             answer = await client.post(
                 f"http://{kv.engine}/kv/export",
@@ -33,11 +33,11 @@
 
 
 def build_app(engine: Engine) -> QuartTrio:
-    """Serve the engine; ``/admin`` is for demos and tests."""
+    """Build the app that serves an engine; ``/admin`` is for demos and tests."""
     app = QuartTrio(__name__)
 
     @app.errorhandler(OrderRefusedError)
-    async def refused(error: OrderRefusedError) -> tuple[dict[str, Any], int]:
+    async def refuse_order(error: OrderRefusedError) -> tuple[dict[str, Any], int]:
         return {"error": {"code": error.code, "ran": "no"}}, error.status
 
     @app.post("/v1/completions")
@@ -52,7 +52,7 @@
     async def resume() -> Response:
         body = await request.get_json()
         chunks = await engine.resume(body["request"], body["attempt"], body["position"])
-        return _stream(chunks, chat=body["chat"], model=body["model"])
+        return _build_stream_response(chunks, chat=body["chat"], model=body["model"])
 
     @app.post("/v1/cancel")
     async def cancel() -> dict[str, Any]:
@@ -70,16 +70,16 @@
         return engine.report() | engine.cache_events(request.args.get("events_after", 0, type=int))
 
     @app.post("/v1/orders")
-    async def give_order() -> dict[str, Any]:
+    async def apply_command() -> dict[str, Any]:
         body = await request.get_json()
-        engine.give_order(body["kind"], body["value"], body["fence"])
+        engine.apply_command(body["kind"], body["value"], body["fence"])
         return {}
 
     @app.get("/admin/ledger")
     async def ledger() -> dict[str, Any]:
         held = ["/".join(map(str, key)) for key in engine.memory]
-        books = {"memory": engine.memory_used, "held": held, "counts": engine.counts}
-        return books | {"state": engine.state, "fence": engine.fence}
+        totals = {"memory": engine.memory_used, "held": held, "counts": engine.counts}
+        return totals | {"state": engine.state, "fence": engine.fence}
 
     @app.post("/admin/faults")
     async def faults() -> dict[str, Any]:
@@ -92,7 +92,7 @@
 
 
 async def _serve_order(engine: Engine, chat: bool) -> Response:
-    """Prefill or decode, as ``kv_transfer_params`` says."""
+    """Prefill or decode, depending on ``kv_transfer_params`` in the body."""
     body = await request.get_json()
     transfer = body["kv_transfer_params"]
     order = _read_order(body)
@@ -109,11 +109,13 @@
         }
         return Response(json.dumps(answer), content_type="application/json")
     address = f"{transfer['remote_host']}:{transfer['remote_port']}"
-    same = transfer["remote_engine_id"] == engine.settings.name
-    kv = Kv(
-        engine.settings.name if same else address, order.request, transfer["remote_block_ids"][0]
+    is_local = transfer["remote_engine_id"] == engine.settings.name
+    kv = KvReference(
+        engine.settings.name if is_local else address,
+        order.request,
+        transfer["remote_block_ids"][0],
     )
-    return _stream(await engine.decode(order, kv), chat, body["model"])
+    return _build_stream_response(await engine.decode(order, kv), chat, body["model"])
 
 
 def _read_order(body: dict[str, Any]) -> Order:
@@ -131,18 +133,18 @@
     )
 
 
-def _stream(chunks: AsyncIterator[Chunk], chat: bool, model: str) -> Response:
+def _build_stream_response(chunks: AsyncIterator[Chunk], chat: bool, model: str) -> Response:
     async def events() -> AsyncIterator[bytes]:
         async for chunk in chunks:
-            yield _event(chunk, chat, model)
+            yield _encode_event(chunk, chat, model)
 
     response = Response(events(), content_type="text/event-stream")
     response.timeout = None
     return response
 
 
-def event_data(chunk: Chunk, chat: bool, model: str) -> bytes:
-    """Write one chunk's data in the usual form."""
+def encode_event_data(chunk: Chunk, chat: bool, model: str) -> bytes:
+    """Encode the data of a chunk as a completions API chunk in JSON."""
     content: dict[str, Any] = {"delta": {"content": chunk.text}} if chat else {"text": chunk.text}
     choice = {"index": 0, "finish_reason": "length" if chunk.last else None, **content}
     data = {
@@ -155,10 +157,10 @@
     return json.dumps(data).encode()
 
 
-def _event(chunk: Chunk, chat: bool, model: str) -> bytes:
-    """Write one chunk as an event; the last one is followed by the usual end mark."""
+def _encode_event(chunk: Chunk, chat: bool, model: str) -> bytes:
+    """Encode a chunk as a server-sent event; the ``[DONE]`` event follows the last chunk."""
     owner = chunk.owner.encode()
-    data = event_data(chunk, chat, model)
+    data = encode_event_data(chunk, chat, model)
     event = b"id: %b:%d\ndata: %b\n\n" % (owner, chunk.position, data)
     if chunk.last:
         event += b"id: %b:%d\ndata: [DONE]\n\n" % (owner, chunk.position + 1)
--- a/standins/fakes.py
+++ b/standins/fakes.py
@@ -1,6 +1,7 @@
-"""Small fakes at the instance's interfaces: endpoints, platform, peers, callers.
+"""Fakes for the interfaces of an instance: endpoints, platform, peers and callers.
 
-They carry calls to the stand-ins in process, on virtual time, and can be cut.
+They pass calls to the stand-ins in the same process, in virtual time, and can
+simulate failures of connections and processes.
 """
 
 import math
@@ -36,15 +37,27 @@
 from cleatlink.serving.peers import Peers
 from cleatlink.serving.platform import Document, DocumentKind, Platform
 from standins import engine as engines
-from standins.engine_app import event_data
+from standins.engine_app import encode_event_data
 from standins.platform import Platform as PlatformStandin
 from standins.service import PlainService
 
+# Simulated latency of a call, in seconds.
 LATENCY_S = 0.001
 
 
 class Fleet:
-    """Engines and services in process, by address, and how they can be reached."""
+    """Engines and services in this process by address, and their simulated failures.
+
+    Attributes:
+        engines: Model engines by address.
+        services: Plain services by address.
+        dead: Addresses of the endpoints that are dead.
+        cut_calls: When calls to a service fail, by its address: ``before``, ``during`` or
+            ``after`` sending.
+        no_reports: Addresses of the endpoints that send no load reports.
+        death_events: Events that are set at an endpoint's death, by its address.
+        orders: Numbers of prefill and decode orders received, by address.
+    """
 
     def __init__(self) -> None:
         self.engines: dict[str, engines.Engine] = {}
@@ -52,22 +65,26 @@
         self.dead: set[str] = set()
         self.cut_calls: dict[str, str] = {}
         self.no_reports: set[str] = set()
-        self.died: dict[str, trio.Event] = {}
+        self.death_events: dict[str, trio.Event] = {}
         self.orders: Counter[str] = Counter()
 
     def engine(self, address: str) -> engines.Engine:
-        """Give the engine at an address, if it lives."""
+        """Return the engine at an address.
+
+        Raises:
+            EndpointUnreachableError: The engine is dead.
+        """
         if address in self.dead:
             raise EndpointUnreachableError(f"{address} is dead")
         return self.engines[address]
 
     def kill(self, address: str) -> None:
-        """Let a process die; its memory goes with it."""
+        """Kill an endpoint: its work in progress fails and its memory is no longer counted."""
         self.dead.add(address)
-        self.died.setdefault(address, trio.Event()).set()
+        self.death_events.setdefault(address, trio.Event()).set()
 
     def memory(self) -> dict[str, int]:
-        """Tokens held by each engine that lives."""
+        """Return the reserved memory of each running engine, in tokens by address."""
         return {
             name: engine.memory_used
             for name, engine in self.engines.items()
@@ -76,41 +93,47 @@
 
 
 class FakeClient(EndpointClient):
-    """Orders that reach the stand-ins in process."""
+    """Endpoint client that calls the stand-ins in this process.
+
+    Attributes:
+        fleet: The endpoints.
+        dead: Whether the instance of this client is dead.
+        stale_reports: Whether load reports never show that an endpoint is leaving.
+    """
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
         self.dead = False
         self.stale_reports = False
 
-    async def _reach(self, address: str) -> engines.Engine:
+    async def _connect(self, address: str) -> engines.Engine:
         if self.dead:
             await trio.sleep_forever()
         await trio.sleep(LATENCY_S)
         return self.fleet.engine(address)
 
     async def prefill(self, order: Order) -> KvHandle:
-        """Have an engine compute a prompt."""
+        """Have an engine compute and keep a prompt's KV."""
         address = order.endpoint.address
-        engine = await self._reach(address)
+        engine = await self._connect(address)
         self.fleet.orders[address] += 1
-        kv = await self._until_death(address, engine.prefill(_engine_order(order)))
+        kv = await self._run_until_death(address, engine.prefill(_to_engine_order(order)))
         return KvHandle(kv.engine, address, 0, (kv.attempt,))
 
     async def decode(self, order: Order, kv: KvHandle) -> EventStream:
-        """Have an engine stream from KV."""
-        engine = await self._reach(order.endpoint.address)
+        """Have an engine import KV and decode the answer."""
+        engine = await self._connect(order.endpoint.address)
         self.fleet.orders[order.endpoint.address] += 1
-        handle = engines.Kv(kv.engine, order.request, kv.blocks[0])
+        handle = engines.KvReference(kv.engine, order.request, kv.blocks[0])
         try:
-            chunks = await engine.decode(_engine_order(order), handle)
+            chunks = await engine.decode(_to_engine_order(order), handle)
         except engines.OrderRefusedError as error:
             raise EndpointRefusedError(error.code, error.code == "leaving") from error
         return FakeStream(chunks, order, self.fleet)
 
     async def resume(self, order: Order) -> EventStream:
-        """Read a running stream again."""
-        engine = await self._reach(order.endpoint.address)
+        """Read a stream again from the order's position."""
+        engine = await self._connect(order.endpoint.address)
         try:
             chunks = await engine.resume(order.request, order.attempt, order.position)
         except engines.OrderRefusedError as error:
@@ -118,21 +141,21 @@
         return FakeStream(chunks, order, self.fleet)
 
     async def cancel(self, address: str, request: str, attempt: int) -> None:
-        """Cancel an attempt."""
+        """Cancel all work of a request up to an attempt."""
         try:
-            (await self._reach(address)).cancel(request, attempt)
+            (await self._connect(address)).cancel(request, attempt)
         except engines.OrderRefusedError as error:
-            raise EndpointError("cancel lost") from error
+            raise EndpointError("engine did not accept the cancel") from error
 
     async def give_order(self, endpoint: Endpoint, order: FencedCommand) -> None:
-        """Refuse: no scenario gives orders."""
-        raise NotImplementedError("no scenario gives orders")
+        """Raise an error, since no scenario sends commands to endpoints."""
+        raise NotImplementedError("FakeClient does not support commands to endpoints")
 
     async def report(self, endpoint: Endpoint, role: Role, after: int) -> EndpointReport:
-        """Give an engine's load report."""
+        """Return the load and the cache events of an endpoint."""
         address = endpoint.address
         if self.dead or address in self.fleet.dead or address in self.fleet.no_reports:
-            raise EndpointError("no report")
+            raise EndpointError("endpoint sends no load report")
         await trio.sleep(LATENCY_S)
         if address in self.fleet.services:
             data: Mapping[str, Any] = {"leaving": self.fleet.services[address].leaving}
@@ -151,21 +174,23 @@
         address = endpoint.address
         if self.dead:
             await trio.sleep_forever()
-        cut = self.fleet.cut_calls.get(address, "")
-        if cut == "before" or address in self.fleet.dead:
-            raise EndpointUnreachableError("no connection")
-        if cut == "during":
-            raise OutcomeUnknownError("cut while sending")
+        failure_moment = self.fleet.cut_calls.get(address, "")
+        if failure_moment == "before" or address in self.fleet.dead:
+            raise EndpointUnreachableError("endpoint is unreachable")
+        if failure_moment == "during":
+            raise OutcomeUnknownError("connection failed while the call was sent")
         key = headers.get("idempotency-key", f"{method} {path}")
         answer = await self.fleet.services[address].execute(method, path, key, body)
-        if cut == "after":
-            raise OutcomeUnknownError("answer lost")
+        if failure_moment == "after":
+            raise OutcomeUnknownError("connection failed after the call ran")
         return PlainAnswer(200, {"content-type": "text/plain"}, answer)
 
-    async def _until_death(self, address: str, work: Awaitable[engines.Kv]) -> engines.Kv:
-        """Await work at an endpoint, but no longer than the endpoint lives."""
-        died = self.fleet.died.setdefault(address, trio.Event())
-        results: list[engines.Kv | engines.OrderRefusedError] = []
+    async def _run_until_death(
+        self, address: str, work: Awaitable[engines.KvReference]
+    ) -> engines.KvReference:
+        """Await work at an endpoint until it ends or the endpoint dies."""
+        death = self.fleet.death_events.setdefault(address, trio.Event())
+        results: list[engines.KvReference | engines.OrderRefusedError] = []
 
         async def wait_for_work() -> None:
             try:
@@ -176,7 +201,7 @@
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(wait_for_work)
-            await died.wait()
+            await death.wait()
             nursery.cancel_scope.cancel()
         if not results:
             raise OutcomeUnknownError("died")
@@ -187,20 +212,20 @@
 
 
 class FakeStream(EventStream):
-    """An engine's stream in process; it breaks when the engine dies."""
+    """Stream of an engine in this process; breaks when the engine dies."""
 
     def __init__(self, chunks: AsyncIterator[engines.Chunk], order: Order, fleet: Fleet) -> None:
         self._chunks = chunks
         self._order = order
         self._fleet = fleet
-        self._end: StreamEvent | None = None
+        self._end_event: StreamEvent | None = None
 
     def take_waiting(self) -> StreamEvent | None:
-        """Give an end that has arrived already."""
-        return self._end
+        """Return the end event if the last chunk has been read."""
+        return self._end_event
 
     async def read(self) -> StreamEvent:
-        """Read the next item."""
+        """Read the next event."""
         address = self._order.endpoint.address
         try:
             chunk = await anext(self._chunks)
@@ -209,8 +234,8 @@
         if address in self._fleet.dead:
             raise StreamBrokenError("died")
         if chunk.last:
-            self._end = StreamEvent(chunk.owner, chunk.position + 1, b"[DONE]", True)
-        data = event_data(chunk, self._order.chat, str(self._order.body["model"]))
+            self._end_event = StreamEvent(chunk.owner, chunk.position + 1, b"[DONE]", True)
+        data = encode_event_data(chunk, self._order.chat, str(self._order.body["model"]))
         return StreamEvent(chunk.owner, chunk.position, data, False)
 
     async def close(self) -> None:
@@ -218,44 +243,56 @@
         await self._chunks.aclose()  # type: ignore[attr-defined]
 
 
-def _engine_order(order: Order) -> engines.Order:
+def _to_engine_order(order: Order) -> engines.Order:
     prompt = extract_prompt(order.body, order.chat).decode()
-    limit = order.body["max_tokens"]
-    return engines.Order(order.request, order.attempt, prompt, limit, order.position, order.text)
+    max_tokens = order.body["max_tokens"]
+    return engines.Order(
+        order.request, order.attempt, prompt, max_tokens, order.position, order.text
+    )
 
 
 class FakePlatform(Platform):
-    """The platform's stand-in in process; can be cut off for one instance."""
+    """Platform stand-in in this process, as seen by one instance.
+
+    Attributes:
+        cut: Whether this instance cannot reach the platform.
+    """
 
     def __init__(self, platform: PlatformStandin) -> None:
         self._platform = platform
         self.cut = False
 
     async def read(self, kind: DocumentKind) -> Document | None:
-        """Read the next item."""
+        """Read the newest revision of a document."""
         await trio.sleep(LATENCY_S)
-        self._check()
-        return _document(self._platform.read(kind.value))
+        self._check_available()
+        return _to_document(self._platform.read(kind.value))
 
     async def watch(self, kind: DocumentKind, after: int) -> Document | None:
-        """Wait for a newer revision."""
-        self._check()
+        """Wait for a revision other than ``after``."""
+        self._check_available()
         document = await self._platform.watch(kind.value, after, 10.0)
-        self._check()
-        return _document(document)
+        self._check_available()
+        return _to_document(document)
 
-    def _check(self) -> None:
-        self._platform.calls += 1
+    def _check_available(self) -> None:
+        self._platform.call_count += 1
         if self._platform.down or self.cut:
             raise PlatformError("down")
 
 
-def _document(data: dict[str, Any] | None) -> Document | None:
+def _to_document(data: dict[str, Any] | None) -> Document | None:
     return None if data is None else Document(data["revision"], data["value"])
 
 
 class Network:
-    """Peers' messages in process; pairs of addresses can be cut."""
+    """Carries messages between the instances in this process.
+
+    Attributes:
+        links: Links by address.
+        cuts: Pairs of addresses that cannot reach each other.
+        lose_kinds: Kinds of messages that are lost.
+    """
 
     def __init__(self) -> None:
         self.links: dict[str, FakeLink] = {}
@@ -263,82 +300,105 @@
         self.lose_kinds: set[str] = set()
 
     def cut(self, left: list[str], right: list[str]) -> None:
-        """Cut every pair of the two sides."""
+        """Disconnect each address of one side from each address of the other."""
         self.cuts |= {frozenset((a, b)) for a in left for b in right}
 
-    def reaches(self, sender: str, receiver: str) -> bool:
-        """Tell whether one address reaches another."""
+    def is_connected(self, sender: str, receiver: str) -> bool:
+        """Check that both instances are alive and the connection between them works."""
         links = self.links
         alive = all(name in links and not links[name].dead for name in (sender, receiver))
         return alive and frozenset((sender, receiver)) not in self.cuts
 
 
 class FakeLink(PeerLink):
-    """One instance's link to its peers in process."""
+    """Link of an instance to its peers in this process.
+
+    Attributes:
+        dead: Whether the instance is dead.
+        peers: Answers the requests of peers; set after the entry is created.
+    """
 
     def __init__(self, network: Network, address: str) -> None:
         self._network = network
         self._address = address
-        self._send, self._receive = trio.open_memory_channel[tuple[bytes, str]](1000)
+        self._inbox_sender, self._inbox_receiver = trio.open_memory_channel[tuple[bytes, str]](1000)
         self.dead = False
         self.peers: Peers | None = None
         network.links[address] = self
 
     @property
     def address(self) -> str:
-        """Where peers are heard."""
+        """Address at which this instance receives messages."""
         return self._address
 
     def send(self, address: str, data: bytes) -> None:
-        """Send a message to a peer."""
+        """Send a message to a peer; it may be lost."""
         message = decode_message(data)
         assert message is not None
         lost = message.kind in self._network.lose_kinds
-        if not lost and self._network.reaches(self._address, address):
+        if not lost and self._network.is_connected(self._address, address):
             link = self._network.links[address]
-            link._send.send_nowait((data, self._address))
+            link._inbox_sender.send_nowait((data, self._address))
 
     async def receive(self) -> tuple[Message | None, str]:
-        """Receive a message."""
-        data, sender = await self._receive.receive()
+        """Receive a message and its sender's address."""
+        data, sender = await self._inbox_receiver.receive()
         return decode_message(data), sender
 
     async def ask(self, address: str, path: str, body: bytes) -> bytes:
-        """Ask a peer and wait for its answer."""
+        """Send a request to a peer and wait for the response.
+
+        Raises:
+            PeerUnreachableError: The peer cannot be reached.
+        """
         await trio.sleep(LATENCY_S)
-        if not self._network.reaches(self._address, address):
-            raise PeerUnreachableError("no connection")
+        if not self._network.is_connected(self._address, address):
+            raise PeerUnreachableError("peer is unreachable")
         peers = self._network.links[address].peers
         assert peers is not None
         return await peers.answer(path, body)
 
 
 class Caller:
-    """Calls an ASGI app in process and can go away at any time."""
+    """Caller of an ASGI app in this process, which can disconnect at any time.
+
+    Attributes:
+        withhold_body: Whether the request's body is never sent.
+        receive_delay_s: Delay before each message of the response is received, in seconds.
+        finished_at: Time at which the response ended; infinite before that.
+        asked_at: Time at which the request was sent; infinite before that.
+        token_times: Times at which tokens were received.
+        status: Status of the response; 0 before it arrives.
+        headers: Headers of the response, with names in lower case.
+        body: Body received up to now.
+        changed: Is set, and replaced by a new event, at each message of the response.
+    """
 
     def __init__(self, app: Any) -> None:
         self._app = app
-        self._gone = trio.Event()
-        self._sent = False
+        self._disconnected = trio.Event()
+        self._body_sent = False
         self.withhold_body = False
-        self.slow_s = 0.0
+        self.receive_delay_s = 0.0
         self.finished_at = math.inf
         self.asked_at = math.inf
         self.token_times: list[float] = []
         self.status = 0
         self.headers: dict[str, str] = {}
         self.body = b""
-        self.news = trio.Event()
+        self.changed = trio.Event()
 
     def go_away(self) -> None:
         """Disconnect."""
-        self._gone.set()
+        self._disconnected.set()
 
     async def request(
         self, method: str, path: str, body: bytes, headers: Mapping[str, str]
     ) -> "Caller":
-        """Send one request and take its answer."""
-        raw = [(name.lower().encode(), value.encode()) for name, value in headers.items()]
+        """Send a request and receive its response."""
+        encoded_headers = [
+            (name.lower().encode(), value.encode()) for name, value in headers.items()
+        ]
         scope = {
             "type": "http",
             "asgi": {"version": "3.0"},
@@ -349,7 +409,7 @@
             "raw_path": path.encode(),
             "query_string": b"",
             "root_path": "",
-            "headers": [(b"content-length", str(len(body)).encode()), *raw],
+            "headers": [(b"content-length", str(len(body)).encode()), *encoded_headers],
             "client": ("127.0.0.1", 1),
             "server": ("127.0.0.1", 80),
             "state": {},
@@ -357,48 +417,48 @@
         }
 
         async def receive() -> dict[str, Any]:
-            if not self._sent and not self.withhold_body:
-                self._sent = True
+            if not self._body_sent and not self.withhold_body:
+                self._body_sent = True
                 return {"type": "http.request", "body": body, "more_body": False}
-            await self._gone.wait()
+            await self._disconnected.wait()
             return {"type": "http.disconnect"}
 
         self.asked_at = trio.current_time()
-        await self._app(scope, receive, self._take)
+        await self._app(scope, receive, self._handle_message)
         return self
 
-    async def _take(self, message: dict[str, Any]) -> None:
-        await trio.sleep(self.slow_s)
+    async def _handle_message(self, message: dict[str, Any]) -> None:
+        await trio.sleep(self.receive_delay_s)
         if message["type"] == "http.response.body" and not message.get("more_body", False):
             self.finished_at = trio.current_time()
         if message["type"] == "http.response.start":
             self.status = message["status"]
             self.headers = {k.decode().lower(): v.decode() for k, v in message["headers"]}
-        elif message["type"] == "http.response.body" and not self._gone.is_set():
+        elif message["type"] == "http.response.body" and not self._disconnected.is_set():
             self.body += message.get("body", b"")
             self.token_times += [trio.current_time()] * message.get("body", b"").count(b"id: ")
-        self.news.set()
-        self.news = trio.Event()
+        self.changed.set()
+        self.changed = trio.Event()
 
     @property
     def ids(self) -> list[int]:
-        """Event ids received."""
+        """Ids of the events received."""
         lines = self.body.decode().splitlines()
         return [int(line[4:]) for line in lines if line.startswith("id: ")]
 
     @property
     def ended(self) -> int:
-        """End marks received."""
+        """Number of ``[DONE]`` events received."""
         return self.body.count(b"data: [DONE]")
 
     @property
     def text(self) -> str:
-        """Text received in events."""
+        """Text of the events received."""
         lines = self.body.decode().splitlines()
         data = [msgspec.json.decode(line[6:]) for line in lines if line.startswith("data: {")]
         return "".join(item["choices"][0]["text"] for item in data if "choices" in item)
 
     @property
     def error(self) -> dict[str, Any]:
-        """The error of a refusal."""
+        """Error object of a refusal's body."""
         return dict(msgspec.json.decode(self.body)["error"])
--- a/standins/main.py
+++ b/standins/main.py
@@ -1,4 +1,4 @@
-"""Runs one stand-in as a process; prints its address as the first line."""
+"""Runs one stand-in as a process that prints its address as JSON in the first line."""
 
 import json
 from collections.abc import Awaitable, Callable
@@ -18,7 +18,12 @@
 async def serve_standin(
     app: QuartTrio, background: Callable[..., Awaitable[Any]] | None = None
 ) -> None:
-    """Serve an app on a port that the system picks."""
+    """Serve an app on a port that the system assigns, and print its address.
+
+    Args:
+        app: App to serve.
+        background: Function that runs beside the app, started with ``nursery.start``.
+    """
     config = Config()
     config.bind = ["127.0.0.1:0"]
     config.loglevel = "ERROR"
@@ -43,8 +48,8 @@
 def engine(name: str, token_s: float, slots: int, kv_keep_s: float) -> None:
     """Run a model engine."""
     settings = EngineSettings(name, token_s=token_s, slots=slots, kv_keep_s=kv_keep_s)
-    built = engine_app.build_engine(settings)
-    trio.run(serve_standin, engine_app.build_app(built), built.run)
+    simulated_engine = engine_app.build_engine(settings)
+    trio.run(serve_standin, engine_app.build_app(simulated_engine), simulated_engine.run)
 
 
 @main.command("service")
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,6 +1,7 @@
-"""The platform: configuration and instance list, read and watched, never written.
+"""Stand-in for the platform, which publishes the configuration and the instance list.
 
-It can be down, answer from an old replica, and lag; it counts every call.
+Routers only read and watch these documents. The platform can be down or answer
+from an old replica, and counts every call.
 """
 
 from typing import Any
@@ -11,64 +12,77 @@
 
 __all__ = ["Platform", "build_app"]
 
-_KINDS = ("config", "instances")
+_DOCUMENT_KINDS = ("config", "instances")
 
 
 class Platform:
-    """Holds every published revision of both documents."""
+    """Keeps every published revision of both documents.
+
+    Attributes:
+        published: Revisions by kind of document, oldest first.
+        down: Whether the platform refuses all calls.
+        stale_kinds: Kinds of documents that are answered from an old replica.
+        call_count: Number of calls received.
+    """
 
     def __init__(self) -> None:
-        self.published: dict[str, list[dict[str, Any]]] = {kind: [] for kind in _KINDS}
+        self.published: dict[str, list[dict[str, Any]]] = {kind: [] for kind in _DOCUMENT_KINDS}
         self.down = False
-        self.stale: set[str] = set()
-        self.calls = 0
-        self._news = trio.Event()
+        self.stale_kinds: set[str] = set()
+        self.call_count = 0
+        self._changed = trio.Event()
 
     def publish(self, kind: str, value: Any) -> int:
-        """Publish a new revision and wake those who watch."""
+        """Publish a document, wake its watchers and return the new revision."""
         revision = len(self.published[kind]) + 1
         self.published[kind].append({"revision": revision, "value": value})
-        self._wake()
+        self._wake_watchers()
         return revision
 
-    def set_faults(self, down: bool, stale: set[str]) -> None:
-        """Go down or stale, or recover; watchers are cut."""
-        self.down, self.stale = down, stale
-        self._wake()
+    def set_faults(self, down: bool, stale_kinds: set[str]) -> None:
+        """Set the faults and wake the watchers.
+
+        Args:
+            down: Whether the platform refuses all calls.
+            stale_kinds: Kinds of documents to answer from an old replica.
+        """
+        self.down, self.stale_kinds = down, stale_kinds
+        self._wake_watchers()
 
     def read(self, kind: str) -> dict[str, Any] | None:
-        """Give the newest revision, or the first one when stale."""
+        """Return the newest revision, the first revision if stale, or None if there is none."""
         documents = self.published[kind]
         if not documents:
             return None
-        return documents[0] if kind in self.stale else documents[-1]
+        return documents[0] if kind in self.stale_kinds else documents[-1]
 
     async def watch(self, kind: str, after: int, wait_s: float) -> dict[str, Any] | None:
-        """Wait for a revision other than ``after``; None when none came in time.
+        """Wait for a revision other than ``after``; return None if none is published.
 
-        A stale replica does not know that the caller's revision is newer.
+        Older revisions count too, because a stale replica does not know newer ones. The wait ends
+        after ``wait_s`` seconds, or when the platform goes down.
         """
         with trio.move_on_after(wait_s):
             while not self.down:
                 document = self.read(kind)
                 if document is not None and document["revision"] != after:
                     return document
-                await self._news.wait()
+                await self._changed.wait()
         return None
 
-    def _wake(self) -> None:
-        self._news.set()
-        self._news = trio.Event()
+    def _wake_watchers(self) -> None:
+        self._changed.set()
+        self._changed = trio.Event()
 
 
 def build_app(platform: Platform) -> QuartTrio:
-    """Serve the platform over HTTP; ``/admin`` is for demos and tests."""
+    """Build the app that serves the platform; ``/admin`` is for demos and tests."""
     app = QuartTrio(__name__)
 
     @app.get("/v1/<kind>")
     async def read(kind: str) -> Response | tuple[dict[str, Any], int]:
-        platform.calls += 1
-        if platform.down or kind not in _KINDS:
+        platform.call_count += 1
+        if platform.down or kind not in _DOCUMENT_KINDS:
             return Response(b"", status=503 if platform.down else 404)
         after = request.args.get("after", type=int)
         if after is None:
@@ -88,6 +102,6 @@
     async def faults() -> dict[str, Any]:
         body = await request.get_json()
         platform.set_faults(bool(body.get("down")), set(body.get("stale", ())))
-        return {"calls": platform.calls}
+        return {"calls": platform.call_count}
 
     return app
--- a/standins/service.py
+++ b/standins/service.py
@@ -1,4 +1,4 @@
-"""A plain service that counts executions by key, and can be slow or cut off."""
+"""Stand-in for a plain service that counts executions by key and can be slow or leaving."""
 
 from collections import Counter
 
@@ -10,7 +10,14 @@
 
 
 class PlainService:
-    """Counts every execution before it answers: the ledger of once-only calls."""
+    """Counts every execution before it answers, so that tests can detect repeated calls.
+
+    Attributes:
+        name: Name of the service.
+        executions: Number of executions by key.
+        delay_s: Duration of each execution in seconds.
+        leaving: Whether the service reports that it is leaving.
+    """
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -19,14 +26,14 @@
         self.leaving = False
 
     async def execute(self, method: str, path: str, key: str, body: bytes) -> bytes:
-        """Run one call: count it, wait as told, answer with what was asked."""
+        """Execute a call: count it, wait ``delay_s`` seconds, return the call's own content."""
         self.executions[key] += 1
         await trio.sleep(self.delay_s)
         return f"{method} {path} {key} ".encode() + body
 
 
 def build_app(service: PlainService) -> QuartTrio:
-    """Serve the plain service over HTTP, with its ledger and faults."""
+    """Build the app that serves a plain service; ``/admin`` is for demos and tests."""
     app = QuartTrio(__name__)
 
     @app.get("/load")
@@ -39,9 +46,9 @@
 
     @app.post("/admin/faults")
     async def faults() -> dict[str, object]:
-        settings = await request.get_json()
-        service.delay_s = settings.get("delay_s", service.delay_s)
-        service.leaving = settings.get("leaving", service.leaving)
+        changes = await request.get_json()
+        service.delay_s = changes.get("delay_s", service.delay_s)
+        service.leaving = changes.get("leaving", service.leaving)
         return {}
 
     @app.route("/<path:path>", methods=["GET", "POST", "PUT", "DELETE", "PATCH"])
--- a/standins/world.py
+++ b/standins/world.py
@@ -1,4 +1,4 @@
-"""A small fleet with whole entry instances in process, on virtual time."""
+"""Runs scenarios in virtual time on a small fleet with whole entry instances in this process."""
 
 import random
 import uuid
@@ -15,7 +15,7 @@
 from cleatlink.serving.entry import Entry, Outside
 from cleatlink.serving.flight import PlaceRequest
 from cleatlink.serving.settings import Address, Settings
-from standins.engine import Engine, EngineSettings, Kv, expected_tokens
+from standins.engine import Engine, EngineSettings, KvReference, expected_tokens
 from standins.fakes import Caller, FakeClient, FakeLink, FakePlatform, Fleet, Network
 from standins.platform import Platform
 from standins.service import PlainService
@@ -35,7 +35,7 @@
   order: { service: orders, deadline_s: 10, max_wait_s: 0.5 }
 limits: { max_attempts: 4, retry_share: 1 }
 """
-ENDPOINTS = {
+POOL_BY_ENDPOINT = {
     "p1": "prefill",
     "p2": "prefill",
     "d1": "decode",
@@ -43,26 +43,26 @@
     "s1": "orders",
     "s2": "orders",
 }
-# By then peers have heard each other and ownership of keys is sure.
+# Time after which all peers have exchanged heartbeats and key ownership is confirmed, in seconds.
 WARM_UP_S = 8.0
 SEED = 7
-START_OF_TIME = 1_700_000_000.0
+UNIX_TIME_AT_CLOCK_ZERO_S = 1_700_000_000.0
 PROMPT = "What is repaired next? " * 40
 
 
-def make_scheduling_repeatable(seed: int) -> None:
-    """Have trio run tasks in the same order each time.
+def make_scheduling_deterministic(seed: int) -> None:
+    """Make trio run tasks in the same order in each run.
 
-    It shuffles those that are ready at once, on purpose and from a generator of
-    its own; hypothesis sets the same two names for the same reason.
+    Trio deliberately shuffles tasks that are ready at the same time, with a random
+    generator of its own. Hypothesis sets the same two private names for this purpose.
     """
     runner: Any = trio._core._run
     runner._ALLOW_DETERMINISTIC_SCHEDULING = True
     runner._r.seed(seed)
 
 
-class Running(NamedTuple):
-    """One entry instance that runs in process."""
+class RunningEntry(NamedTuple):
+    """An entry instance that runs in this process, with its fakes and its nursery."""
 
     entry: Entry
     app: CallerApp
@@ -73,13 +73,29 @@
 
 
 class World:
-    """Everything that a scenario needs; ``run`` plays a story in virtual time."""
+    """Simulated environment of a scenario; ``run`` runs the scenario in virtual time.
+
+    Attributes:
+        fleet: Engines and plain services.
+        network: Connections between entries.
+        platform: Platform stand-in.
+        entries: Entry instances by name, including killed entries.
+        listed: Data centres of the entries in the platform's instance list, by name.
+        plan: Setup steps that run before the scenario, after the warm-up.
+        answers: Callers of all requests, in the order of the requests.
+        settings: Additional settings of the entries.
+        engine_settings: Settings of the engines.
+        callers_slow_s: Delay before a caller receives each message, in seconds.
+        place: Placement function of the entries.
+        configuration: Configuration published at the start.
+        pools: Pool of each endpoint by name.
+    """
 
     def __init__(self) -> None:
         self.fleet = Fleet()
         self.network = Network()
         self.platform = Platform()
-        self.entries: dict[str, Running] = {}
+        self.entries: dict[str, RunningEntry] = {}
         self.listed: dict[str, str] = {}
         self.plan: list[Callable[[World], None]] = []
         self.answers: list[Caller] = []
@@ -88,21 +104,26 @@
         self.callers_slow_s = 0.0
         self.place: PlaceRequest = place_request
         self.configuration = CONFIGURATION
-        self.pools = dict(ENDPOINTS)
+        self.pools = dict(POOL_BY_ENDPOINT)
         self._nursery: trio.Nursery | None = None
         self._rng = random.Random(SEED)
         self._incarnation = 0
 
     @property
     def nursery(self) -> trio.Nursery:
-        """Where the world runs."""
+        """Nursery of the running scenario."""
         assert self._nursery is not None
         return self._nursery
 
-    def run(self, story: Callable[["World"], Awaitable[None]], *entries: str) -> None:
-        """Start the fleet and the entries (``name/data centre``), then play the story."""
+    def run(self, scenario: Callable[["World"], Awaitable[None]], *entries: str) -> None:
+        """Start the fleet and the entries, then run a scenario.
+
+        Args:
+            scenario: Async function to run; it fails after 600 s of virtual time.
+            entries: Entries to start, each as ``name/data centre``.
+        """
 
-        async def play() -> None:
+        async def run_scenario() -> None:
             async with trio.open_nursery() as nursery:
                 self._nursery = nursery
                 await self._start_fleet()
@@ -112,17 +133,17 @@
                 for name in self.entries:
                     await self.wait_ready(name)
                 await trio.sleep(WARM_UP_S)
-                for change in self.plan:
-                    change(self)
+                for setup_step in self.plan:
+                    setup_step(self)
                 with trio.fail_after(600):
-                    await story(self)
+                    await scenario(self)
                 nursery.cancel_scope.cancel()
 
-        make_scheduling_repeatable(SEED)
-        trio.run(play, clock=trio.testing.MockClock(autojump_threshold=0))
+        make_scheduling_deterministic(SEED)
+        trio.run(run_scenario, clock=trio.testing.MockClock(autojump_threshold=0))
 
     async def _start_fleet(self) -> None:
-        async def fetch(kv: Kv) -> int:
+        async def fetch(kv: KvReference) -> int:
             return await self.fleet.engines[kv.engine].export_kv(kv.request, kv.attempt)
 
         for name, pool in self.pools.items():
@@ -135,13 +156,13 @@
         self.platform.publish("config", self.configuration)
 
     async def start_entry(self, name: str, data_centre: str) -> None:
-        """Start an entry instance."""
+        """Start an entry instance and add it to ``listed``."""
         started = trio.Event()
         self._incarnation += 1
 
-        async def live() -> None:
+        async def run_entry() -> None:
             client, platform = FakeClient(self.fleet), FakePlatform(self.platform)
-            # Addresses are never used to connect, only to tell the instances apart.
+            # Nothing connects to this address; it only identifies the instance.
             link = FakeLink(self.network, f"{name}#{self._incarnation}")
             settings = Settings(
                 name,
@@ -156,16 +177,20 @@
             link.peers = entry.peers
             async with trio.open_nursery() as nursery:
                 app = entry.start(nursery)
-                self.entries[name] = Running(entry, app, client, platform, link, nursery)
+                self.entries[name] = RunningEntry(entry, app, client, platform, link, nursery)
                 started.set()
                 await trio.sleep_forever()
 
-        self.nursery.start_soon(live)
+        self.nursery.start_soon(run_entry)
         await started.wait()
         self.listed[name] = data_centre
 
     def publish_fleet(self, *leaving: str) -> None:
-        """Publish the instance list as the platform sees it."""
+        """Publish the instance list.
+
+        Args:
+            leaving: Names of the endpoints to list as leaving.
+        """
         endpoints = [
             {
                 "name": name,
@@ -187,7 +212,7 @@
         self.platform.publish("instances", {"endpoints": endpoints, "instances": instances})
 
     def kill(self, name: str) -> None:
-        """Let an entry die: nothing that it does afterwards reaches anyone."""
+        """Kill an entry; none of its messages is delivered afterwards."""
         running = self.entries[name]
         running.link.dead = running.client.dead = True
         running.nursery.cancel_scope.cancel()
@@ -198,15 +223,19 @@
             await trio.sleep(0.05)
 
     def wall_time(self) -> float:
-        """Time since 1970, in step with the virtual clock."""
-        return START_OF_TIME + trio.current_time()
+        """Return the time in seconds since 1970, which advances with the virtual clock."""
+        return UNIX_TIME_AT_CLOCK_ZERO_S + trio.current_time()
+
+    def make_key(self, home_data_centre: str = "") -> str:
+        """Return an idempotency key: a UUIDv7 of the current time.
 
-    def make_key(self, home: str = "") -> str:
-        """Make a UUIDv7 of the present time, with a home data centre if one is given."""
+        Args:
+            home_data_centre: Data centre to write before the UUID; none if empty.
+        """
         value = int(self.wall_time() * 1000) << 80 | 0x7 << 76 | 0x2 << 62
         value |= self._rng.getrandbits(12) << 64 | self._rng.getrandbits(62)
         key = str(uuid.UUID(int=value))
-        return f"{home}:{key}" if home else key
+        return f"{home_data_centre}:{key}" if home_data_centre else key
 
     def start_ask(
         self,
@@ -215,9 +244,9 @@
         prompt: str = PROMPT,
         headers: Mapping[str, str] | None = None,
     ) -> Caller:
-        """Start to ask a model request; the answer comes while the story goes on."""
+        """Start a streamed model request in the background and return its caller."""
         caller = Caller(self.entries[name].app)
-        caller.slow_s = self.callers_slow_s
+        caller.receive_delay_s = self.callers_slow_s
         body = {"model": "m", "prompt": prompt, "max_tokens": tokens, "stream": True}
         self.entries[name].nursery.start_soon(
             caller.request, "POST", "/v1/completions", msgspec.json.encode(body), headers or {}
@@ -226,33 +255,33 @@
         return caller
 
     async def call(self, name: str, key: str = "", body: bytes = b"{}") -> Caller:
-        """Post an order, a call that may not be repeated."""
+        """Post to the ``orders`` service, whose calls must not be repeated; return the caller."""
         caller = Caller(self.entries[name].app)
-        caller.slow_s = self.callers_slow_s
+        caller.receive_delay_s = self.callers_slow_s
         headers = {"idempotency-key": key} if key else {}
         self.answers.append(caller)
         return await caller.request("POST", "/services/orders/orders", body, headers)
 
     def executions(self) -> dict[str, int]:
-        """Executions by key, from the services' own ledgers."""
+        """Return the number of executions by key, as counted by all plain services."""
         total: Counter[str] = Counter()
         for service in self.fleet.services.values():
             total.update(service.executions)
         return dict(total)
 
-    async def wait_memory_free(self, limit_s: float) -> None:
-        """Wait until no engine holds memory, at most so long."""
-        with trio.move_on_after(limit_s):
+    async def wait_memory_free(self, timeout_s: float) -> None:
+        """Wait until no engine has reserved memory, for at most ``timeout_s`` seconds."""
+        with trio.move_on_after(timeout_s):
             while any(self.fleet.memory().values()):
                 await trio.sleep(0.05)
 
 
 async def wait_tokens(caller: Caller, count: int) -> None:
-    """Wait until a caller has received so many tokens, or its answer has ended."""
+    """Wait until a caller has received ``count`` tokens, or its answer has ended or failed."""
     while len(caller.ids) < count and not caller.ended and b'"error"' not in caller.body:
-        await caller.news.wait()
+        await caller.changed.wait()
 
 
 def expected_text(tokens: int) -> str:
-    """The text that any engine gives to the scenarios' prompt."""
+    """Return the text with which every engine answers ``PROMPT``."""
     return "".join(expected_tokens(PROMPT, tokens))
