--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks: JSON out, seeded."""
+"""Seeded benchmarks that print their results as text or JSON."""
--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -1,4 +1,4 @@
-"""Two simple policies to compare with: round robin and least reported load."""
+"""Two simple placement policies for comparison: round robin and least reported load."""
 
 from itertools import count
 
@@ -8,42 +8,44 @@
 
 __all__ = ["RoundRobin", "place_least_load"]
 
-_NOTHING = Refusal(ErrorKind.NO_ENDPOINT, "no endpoint is eligible")
+_NO_ENDPOINT = Refusal(ErrorKind.NO_ENDPOINT, "no endpoint is eligible")
 
 
 class RoundRobin:
-    """Takes eligible endpoints in turns, whatever their load."""
+    """Rotates through the eligible endpoints regardless of their load."""
 
     def __init__(self) -> None:
-        self._turns = count()
+        self._positions = count()
 
     def __call__(
-        self, request: Request, wanted: RequestClass, view: FleetView, context: Context
+        self, request: Request, request_class: RequestClass, view: FleetView, context: Context
     ) -> Placement | Refusal:
-        """Place a request."""
-        turn = next(self._turns)
-        prefills = _eligible(view, wanted, Role.PREFILL, context)
-        decodes = _eligible(view, wanted, Role.DECODE, context)
+        """Choose the next eligible prefill and decode endpoint."""
+        position = next(self._positions)
+        prefills = _eligible_endpoints(view, request_class, Role.PREFILL, context)
+        decodes = _eligible_endpoints(view, request_class, Role.DECODE, context)
         if not prefills or not decodes:
-            return _NOTHING
-        return Placement(prefills[turn % len(prefills)], decodes[turn % len(decodes)], "turn")
+            return _NO_ENDPOINT
+        return Placement(
+            prefills[position % len(prefills)], decodes[position % len(decodes)], "turn"
+        )
 
 
 def place_least_load(
-    request: Request, wanted: RequestClass, view: FleetView, context: Context
+    request: Request, request_class: RequestClass, view: FleetView, context: Context
 ) -> Placement | Refusal:
-    """Take the endpoints whose last reports show the least load."""
-    prefills = _eligible(view, wanted, Role.PREFILL, context)
-    decodes = _eligible(view, wanted, Role.DECODE, context)
+    """Choose the endpoints with the least load in their last reports."""
+    prefills = _eligible_endpoints(view, request_class, Role.PREFILL, context)
+    decodes = _eligible_endpoints(view, request_class, Role.DECODE, context)
     if not prefills or not decodes:
-        return _NOTHING
+        return _NO_ENDPOINT
     prefill = min(prefills, key=lambda endpoint: view.last_report(endpoint).waiting_tokens)
     decode = min(decodes, key=lambda endpoint: view.last_report(endpoint).running)
     return Placement(prefill, decode, "least reported load")
 
 
-def _eligible(
-    view: FleetView, wanted: RequestClass, role: Role, context: Context
+def _eligible_endpoints(
+    view: FleetView, request_class: RequestClass, role: Role, context: Context
 ) -> list[Endpoint]:
-    endpoints = view.usable_endpoints(wanted.name, role, context.now)
+    endpoints = view.usable_endpoints(request_class.name, role, context.now)
     return [endpoint for endpoint in endpoints if endpoint.name not in context.excluded]
--- a/bench/control.py
+++ b/bench/control.py
@@ -1,7 +1,8 @@
-"""What belonging together costs: real entry processes on loopback, without traffic.
+"""Measures the cost of the control plane with real entry processes on loopback, without traffic.
 
-For each number of entries: bytes to peers and processor time for each, memory,
-time until a configuration is in force on all, and until a death is known to all.
+For each number of entries, it measures the bytes sent to peers and the processor time of an
+entry, the memory of the largest entry, the time until all entries apply a new configuration,
+and the time until all of them detect that one was killed.
 """
 
 import signal
@@ -11,7 +12,7 @@
 
 import trio
 
-from bench.processor import processor_s, resident_mb
+from bench.processor import processor_time_s, resident_memory_mb
 from demo.cluster import Cluster
 
 __all__ = ["measure_control"]
@@ -23,66 +24,69 @@
 pools: { both: { service: lm, role: both } }
 classes: { question: { service: lm } }
 """
-_PLACES = ("a", "b", "c")
-_SETTLE_S = 3.0
-_QUIET_S = 10.0
+_DATA_CENTRES = ("a", "b", "c")
+_SETTLE_TIME_S = 3.0
+_IDLE_DURATION_S = 10.0
 _TIMEOUT_S = 60.0
 
 
-async def measure_control(nodes: int, endpoints: int) -> dict[str, Any]:
-    """Measure one size.
+async def measure_control(entry_count: int, endpoint_count: int) -> dict[str, Any]:
+    """Measure one fleet size.
 
     Args:
-        nodes: Entry processes.
-        endpoints: Engine processes, each asked for reports by every entry.
+        entry_count: Number of entry processes.
+        endpoint_count: Number of engine processes; every entry requests reports from each.
 
     Returns:
-        One row; figures are for each node.
+        One row. Bytes and processor time are means per entry, the memory is that of the
+        largest entry, and the times are until the last entry knows.
     """
     cluster = Cluster()
     try:
-        await _start(cluster, nodes, endpoints)
-        row: dict[str, Any] = {"nodes": nodes, "endpoints": endpoints}
-        row |= await _measure_quiet(cluster)
-        row["config_in_force_s"] = await _measure_configuration(cluster)
-        row["death_known_s"] = await _measure_death(cluster)
+        await _start(cluster, entry_count, endpoint_count)
+        row: dict[str, Any] = {"nodes": entry_count, "endpoints": endpoint_count}
+        row |= await _measure_idle(cluster)
+        row["config_in_force_s"] = await _measure_configuration_rollout(cluster)
+        row["death_known_s"] = await _measure_failure_detection(cluster)
         return row
     finally:
         with trio.CancelScope(shield=True):
             await cluster.close()
 
 
-async def _start(cluster: Cluster, nodes: int, endpoints: int) -> None:
+async def _start(cluster: Cluster, entry_count: int, endpoint_count: int) -> None:
     await cluster.start_platform()
     async with trio.open_nursery() as nursery:
-        for number in range(endpoints):
+        for number in range(endpoint_count):
             nursery.start_soon(cluster.start_engine, f"m{number}", "a", "both")
-        for number in range(nodes):
-            place = _PLACES[number % len(_PLACES)]
-            nursery.start_soon(cluster.start_entry, f"e{number}", place)
+        for number in range(entry_count):
+            data_centre = _DATA_CENTRES[number % len(_DATA_CENTRES)]
+            nursery.start_soon(cluster.start_entry, f"e{number}", data_centre)
     await cluster.publish_configuration(_CONFIGURATION)
     await cluster.publish_fleet()
     await cluster.wait_ready()
-    await trio.sleep(_SETTLE_S)
+    await trio.sleep(_SETTLE_TIME_S)
 
 
-async def _measure_quiet(cluster: Cluster) -> dict[str, float]:
+async def _measure_idle(cluster: Cluster) -> dict[str, float]:
     entries = list(cluster.entries.values())
-    before = [processor_s(entry) for entry in entries]
-    sent = await _peer_bytes(cluster)
-    await trio.sleep(_QUIET_S)
-    after = [processor_s(entry) for entry in entries]
-    sent = await _peer_bytes(cluster) - sent
-    shares = [(b - a) / _QUIET_S for a, b in zip(before, after, strict=True)]
+    before_s = [processor_time_s(entry) for entry in entries]
+    sent_bytes = await _peer_bytes(cluster)
+    await trio.sleep(_IDLE_DURATION_S)
+    after_s = [processor_time_s(entry) for entry in entries]
+    sent_bytes = await _peer_bytes(cluster) - sent_bytes
+    core_shares = [
+        (after - before) / _IDLE_DURATION_S for before, after in zip(before_s, after_s, strict=True)
+    ]
     return {
-        "bytes_s": sent / _QUIET_S / len(entries),
-        "core_share": sum(shares) / len(shares),
-        "rss_mb": max(resident_mb(entry) for entry in entries),
+        "bytes_s": sent_bytes / _IDLE_DURATION_S / len(entries),
+        "core_share": sum(core_shares) / len(core_shares),
+        "rss_mb": max(resident_memory_mb(entry) for entry in entries),
     }
 
 
 async def _peer_bytes(cluster: Cluster) -> float:
-    """Add up what all entries have sent to peers, by their own counters."""
+    """Return the bytes that all entries have sent to peers, from their metrics."""
     total = 0.0
     for entry in cluster.entries.values():
         text = (await cluster.client.get(f"http://{entry.address}/metrics")).text
@@ -91,31 +95,35 @@
     return total
 
 
-async def _measure_configuration(cluster: Cluster) -> float:
+async def _measure_configuration_rollout(cluster: Cluster) -> float:
     started = time.monotonic()
-    wanted = await cluster.publish_configuration(_CONFIGURATION + "# new\n")
-    await _wait_for_all(cluster, lambda status: status["revision"] == wanted)
+    revision = await cluster.publish_configuration(_CONFIGURATION + "# new\n")
+    await _wait_for_all(cluster, lambda status: status["revision"] == revision)
     return time.monotonic() - started
 
 
-async def _measure_death(cluster: Cluster) -> float:
-    victim = next(iter(cluster.entries))
+async def _measure_failure_detection(cluster: Cluster) -> float:
+    killed = next(iter(cluster.entries))
     started = time.monotonic()
-    cluster.send_signal(victim, signal.SIGKILL)
-    gone = ("dead", "unheard")
-    await _wait_for_all(cluster, lambda status: status["peers"].get(victim) in gone, victim)
+    cluster.send_signal(killed, signal.SIGKILL)
+    failed_states = ("dead", "unheard")
+    await _wait_for_all(
+        cluster, lambda status: status["peers"].get(killed) in failed_states, killed
+    )
     return time.monotonic() - started
 
 
 async def _wait_for_all(
-    cluster: Cluster, holds: Callable[[dict[str, Any]], bool], but: str = ""
+    cluster: Cluster, condition: Callable[[dict[str, Any]], bool], excluded: str = ""
 ) -> None:
     with trio.fail_after(_TIMEOUT_S):
         for name in cluster.entries:
-            while name != but and not await _holds(cluster, name, holds):
+            while name != excluded and not await _meets_condition(cluster, name, condition):
                 await trio.sleep(0.01)
 
 
-async def _holds(cluster: Cluster, name: str, holds: Callable[[dict[str, Any]], bool]) -> bool:
+async def _meets_condition(
+    cluster: Cluster, name: str, condition: Callable[[dict[str, Any]], bool]
+) -> bool:
     status = await cluster.status(name)
-    return status is not None and holds(status)
+    return status is not None and condition(status)
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -1,8 +1,8 @@
-"""Ways to hold an organisation's limit over many instances, compared in virtual time.
+"""Compares strategies for enforcing an organisation's limit across instances, in virtual time.
 
-One organisation, many instances, one pattern of demand and trouble. Every way sees the same
-requests. What is measured: by how much the fullest window is filled, and how much less passed
-than one central bucket would have let pass.
+The simulation has one organisation, a number of instances, and one pattern of demand and faults.
+Every strategy receives the same requests. The results are the fullest window, relative to what
+the tolerance allows, and how much less was admitted than one central bucket would have admitted.
 """
 
 import random
@@ -14,239 +14,256 @@
 from cleatlink.limits import PEER_TIMEOUT_S, PeerTotals
 from cleatlink.organisations import LimitTolerance, OrganisationLimits
 
-__all__ = ["PATTERNS", "WAYS", "Pattern", "measure_limit"]
+__all__ = ["PATTERNS", "STRATEGIES", "DemandPattern", "measure_limit"]
 
 _TICK_S = 0.01
-_BEAT_S = 1.0
-_NEWS_S = 0.1
-# Who is heard is looked at with each heartbeat of a peer.
-_LOOK_TICKS = 10
-_LENGTH_S = 30.0
-_LOSS = 0.02
-_DELAY_S = 0.003
-# A request is a call of few tokens or a stream of many, as one day's mix of calls has it.
-_SMALL, _LARGE, _LARGE_SHARE = 200, 14_000, 0.12
-_MEAN = _SMALL * (1 - _LARGE_SHARE) + _LARGE * _LARGE_SHARE
+_HEARTBEAT_INTERVAL_S = 1.0
+# Minimum interval between two urgent messages of one instance.
+_URGENT_INTERVAL_S = 0.1
+# Ticks between updates of the reachable instances; an instance does this with each peer heartbeat.
+_REACHABILITY_CHECK_TICKS = 10
+_DURATION_S = 30.0
+_LOSS_PROBABILITY = 0.02
+_NETWORK_DELAY_S = 0.003
+# Requests are calls of few tokens and streams of many, mixed as in one day's traffic.
+_CALL_TOKENS, _STREAM_TOKENS, _STREAM_SHARE = 200, 14_000, 0.12
+_MEAN_TOKENS = _CALL_TOKENS * (1 - _STREAM_SHARE) + _STREAM_TOKENS * _STREAM_SHARE
 _LIMIT = UsageLimit(60_000.0, 60_000.0, counts_tokens=True)
 _TOLERANCE = LimitTolerance(0.25, 120_000.0, 8.0)
 
 
-class Pattern(NamedTuple):
-    """Demand, as a factor of the limit, and trouble.
+class DemandPattern(NamedTuple):
+    """Demand, as a factor of the limit, and faults.
 
     Attributes:
-        factor: Demand by time.
-        spread: Instances that callers reach, as a share of all, by time.
-        side: Part of the network of an instance, by its share of the numbers and time.
-        restarts_at: When all instances start anew; never if negative.
-        limit: Factor of the limit by time.
+        demand_factor: Demand by time.
+        receiving_range: Instances that receive requests, by time: start and end of the range, as
+            shares of all instances.
+        partition_side: Side of a network partition on which an instance is, by the instance's
+            position (its number as a share of all) and the time.
+        restarts_at: Time at which all instances restart, in seconds; negative for never.
+        limit_factor: Factor of the limit by time.
     """
 
-    factor: Callable[[float], float]
-    spread: Callable[[float], tuple[float, float]] = lambda now: (0.0, 1.0)
-    side: Callable[[float, float], int] = lambda place, now: 0
+    demand_factor: Callable[[float], float]
+    receiving_range: Callable[[float], tuple[float, float]] = lambda now: (0.0, 1.0)
+    partition_side: Callable[[float, float], int] = lambda position, now: 0
     restarts_at: float = -1.0
-    limit: Callable[[float], float] = lambda now: 1.0
+    limit_factor: Callable[[float], float] = lambda now: 1.0
 
 
-def _cut(place: float, now: float) -> int:
-    return int(10 <= now < 18 and place >= 0.5)
+def _side_of_halved_network(position: float, now: float) -> int:
+    return int(10 <= now < 18 and position >= 0.5)
 
 
-def _wander(now: float) -> tuple[float, float]:
-    first = (now / _LENGTH_S) * 0.8
-    return first, first + 0.1
+def _moving_range(now: float) -> tuple[float, float]:
+    start = (now / _DURATION_S) * 0.8
+    return start, start + 0.1
 
 
-PATTERNS: dict[str, Pattern] = {
-    "calm": Pattern(lambda now: 0.55),
-    "one instance": Pattern(lambda now: 0.55, lambda now: (0.0, 0.001)),
-    "wanders": Pattern(lambda now: 0.55, _wander),
-    "hot": Pattern(lambda now: 8.0 if 10 <= now < 20 else 0.55),
-    "cut": Pattern(lambda now: 0.55, side=_cut),
-    "hot and cut": Pattern(lambda now: 8.0 if 8 <= now < 20 else 0.55, side=_cut),
-    "all restart": Pattern(lambda now: 0.55, restarts_at=12.0),
-    "hot and restart": Pattern(lambda now: 8.0 if 8 <= now < 20 else 0.55, restarts_at=12.0),
-    "limit cut": Pattern(lambda now: 0.55, limit=lambda now: 0.2 if 10 <= now < 20 else 1.0),
+PATTERNS: dict[str, DemandPattern] = {
+    "calm": DemandPattern(lambda now: 0.55),
+    "one instance": DemandPattern(lambda now: 0.55, lambda now: (0.0, 0.001)),
+    "wanders": DemandPattern(lambda now: 0.55, _moving_range),
+    "hot": DemandPattern(lambda now: 8.0 if 10 <= now < 20 else 0.55),
+    "cut": DemandPattern(lambda now: 0.55, partition_side=_side_of_halved_network),
+    "hot and cut": DemandPattern(
+        lambda now: 8.0 if 8 <= now < 20 else 0.55, partition_side=_side_of_halved_network
+    ),
+    "all restart": DemandPattern(lambda now: 0.55, restarts_at=12.0),
+    "hot and restart": DemandPattern(lambda now: 8.0 if 8 <= now < 20 else 0.55, restarts_at=12.0),
+    "limit cut": DemandPattern(
+        lambda now: 0.55, limit_factor=lambda now: 0.2 if 10 <= now < 20 else 1.0
+    ),
 }
 
 
-class LimitWay(ABC):
+class LimitStrategy(ABC):
     """How one instance decides whether a request is within the limit."""
 
-    def __init__(self, number: int, instances: int, now: float) -> None:
+    def __init__(self, number: int, instance_count: int, now: float) -> None:
         self.number = number
-        self.instances = instances
+        self.instance_count = instance_count
         self.limit = _LIMIT
         self.started_at = now
 
     @abstractmethod
-    def ask(self, cost: int, now: float) -> bool:
-        """Tell whether a request passes."""
+    def admit(self, cost: int, now: float) -> bool:
+        """Decide whether a request is admitted."""
 
-    def beat(self, now: float) -> Any:
-        """Give what all peers are told each second; None for nothing."""
+    def heartbeat_message(self, now: float) -> Any:
+        """Return the message sent to all peers each second; None for an empty heartbeat."""
         return None
 
-    def news(self, now: float) -> Any:
-        """Give what all peers are told at once; None for nothing."""
+    def urgent_message(self, now: float) -> Any:
+        """Return a message to be sent to all peers immediately; None if there is none."""
         return None
 
-    def hear(self, sender: int, message: Any, now: float) -> None:
-        """Take what a peer told; most ways need nothing."""
+    def receive(self, sender: int, message: Any, now: float) -> None:
+        """Process a message from a peer; ignored by default."""
         return
 
-    def note_heard(self, heard: list[int], now: float) -> None:
-        """Note which instances are heard, this one included; most ways need nothing."""
+    def set_reachable(self, reachable: list[int], now: float) -> None:
+        """Set the reachable instances, including this one; ignored by default."""
         return
 
 
-class _PlainBucket:
+class _TokenBucket:
     """A token bucket."""
 
     def __init__(self, level: float, now: float) -> None:
         self.level = level
-        self.at = now
+        self.updated_at = now
 
     def take(self, cost: float, rate: float, burst: float, now: float) -> bool:
-        """Take a cost out if it is there."""
-        self.level = min(burst, self.level + rate * (now - self.at))
-        self.at = now
+        """Refill the bucket and take a cost if the level allows it.
+
+        A cost above the burst is taken when the bucket is full.
+        """
+        self.level = min(burst, self.level + rate * (now - self.updated_at))
+        self.updated_at = now
         if self.level < min(cost, burst):
             return False
         self.level -= cost
         return True
 
 
-class EqualShares(LimitWay):
-    """Each instance has the same part of the limit."""
+class EqualShares(LimitStrategy):
+    """Gives each instance the same share of the limit."""
 
-    def __init__(self, number: int, instances: int, now: float) -> None:
-        super().__init__(number, instances, now)
-        self._bucket = _PlainBucket(_LIMIT.burst / instances, now)
+    def __init__(self, number: int, instance_count: int, now: float) -> None:
+        super().__init__(number, instance_count, now)
+        self._bucket = _TokenBucket(_LIMIT.burst / instance_count, now)
 
-    def ask(self, cost: int, now: float) -> bool:
-        """Take it out of the own part."""
+    def admit(self, cost: int, now: float) -> bool:
+        """Take the cost from this instance's share."""
         limit = _TOLERANCE.raised_limit(self.limit)
         return self._bucket.take(
-            cost, limit.rate / self.instances, limit.burst / self.instances, now
+            cost, limit.rate / self.instance_count, limit.burst / self.instance_count, now
         )
 
 
-class DemandShares(LimitWay):
-    """Each instance has a part of the limit by what it was asked for lately."""
+class DemandShares(LimitStrategy):
+    """Gives each instance a share of the limit in proportion to its recent demand."""
 
-    def __init__(self, number: int, instances: int, now: float) -> None:
-        super().__init__(number, instances, now)
-        self._bucket = _PlainBucket(_LIMIT.burst / instances, now)
-        self._asked = 0.0
-        self._at = now
-        self._told: dict[int, float] = {}
+    def __init__(self, number: int, instance_count: int, now: float) -> None:
+        super().__init__(number, instance_count, now)
+        self._bucket = _TokenBucket(_LIMIT.burst / instance_count, now)
+        self._recent_demand = 0.0
+        self._updated_at = now
+        self._peer_demand: dict[int, float] = {}
 
-    def ask(self, cost: int, now: float) -> bool:
-        """Take it out of the part that follows the own demand."""
-        self._asked = self._asked * 0.5 ** (now - self._at) + cost
-        self._at = now
-        everybody = self._asked + sum(self._told.values())
-        share = max(self._asked / everybody, 0.25 / self.instances)
+    def admit(self, cost: int, now: float) -> bool:
+        """Take the cost from the share that follows this instance's demand."""
+        self._recent_demand = self._recent_demand * 0.5 ** (now - self._updated_at) + cost
+        self._updated_at = now
+        total_demand = self._recent_demand + sum(self._peer_demand.values())
+        share = max(self._recent_demand / total_demand, 0.25 / self.instance_count)
         limit = _TOLERANCE.raised_limit(self.limit)
         return self._bucket.take(cost, share * limit.rate, share * limit.burst, now)
 
-    def beat(self, now: float) -> Any:
-        """Tell the own demand."""
-        return round(self._asked * 0.5 ** (now - self._at))
+    def heartbeat_message(self, now: float) -> Any:
+        """Return this instance's recent demand."""
+        return round(self._recent_demand * 0.5 ** (now - self._updated_at))
 
-    def hear(self, sender: int, message: Any, now: float) -> None:
-        """Note a peer's demand."""
-        self._told[sender] = message
+    def receive(self, sender: int, message: Any, now: float) -> None:
+        """Record a peer's recent demand."""
+        self._peer_demand[sender] = message
 
 
-class SharedTotals(LimitWay):
-    """Each instance has the whole limit and takes out what all let pass."""
+class SharedTotals(LimitStrategy):
+    """Gives each instance the whole limit, less what all instances have admitted."""
 
-    def __init__(self, number: int, instances: int, now: float) -> None:
-        super().__init__(number, instances, now)
+    def __init__(self, number: int, instance_count: int, now: float) -> None:
+        super().__init__(number, instance_count, now)
         self._limits = OrganisationLimits(_TOLERANCE, now)
         self._incarnation = int(1000 * now)
         self._organisation = Organisation("a", (), None, _LIMIT)
         self._limits.use_table([self._organisation])
-        self._has_news = False
+        self._is_update_urgent = False
 
-    def ask(self, cost: int, now: float) -> bool:
-        """Ask the limits as an instance does."""
+    def admit(self, cost: int, now: float) -> bool:
+        """Admit a request by the limits that a real instance uses."""
         if self.limit != self._organisation.limit:
             self._organisation = Organisation("a", (), None, self.limit)
             self._limits.use_table([self._organisation])
         granted = self._limits.admit(self._organisation, cost, now).granted
-        self._has_news = self._has_news or granted and self._limits.is_level_low(self._organisation)
+        self._is_update_urgent = (
+            self._is_update_urgent or granted and self._limits.is_level_low(self._organisation)
+        )
         return granted
 
-    def _tell(self, now: float) -> PeerTotals:
+    def _totals_message(self, now: float) -> PeerTotals:
         limits = self._limits
         totals, age_s = limits.totals(now), limits.uptime_s(now)
         return PeerTotals(
             str(self.number), self._incarnation, totals, limits.used_name_count, age_s
         )
 
-    def beat(self, now: float) -> Any:
-        """Tell the own totals."""
-        return self._tell(now)
+    def heartbeat_message(self, now: float) -> Any:
+        """Return this instance's totals."""
+        return self._totals_message(now)
 
-    def news(self, now: float) -> Any:
-        """Tell the own totals at once if little is left."""
-        if not self._has_news:
+    def urgent_message(self, now: float) -> Any:
+        """Return this instance's totals if it admitted a request at a low bucket level."""
+        if not self._is_update_urgent:
             return None
-        self._has_news = False
-        return self._tell(now)
+        self._is_update_urgent = False
+        return self._totals_message(now)
 
-    def hear(self, sender: int, message: Any, now: float) -> None:
-        """Take a peer's totals."""
+    def receive(self, sender: int, message: Any, now: float) -> None:
+        """Apply a peer's totals."""
         self._limits.take_totals(message, now)
 
-    def note_heard(self, heard: list[int], now: float) -> None:
-        """Note the part of all instances that is heard."""
-        self._limits.set_reachable_share(len(heard) / self.instances, now)
+    def set_reachable(self, reachable: list[int], now: float) -> None:
+        """Set the share of all instances that is reachable."""
+        self._limits.set_reachable_share(len(reachable) / self.instance_count, now)
 
 
-class Owner(LimitWay):
-    """One instance owns the limit and lends parts of it, for a second, in one round trip."""
+class Owner(LimitStrategy):
+    """One instance owns the limit and leases parts of it to others for a second each.
+
+    A lease needs one round trip to the owner; the simulation adds no delay for it.
+    """
 
     fleet: list["Owner"]
 
-    def __init__(self, number: int, instances: int, now: float) -> None:
-        super().__init__(number, instances, now)
-        self._bucket = _PlainBucket(0.5 * _LIMIT.burst, now)
-        self._loan = 0.0
-        self._loan_ends = 0.0
-        self._heard = list(range(instances))
-        self.loans = 0
-
-    def ask(self, cost: int, now: float) -> bool:
-        """Pay out of the loan, or ask the owner for another one."""
-        if now >= self._loan_ends:
-            self._loan = 0.0
-        if self._loan < cost:
-            wanted = max(float(cost), 0.2 * self.limit.rate / self.instances)
-            owner = Owner.fleet[min(self._heard, key=lambda number: (number * 7919) % 1009)]
-            self.loans += 1
-            if not owner.lend(wanted, len(self._heard) / self.instances, now):
+    def __init__(self, number: int, instance_count: int, now: float) -> None:
+        super().__init__(number, instance_count, now)
+        self._bucket = _TokenBucket(0.5 * _LIMIT.burst, now)
+        self._leased_tokens = 0.0
+        self._lease_ends_at = 0.0
+        self._reachable = list(range(instance_count))
+        self.lease_requests = 0
+
+    def admit(self, cost: int, now: float) -> bool:
+        """Take the cost from the lease, or request another lease from the owner."""
+        if now >= self._lease_ends_at:
+            self._leased_tokens = 0.0
+        if self._leased_tokens < cost:
+            wanted_tokens = max(float(cost), 0.2 * self.limit.rate / self.instance_count)
+            owner = Owner.fleet[min(self._reachable, key=lambda number: (number * 7919) % 1009)]
+            self.lease_requests += 1
+            if not owner.grant_lease(
+                wanted_tokens, len(self._reachable) / self.instance_count, now
+            ):
                 return False
-            self._loan += wanted
-            self._loan_ends = now + 1.0
-        self._loan -= cost
+            self._leased_tokens += wanted_tokens
+            self._lease_ends_at = now + 1.0
+        self._leased_tokens -= cost
         return True
 
-    def lend(self, wanted: float, share: float, now: float) -> bool:
-        """Lend a part of the limit, of which the owner has the share of those it hears."""
+    def grant_lease(self, wanted_tokens: float, share: float, now: float) -> bool:
+        """Lease a part of the limit, whose rate is scaled by the share of reachable instances."""
         limit = _TOLERANCE.raised_limit(self.limit)
-        return self._bucket.take(wanted, share * limit.rate, limit.burst, now)
+        return self._bucket.take(wanted_tokens, share * limit.rate, limit.burst, now)
 
-    def note_heard(self, heard: list[int], now: float) -> None:
-        """Note among whom the owner is."""
-        self._heard = heard
+    def set_reachable(self, reachable: list[int], now: float) -> None:
+        """Set the instances among which the owner is chosen."""
+        self._reachable = reachable
 
 
-WAYS: dict[str, type[LimitWay]] = {
+STRATEGIES: dict[str, type[LimitStrategy]] = {
     "equal shares": EqualShares,
     "demand shares": DemandShares,
     "owner": Owner,
@@ -254,153 +271,170 @@
 }
 
 
-class _Run:
-    """One way under one pattern."""
+class _Simulation:
+    """A simulation of one strategy under one pattern."""
 
-    def __init__(self, way: type[LimitWay], pattern: Pattern, instances: int, seed: int) -> None:
-        self._way = way
+    def __init__(
+        self,
+        strategy: type[LimitStrategy],
+        pattern: DemandPattern,
+        instance_count: int,
+        seed: int,
+    ) -> None:
+        self._strategy = strategy
         self._pattern = pattern
-        self._count = instances
-        # Two generators: every way sees the same requests.
-        self._rng = random.Random(seed)
-        self._demand = random.Random(seed + 1)
-        self._fleet = [way(number, instances, 0.0) for number in range(instances)]
-        self._central = _PlainBucket(_LIMIT.burst, 0.0)
-        self._heard_at = [[0.0] * instances for _ in range(instances)]
-        self._post: list[tuple[float, int, int, Any]] = []
-        self._passed: list[tuple[float, int]] = []
-        self._beats = [self._rng.random() * _BEAT_S for _ in range(instances)]
-        self._news_at = [0.0] * instances
-        self._owed: list[tuple[float, int]] = []
-        self.sent = 0
-
-    def play(self) -> None:
-        """Play the whole pattern."""
-        for tick in range(int(_LENGTH_S / _TICK_S)):
+        self._instance_count = instance_count
+        # Requests have their own generator, so that every strategy receives the same ones.
+        self._network_rng = random.Random(seed)
+        self._request_rng = random.Random(seed + 1)
+        self._fleet = [strategy(number, instance_count, 0.0) for number in range(instance_count)]
+        self._central_bucket = _TokenBucket(_LIMIT.burst, 0.0)
+        self._heard_at = [[0.0] * instance_count for _ in range(instance_count)]
+        self._in_transit: list[tuple[float, int, int, Any]] = []
+        self._admitted: list[tuple[float, int]] = []
+        self._next_heartbeats_at = [
+            self._network_rng.random() * _HEARTBEAT_INTERVAL_S for _ in range(instance_count)
+        ]
+        self._next_urgent_at = [0.0] * instance_count
+        self._centrally_admitted: list[tuple[float, int]] = []
+        self.urgent_datagrams = 0
+
+    def run(self) -> None:
+        """Run the whole pattern."""
+        for tick in range(int(_DURATION_S / _TICK_S)):
             now = tick * _TICK_S
-            if self._way is Owner:
+            if self._strategy is Owner:
                 Owner.fleet = self._fleet  # type: ignore[assignment]
             self._restart(tick)
             self._deliver(now)
-            self._tell(now)
-            if tick % _LOOK_TICKS == 0:
-                for number in range(self._count):
-                    self._hear_whom(number, now)
-            self._arrive(now)
+            self._send_due_messages(now)
+            if tick % _REACHABILITY_CHECK_TICKS == 0:
+                for number in range(self._instance_count):
+                    self._update_reachable(number, now)
+            self._submit_requests(now)
 
     def _limit(self, now: float) -> UsageLimit:
-        factor = self._pattern.limit(now)
+        factor = self._pattern.limit_factor(now)
         return _LIMIT._replace(rate=factor * _LIMIT.rate, burst=factor * _LIMIT.burst)
 
     def _restart(self, tick: int) -> None:
         if tick == round(self._pattern.restarts_at / _TICK_S):
             now = tick * _TICK_S
-            self._fleet = [self._way(number, self._count, now) for number in range(self._count)]
-            self._post.clear()
+            self._fleet = [
+                self._strategy(number, self._instance_count, now)
+                for number in range(self._instance_count)
+            ]
+            self._in_transit.clear()
 
-    def _side(self, number: int, now: float) -> int:
-        return self._pattern.side(number / self._count, now)
+    def _partition_side(self, number: int, now: float) -> int:
+        return self._pattern.partition_side(number / self._instance_count, now)
 
     def _deliver(self, now: float) -> None:
-        due = [item for item in self._post if item[0] <= now]
-        self._post = [item for item in self._post if item[0] > now]
+        due = [item for item in self._in_transit if item[0] <= now]
+        self._in_transit = [item for item in self._in_transit if item[0] > now]
         for _, sender, receiver, message in due:
             self._heard_at[receiver][sender] = now
             if message is not None:
-                self._fleet[receiver].hear(sender, message, now)
-
-    def _tell(self, now: float) -> None:
-        for number, way in enumerate(self._fleet):
-            if now >= self._beats[number]:
-                self._beats[number] += _BEAT_S
-                self._send(number, way.beat(now), now)
-            if now >= self._news_at[number]:
-                news = way.news(now)
-                if news is not None:
-                    self._news_at[number] = now + _NEWS_S
-                    self.sent += self._count - 1
-                    self._send(number, news, now)
-
-    def _hear_whom(self, number: int, now: float) -> None:
-        heard = [
+                self._fleet[receiver].receive(sender, message, now)
+
+    def _send_due_messages(self, now: float) -> None:
+        for number, strategy in enumerate(self._fleet):
+            if now >= self._next_heartbeats_at[number]:
+                self._next_heartbeats_at[number] += _HEARTBEAT_INTERVAL_S
+                self._send(number, strategy.heartbeat_message(now), now)
+            if now >= self._next_urgent_at[number]:
+                urgent_message = strategy.urgent_message(now)
+                if urgent_message is not None:
+                    self._next_urgent_at[number] = now + _URGENT_INTERVAL_S
+                    self.urgent_datagrams += self._instance_count - 1
+                    self._send(number, urgent_message, now)
+
+    def _update_reachable(self, number: int, now: float) -> None:
+        reachable = [
             other
-            for other in range(self._count)
+            for other in range(self._instance_count)
             if other == number or now - self._heard_at[number][other] <= PEER_TIMEOUT_S
         ]
-        self._fleet[number].note_heard(heard, now)
+        self._fleet[number].set_reachable(reachable, now)
 
     def _send(self, sender: int, message: Any, now: float) -> None:
-        side = self._side(sender, now)
-        for receiver in range(self._count):
-            reached = receiver != sender and self._side(receiver, now) == side
-            if reached and self._rng.random() >= _LOSS:
-                self._post.append((now + _DELAY_S, sender, receiver, message))
-
-    def _arrive(self, now: float) -> None:
-        expected = self._pattern.factor(now) * _LIMIT.rate * _TICK_S / _MEAN
-        first, last = self._pattern.spread(now)
-        count = int(expected) + (self._demand.random() < expected % 1)
+        side = self._partition_side(sender, now)
+        for receiver in range(self._instance_count):
+            is_connected = receiver != sender and self._partition_side(receiver, now) == side
+            if is_connected and self._network_rng.random() >= _LOSS_PROBABILITY:
+                self._in_transit.append((now + _NETWORK_DELAY_S, sender, receiver, message))
+
+    def _submit_requests(self, now: float) -> None:
+        expected = self._pattern.demand_factor(now) * _LIMIT.rate * _TICK_S / _MEAN_TOKENS
+        start, end = self._pattern.receiving_range(now)
+        count = int(expected) + (self._request_rng.random() < expected % 1)
         limit = self._limit(now)
         for _ in range(count):
-            cost = _LARGE if self._demand.random() < _LARGE_SHARE else _SMALL
-            place = first + (last - first) * self._demand.random()
-            way = self._fleet[min(self._count - 1, int(place * self._count))]
-            way.limit = limit
-            granted = way.ask(cost, now)
-            owed = self._central.take(cost, limit.rate, limit.burst, now)
-            if owed:
-                self._owed.append((now, cost))
+            cost = _STREAM_TOKENS if self._request_rng.random() < _STREAM_SHARE else _CALL_TOKENS
+            position = start + (end - start) * self._request_rng.random()
+            strategy = self._fleet[
+                min(self._instance_count - 1, int(position * self._instance_count))
+            ]
+            strategy.limit = limit
+            granted = strategy.admit(cost, now)
+            granted_centrally = self._central_bucket.take(cost, limit.rate, limit.burst, now)
+            if granted_centrally:
+                self._centrally_admitted.append((now, cost))
             if granted:
-                self._passed.append((now, cost))
+                self._admitted.append((now, cost))
 
-    def worst_window(self) -> float:
-        """Give the fullest window, as a share of what the tolerance allows."""
-        worst, start, total = 0.0, 0, 0
+    def peak_window_share(self) -> float:
+        """Return the fullest window as a share of what the tolerance allows."""
+        peak, first, total = 0.0, 0, 0
         window_s = _TOLERANCE.window_s
-        for at, cost in self._passed:
+        for at, cost in self._admitted:
             total += cost
-            while self._passed[start][0] <= at - window_s:
-                total -= self._passed[start][1]
-                start += 1
-            # A lower limit binds one window later.
+            while self._admitted[first][0] <= at - window_s:
+                total -= self._admitted[first][1]
+                first += 1
+            # A reduced limit applies one window later.
             limit = self._limit(max(0.0, at - window_s)) if self._limit(at) != _LIMIT else _LIMIT
             bound = (limit.rate * window_s + limit.burst) * (1 + _TOLERANCE.overshoot)
-            worst = max(worst, total / (bound + _TOLERANCE.slack))
-        return worst
+            peak = max(peak, total / (bound + _TOLERANCE.slack))
+        return peak
+
+    def shortfall_share(self) -> float:
+        """Return how much less was admitted than by the central bucket, as a share of the latter.
 
-    def refused_share(self) -> float:
-        """Give by how much less passed than one bucket lets pass, window by window."""
+        Each window is compared separately; windows in which more was admitted count as 0.
+        """
         windows: dict[int, int] = {}
-        for at, cost in self._owed:
+        for at, cost in self._centrally_admitted:
             number = int(at / _TOLERANCE.window_s)
             windows[number] = windows.get(number, 0) + cost
-        owed = sum(windows.values())
-        for at, cost in self._passed:
+        total = sum(windows.values())
+        for at, cost in self._admitted:
             windows[int(at / _TOLERANCE.window_s)] -= cost
-        return sum(max(0, rest) for rest in windows.values()) / owed
+        return sum(max(0, shortfall) for shortfall in windows.values()) / total
 
 
-def measure_limit(way: str, pattern: str, instances: int, seed: int) -> dict[str, Any]:
-    """Play one way under one pattern.
+def measure_limit(strategy: str, pattern: str, instance_count: int, seed: int) -> dict[str, Any]:
+    """Simulate one strategy under one pattern.
 
     Args:
-        way: One of ``WAYS``.
+        strategy: One of ``STRATEGIES``.
         pattern: One of ``PATTERNS``.
-        instances: How many there are.
-        seed: Decides demand and losses.
+        instance_count: Number of instances.
+        seed: Seed of the requests and of datagram losses.
 
     Returns:
-        One row: ``window`` is the fullest window as a share of what may pass at the most,
-        ``refused`` by how much less passed than one central bucket lets pass, ``news``
-        the datagrams a second and instance beside heartbeats.
+        One row: ``window`` is the fullest window as a share of what the tolerance allows,
+        ``refused`` is how much less was admitted than one central bucket would have admitted,
+        as a share, and ``news`` is the number of urgent datagrams per second and instance, apart
+        from heartbeats.
     """
-    run = _Run(WAYS[way], PATTERNS[pattern], instances, seed)
-    run.play()
+    simulation = _Simulation(STRATEGIES[strategy], PATTERNS[pattern], instance_count, seed)
+    simulation.run()
     return {
         "pattern": pattern,
-        "way": way,
-        "instances": instances,
-        "window": run.worst_window(),
-        "refused": run.refused_share(),
-        "news": run.sent / instances / _LENGTH_S,
+        "way": strategy,
+        "instances": instance_count,
+        "window": simulation.peak_window_share(),
+        "refused": simulation.shortfall_share(),
+        "news": simulation.urgent_datagrams / instance_count / _DURATION_S,
     }
--- a/bench/path.py
+++ b/bench/path.py
@@ -1,8 +1,8 @@
-"""What the path costs: processor time of one entry for each request and token.
+"""Measures the processor time of one entry per request and per token.
 
-The same streams are read through the entry and directly from the engine, in
-one run, in turns. The entry's processor time is what it adds; the engine's own
-time for the same work is the yardstick, since absolute times drift.
+One run alternates between batches of streams through the entry and batches read directly from
+the engine. The entry's processor time is the overhead that it adds. It is compared with the
+engine's own time for the same work, since absolute times drift.
 """
 
 import statistics
@@ -11,7 +11,7 @@
 import httpx
 import trio
 
-from bench.processor import processor_s
+from bench.processor import processor_time_s
 from demo.cluster import Cluster
 
 __all__ = ["measure_path"]
@@ -24,14 +24,21 @@
 classes: { question: { service: lm, deadline_s: 300, max_wait_s: 10 } }
 limits: { requests_in_flight: 5000 }
 """
-_SHORT, _LONG = 1, 200
-_TOKEN_S = 0.02
-# Between two arrivals: 50 requests a second, below what one core can take.
-_PAUSE_S = 0.02
+_SHORT_TOKENS, _LONG_TOKENS = 1, 200
+_TOKEN_INTERVAL_S = 0.02
+# Interval between arrivals: 50 requests per second, fewer than one core can handle.
+_ARRIVAL_INTERVAL_S = 0.02
 
 
-class Work(NamedTuple):
-    """One batch of streams and what it cost."""
+class BatchCost(NamedTuple):
+    """The size of one batch of streams and the processor time that it took.
+
+    Attributes:
+        requests: Number of requests.
+        tokens: Number of streamed tokens.
+        entry_s: Processor time of the entry, in seconds.
+        engine_s: Processor time of the engine, in seconds.
+    """
 
     requests: int
     tokens: int
@@ -39,99 +46,112 @@
     engine_s: float
 
 
-async def measure_path(rounds: int, streams: int) -> list[dict[str, Any]]:
-    """Measure the path.
+async def measure_path(rounds: int, stream_count: int) -> list[dict[str, Any]]:
+    """Measure requests through an entry.
 
     Args:
-        rounds: How often each batch is run; medians are given.
-        streams: Streams at once in a batch.
+        rounds: Number of runs of each batch; the results are medians.
+        stream_count: Number of streams in a batch.
 
     Returns:
-        One row with milliseconds of processor time.
+        One row: milliseconds of processor time per request and per token, and the entry's time
+        per token as a ratio of the engine's.
     """
     cluster = Cluster()
     try:
         await cluster.start_platform()
-        await cluster.start_engine("m1", "a", "both", "--token-s", str(_TOKEN_S), "--slots", "500")
+        await cluster.start_engine(
+            "m1", "a", "both", "--token-s", str(_TOKEN_INTERVAL_S), "--slots", "500"
+        )
         await cluster.start_entry("e1", "a")
         await cluster.publish_configuration(_CONFIGURATION)
         await cluster.publish_fleet()
         await cluster.wait_ready()
         short, long, direct = [], [], []
         for _ in range(rounds):
-            short.append(await _run(cluster, streams, _SHORT))
-            long.append(await _run(cluster, streams, _LONG))
-            direct.append(await _run_direct(cluster, streams, _LONG))
+            short.append(await _run(cluster, stream_count, _SHORT_TOKENS))
+            long.append(await _run(cluster, stream_count, _LONG_TOKENS))
+            direct.append(await _run_direct(cluster, stream_count, _LONG_TOKENS))
         return [_summarise(short, long, direct)]
     finally:
         with trio.CancelScope(shield=True):
             await cluster.close()
 
 
-def _summarise(short: list[Work], long: list[Work], direct: list[Work]) -> dict[str, Any]:
-    """Split the cost by request and token: a short stream is all request."""
-    request_ms = statistics.median(1000 * work.entry_s / work.requests for work in short)
+def _summarise(
+    short: list[BatchCost], long: list[BatchCost], direct: list[BatchCost]
+) -> dict[str, Any]:
+    """Divide the cost into requests and tokens; a short stream counts as request cost only."""
+    request_ms = statistics.median(1000 * batch.entry_s / batch.requests for batch in short)
     token_ms = statistics.median(
-        (1000 * work.entry_s - request_ms * work.requests) / work.tokens for work in long
+        (1000 * batch.entry_s - request_ms * batch.requests) / batch.tokens for batch in long
     )
-    engine_ms = statistics.median(1000 * work.engine_s / work.tokens for work in direct)
+    engine_ms = statistics.median(1000 * batch.engine_s / batch.tokens for batch in direct)
     return {
         "path": "entry",
         "request_ms": request_ms,
         "token_ms": token_ms,
         "engine_token_ms": engine_ms,
         "token_ratio": token_ms / engine_ms,
-        "requests": sum(work.requests for work in short),
-        "tokens": sum(work.tokens for work in long),
+        "requests": sum(batch.requests for batch in short),
+        "tokens": sum(batch.tokens for batch in long),
     }
 
 
-async def _run(cluster: Cluster, streams: int, tokens: int) -> Work:
+async def _run(cluster: Cluster, stream_count: int, tokens: int) -> BatchCost:
     address = cluster.entries["e1"].address
     body = {"model": "m", "prompt": "What is next?", "max_tokens": tokens, "stream": True}
-    return await _measure(cluster, streams, tokens, lambda n: _read(cluster, address, body, {}))
+    return await _measure(
+        cluster, stream_count, tokens, lambda number: _read_stream(cluster, address, body, {})
+    )
 
 
-async def _run_direct(cluster: Cluster, streams: int, tokens: int) -> Work:
-    return await _measure(cluster, streams, tokens, lambda n: _ask_engine(cluster, n, tokens))
+async def _run_direct(cluster: Cluster, stream_count: int, tokens: int) -> BatchCost:
+    return await _measure(
+        cluster, stream_count, tokens, lambda number: _request_directly(cluster, number, tokens)
+    )
 
 
-async def _measure(cluster: Cluster, streams: int, tokens: int, ask: Any) -> Work:
+async def _measure(
+    cluster: Cluster, stream_count: int, tokens: int, send_request: Any
+) -> BatchCost:
     entry, engine = cluster.entries["e1"], cluster.engines["m1"]
-    before = processor_s(entry), processor_s(engine)
+    before_s = processor_time_s(entry), processor_time_s(engine)
     async with trio.open_nursery() as nursery:
-        for number in range(streams):
-            nursery.start_soon(ask, number)
-            await trio.sleep(_PAUSE_S)
-    after = processor_s(entry), processor_s(engine)
-    return Work(streams, streams * tokens, after[0] - before[0], after[1] - before[1])
+        for number in range(stream_count):
+            nursery.start_soon(send_request, number)
+            await trio.sleep(_ARRIVAL_INTERVAL_S)
+    after_s = processor_time_s(entry), processor_time_s(engine)
+    return BatchCost(
+        stream_count, stream_count * tokens, after_s[0] - before_s[0], after_s[1] - before_s[1]
+    )
 
 
-_direct_count = iter(range(1_000_000_000))
+_direct_request_numbers = iter(range(1_000_000_000))
 
 
-async def _ask_engine(cluster: Cluster, number: int, tokens: int) -> None:
-    """Do by hand what the entry does: prefill, then decode as a stream."""
+async def _request_directly(cluster: Cluster, number: int, tokens: int) -> None:
+    """Send the engine the calls that an entry would make: a prefill, then a streamed decode."""
     address = cluster.engines["m1"].address
-    name = f"direct-{next(_direct_count)}"
-    headers = {"X-Request-Id": name, "X-Attempt": "0"}
+    request_id = f"direct-{next(_direct_request_numbers)}"
+    headers = {"X-Request-Id": request_id, "X-Attempt": "0"}
     body: dict[str, Any] = {"model": "m", "prompt": "What is next?", "max_tokens": 1}
     body["kv_transfer_params"] = {"do_remote_decode": True}
     url = f"http://{address}/v1/completions"
-    answer = (await cluster.client.post(url, json=body, headers=headers)).json()
-    body |= {"max_tokens": tokens, "stream": True, **answer}
-    await _read(cluster, address, body, headers)
+    response = (await cluster.client.post(url, json=body, headers=headers)).json()
+    body |= {"max_tokens": tokens, "stream": True, **response}
+    await _read_stream(cluster, address, body, headers)
 
 
-async def _read(
+async def _read_stream(
     cluster: Cluster, address: str, body: dict[str, Any], headers: dict[str, str]
 ) -> None:
     url = f"http://{address}/v1/completions"
     async with cluster.client.stream("POST", url, json=body, headers=headers) as response:
         if response.status_code != httpx.codes.OK:
-            raise RuntimeError(f"refused: {await response.aread()!r}")
-        ended = False
-        async for part in response.aiter_raw():
-            ended = ended or b"[DONE]" in part
-        if not ended:
-            raise RuntimeError("a stream was cut")
+            raise RuntimeError(f"completion request was rejected: {await response.aread()!r}")
+        is_complete = False
+        async for chunk in response.aiter_raw():
+            is_complete = is_complete or b"[DONE]" in chunk
+        if not is_complete:
+            raise RuntimeError("completion stream ended before its [DONE] event")
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -1,7 +1,7 @@
-"""Goodput and wasted prefill under load: ours beside round robin and least load.
+"""Measures goodput and wasted prefill under load, compared with round robin and least load.
 
-Whole entries in process on virtual time with the stand-in engines; the same
-seed gives the same requests to every policy and the same figures each run.
+Complete entries run in process and in virtual time, with stand-in engines. The same seed gives
+every policy the same requests, and repeated runs give the same results.
 """
 
 import random
@@ -27,18 +27,30 @@
 }
 FAULTS = ("none", "old-reports", "cancels", "endpoint-dies")
 
-_SLOTS = 12
-_TOKEN_S = 0.04
-_PREFILL_RATE = 20_000.0
-_DURATION_S = 20.0
-_SETTLE_S = 25.0
+_SLOTS_PER_ENGINE = 12
+_TOKEN_INTERVAL_S = 0.04
+_PREFILL_TOKENS_PER_S = 20_000.0
+_LOAD_DURATION_S = 20.0
+_COMPLETION_TIME_S = 25.0
 _CANCEL_SHARE = 0.2
 _BYTES_PER_TOKEN = 4
 _POOLS = {"p1": "prefill", "p2": "prefill", "d1": "decode", "d2": "decode", "d3": "decode"}
 
 
-class Kind(NamedTuple):
-    """One class of a workload: its share of requests, sizes and targets."""
+class WorkloadClass(NamedTuple):
+    """One request class of a workload.
+
+    Attributes:
+        name: Name of the class.
+        share: Share of the requests.
+        prompt_tokens: Smallest and largest number of prompt tokens.
+        output_tokens: Smallest and largest number of output tokens.
+        priority: Priority of the class.
+        ttft_target_s: Target for the time to the first token, in seconds.
+        token_target_s: Target for the mean time between tokens, in seconds.
+        max_wait_s: Maximum time in the wait queue, in seconds.
+        prefix_count: Number of different prompt prefixes.
+    """
 
     name: str
     share: float
@@ -48,31 +60,45 @@
     ttft_target_s: float
     token_target_s: float
     max_wait_s: float
-    prefixes: int
+    prefix_count: int
 
 
 WORKLOADS = {
     "release-evening": (
-        Kind("translation", 0.8, (200, 600), (20, 50), 100, 0.91, 0.079, 0.6, 40),
-        Kind("tagging", 0.2, (4_000, 12_000), (10, 30), 10, 10.0, 0.5, 8.0, 8),
+        WorkloadClass("translation", 0.8, (200, 600), (20, 50), 100, 0.91, 0.079, 0.6, 40),
+        WorkloadClass("tagging", 0.2, (4_000, 12_000), (10, 30), 10, 10.0, 0.5, 8.0, 8),
     ),
     "lease-files": (
-        Kind("question", 0.7, (100, 400), (20, 60), 80, 0.91, 0.079, 0.6, 40),
-        Kind("verdict", 0.3, (6_000, 20_000), (30, 80), 60, 8.0, 0.079, 5.0, 400),
+        WorkloadClass("question", 0.7, (100, 400), (20, 60), 80, 0.91, 0.079, 0.6, 40),
+        WorkloadClass("verdict", 0.3, (6_000, 20_000), (30, 80), 60, 8.0, 0.079, 5.0, 400),
     ),
 }
 
 
-class Asked(NamedTuple):
-    """One request of the bench and the caller that sent it."""
+class SentRequest(NamedTuple):
+    """One request of the benchmark.
+
+    Attributes:
+        workload_class: Class of the request.
+        caller: Caller that sent the request.
+        cancelled: Whether the caller is to cancel the request.
+    """
 
-    kind: Kind
+    workload_class: WorkloadClass
     caller: Caller
     cancelled: bool
 
 
 class Cell(NamedTuple):
-    """One cell of the bench: a policy under one workload, load and fault."""
+    """One combination of parameters to measure.
+
+    Attributes:
+        policy: One of ``POLICIES``.
+        workload: One of ``WORKLOADS``.
+        load: Request rate as a share of the fleet's capacity.
+        faults: One of ``FAULTS``.
+        entries: Number of entries.
+    """
 
     policy: str
     workload: str
@@ -82,69 +108,74 @@
 
 
 def measure_policy(cell: Cell, seed: int) -> list[dict[str, Any]]:
-    """Measure one cell; one row for each class.
+    """Measure one combination of parameters.
 
     Args:
-        cell: What is measured.
+        cell: The combination of parameters.
         seed: Seed of the requests.
+
+    Returns:
+        One row for each class of the workload.
     """
     world = World()
     world.place = POLICIES[cell.policy]()
     world.pools = _POOLS
     world.configuration = _write_configuration(WORKLOADS[cell.workload])
     world.engine_settings = {
-        "slots": _SLOTS,
-        "token_s": _TOKEN_S,
-        "prefill_rate": _PREFILL_RATE,
+        "slots": _SLOTS_PER_ENGINE,
+        "token_s": _TOKEN_INTERVAL_S,
+        "prefill_rate": _PREFILL_TOKENS_PER_S,
         "memory_tokens": 120_000,
         "report_lag_s": 5.0 if cell.faults == "old-reports" else 0.2,
     }
-    asked: list[Asked] = []
+    sent: list[SentRequest] = []
 
-    async def story(world: World) -> None:
-        asked.extend(await _send(world, cell, random.Random(seed)))
+    async def run_load(world: World) -> None:
+        sent.extend(await _send_requests(world, cell, random.Random(seed)))
 
-    world.run(story, *(f"{name}/a" for name in _names(cell)))
-    waste = _wasted_share(world)
+    world.run(run_load, *(f"{name}/a" for name in _entry_names(cell)))
+    wasted_share = _wasted_prefill_share(world)
     return [
-        cell._asdict() | {"class": kind.name, "wasted_prefill": waste} | _judge(kind, asked)
-        for kind in WORKLOADS[cell.workload]
+        cell._asdict()
+        | {"class": workload_class.name, "wasted_prefill": wasted_share}
+        | _summarise(workload_class, sent)
+        for workload_class in WORKLOADS[cell.workload]
     ]
 
 
-async def _send(world: World, cell: Cell, rng: random.Random) -> list[Asked]:
-    """Send requests at random moments, then wait until all have ended."""
-    kinds, asked = WORKLOADS[cell.workload], []
-    rate = cell.load * _capacity(kinds)
-    ends_at = trio.current_time() + _DURATION_S
-    dies_at = trio.current_time() + _DURATION_S / 3 if cell.faults == "endpoint-dies" else None
+async def _send_requests(world: World, cell: Cell, rng: random.Random) -> list[SentRequest]:
+    """Send requests at random times, then wait long enough for all of them to end."""
+    classes, sent = WORKLOADS[cell.workload], []
+    rate_per_s = cell.load * _capacity_per_s(classes)
+    ends_at = trio.current_time() + _LOAD_DURATION_S
+    dies_at = trio.current_time() + _LOAD_DURATION_S / 3 if cell.faults == "endpoint-dies" else None
     while trio.current_time() < ends_at:
-        await trio.sleep(rng.expovariate(rate))
+        await trio.sleep(rng.expovariate(rate_per_s))
         if dies_at is not None and trio.current_time() > dies_at:
             world.fleet.kill("d1")
             dies_at = None
-        asked.append(_ask(world, cell, rng))
-    await trio.sleep(_SETTLE_S)
-    return asked
+        sent.append(_send_request(world, cell, rng))
+    await trio.sleep(_COMPLETION_TIME_S)
+    return sent
 
 
-def _names(cell: Cell) -> list[str]:
+def _entry_names(cell: Cell) -> list[str]:
     return [f"e{number}" for number in range(1, cell.entries + 1)]
 
 
-def _ask(world: World, cell: Cell, rng: random.Random) -> Asked:
-    kinds = WORKLOADS[cell.workload]
-    kind = rng.choices(kinds, [kind.share for kind in kinds])[0]
-    size = rng.randint(*kind.prompt_tokens) * _BYTES_PER_TOKEN
-    prompt = f"{kind.name} {rng.randrange(kind.prefixes)} ".ljust(1024, "x")
-    prompt = (prompt + f" {rng.random()} ").ljust(size, "y")[:size]
-    tokens = rng.randint(*kind.output_tokens)
-    entry = rng.choice(_names(cell))
-    caller = world.start_ask(entry, tokens, prompt, {"x-request-class": kind.name})
+def _send_request(world: World, cell: Cell, rng: random.Random) -> SentRequest:
+    classes = WORKLOADS[cell.workload]
+    workload_class = rng.choices(classes, [workload_class.share for workload_class in classes])[0]
+    prompt_bytes = rng.randint(*workload_class.prompt_tokens) * _BYTES_PER_TOKEN
+    prompt = f"{workload_class.name} {rng.randrange(workload_class.prefix_count)} ".ljust(1024, "x")
+    prompt = (prompt + f" {rng.random()} ").ljust(prompt_bytes, "y")[:prompt_bytes]
+    tokens = rng.randint(*workload_class.output_tokens)
+    entry = rng.choice(_entry_names(cell))
+    caller = world.start_ask(entry, tokens, prompt, {"x-request-class": workload_class.name})
     cancelled = cell.faults == "cancels" and rng.random() < _CANCEL_SHARE
     if cancelled:
         world.nursery.start_soon(_cancel, caller, rng.uniform(0.0, 0.1))
-    return Asked(kind, caller, cancelled)
+    return SentRequest(workload_class, caller, cancelled)
 
 
 async def _cancel(caller: Caller, after_s: float) -> None:
@@ -152,68 +183,80 @@
     caller.go_away()
 
 
-def _capacity(kinds: tuple[Kind, ...]) -> float:
-    """Give the requests a second at which prefill or decode is fully used."""
-    prompt = sum(kind.share * statistics.mean(kind.prompt_tokens) for kind in kinds)
-    output = sum(kind.share * statistics.mean(kind.output_tokens) for kind in kinds)
-    prefills = sum(pool == "prefill" for pool in _POOLS.values())
-    decodes = len(_POOLS) - prefills
-    return min(prefills * _PREFILL_RATE / prompt, decodes * _SLOTS / (output * _TOKEN_S))
-
-
-def _judge(kind: Kind, asked: list[Asked]) -> dict[str, Any]:
-    """Judge one class by what its callers saw; those that cancelled don't count."""
-    mine = [item.caller for item in asked if item.kind is kind and not item.cancelled]
-    whole = [caller for caller in mine if caller.ended]
-    refused = Counter(caller.error["code"] for caller in mine if caller.status >= 400)
-    ttfts = sorted(caller.token_times[0] - caller.asked_at for caller in whole)
-    gaps = sorted(_token_s(caller) for caller in whole)
-    good = sum(
-        caller.token_times[0] - caller.asked_at <= kind.ttft_target_s
-        and _token_s(caller) <= kind.token_target_s
-        for caller in whole
+def _capacity_per_s(classes: tuple[WorkloadClass, ...]) -> float:
+    """Return the requests per second at which the prefills or the decodes are fully used."""
+    mean_prompt_tokens = sum(
+        workload_class.share * statistics.mean(workload_class.prompt_tokens)
+        for workload_class in classes
+    )
+    mean_output_tokens = sum(
+        workload_class.share * statistics.mean(workload_class.output_tokens)
+        for workload_class in classes
+    )
+    prefill_count = sum(pool == "prefill" for pool in _POOLS.values())
+    decode_count = len(_POOLS) - prefill_count
+    return min(
+        prefill_count * _PREFILL_TOKENS_PER_S / mean_prompt_tokens,
+        decode_count * _SLOTS_PER_ENGINE / (mean_output_tokens * _TOKEN_INTERVAL_S),
+    )
+
+
+def _summarise(workload_class: WorkloadClass, sent: list[SentRequest]) -> dict[str, Any]:
+    """Summarise one class as seen by its callers; cancelled requests are not counted."""
+    callers = [
+        item.caller for item in sent if item.workload_class is workload_class and not item.cancelled
+    ]
+    completed = [caller for caller in callers if caller.ended]
+    rejections = Counter(caller.error["code"] for caller in callers if caller.status >= 400)
+    ttfts_s = sorted(caller.token_times[0] - caller.asked_at for caller in completed)
+    token_times_s = sorted(_mean_token_time_s(caller) for caller in completed)
+    within_targets = sum(
+        caller.token_times[0] - caller.asked_at <= workload_class.ttft_target_s
+        and _mean_token_time_s(caller) <= workload_class.token_target_s
+        for caller in completed
     )
     return {
-        "requests": len(mine),
-        "goodput": round(good / max(1, len(mine)), 4),
-        "whole": len(whole),
-        "refused": dict(sorted(refused.items())),
-        "ttft_p50_s": _quantile(ttfts, 0.5),
-        "ttft_p95_s": _quantile(ttfts, 0.95),
-        "token_p95_s": _quantile(gaps, 0.95),
+        "requests": len(callers),
+        "goodput": round(within_targets / max(1, len(callers)), 4),
+        "whole": len(completed),
+        "refused": dict(sorted(rejections.items())),
+        "ttft_p50_s": _quantile(ttfts_s, 0.5),
+        "ttft_p95_s": _quantile(ttfts_s, 0.95),
+        "token_p95_s": _quantile(token_times_s, 0.95),
     }
 
 
-def _token_s(caller: Caller) -> float:
-    """Mean seconds between tokens."""
-    times = caller.token_times
-    return (times[-1] - times[0]) / max(1, len(times) - 1)
+def _mean_token_time_s(caller: Caller) -> float:
+    """Return the mean time between tokens, in seconds."""
+    times_s = caller.token_times
+    return (times_s[-1] - times_s[0]) / max(1, len(times_s) - 1)
 
 
 def _quantile(values: list[float], share: float) -> float | None:
     return round(values[min(len(values) - 1, int(share * len(values)))], 4) if values else None
 
 
-def _wasted_share(world: World) -> float:
-    """Share of prefilled tokens that no decode imported, by the engines' ledgers."""
+def _wasted_prefill_share(world: World) -> float:
+    """Return the share of prefilled tokens that no decode imported, by the engines' counters."""
     counts: Counter[str] = Counter()
     for engine in world.fleet.engines.values():
         counts.update(engine.counts)
-    done = counts["prefill_tokens"]
-    return round((done - counts["kv_used_tokens"]) / max(1, done), 4)
+    prefilled = counts["prefill_tokens"]
+    return round((prefilled - counts["kv_used_tokens"]) / max(1, prefilled), 4)
 
 
-def _write_configuration(kinds: tuple[Kind, ...]) -> str:
-    classes = "".join(
-        f"  {kind.name}: {{ service: lm, priority: {kind.priority}, deadline_s: 30, "
-        f"ttft_target_s: {kind.ttft_target_s}, token_target_s: {kind.token_target_s}, "
-        f"max_wait_s: {kind.max_wait_s} }}\n"
-        for kind in kinds
+def _write_configuration(classes: tuple[WorkloadClass, ...]) -> str:
+    classes_text = "".join(
+        f"  {workload_class.name}: {{ service: lm, priority: {workload_class.priority}, "
+        f"deadline_s: 30, ttft_target_s: {workload_class.ttft_target_s}, "
+        f"token_target_s: {workload_class.token_target_s}, "
+        f"max_wait_s: {workload_class.max_wait_s} }}\n"
+        for workload_class in classes
     )
     return (
         "version: 1\ndata_centres: { a: { region: r } }\n"
         "services: { lm: { kind: model, models: [m] } }\n"
         "pools:\n  prefill: { service: lm, role: prefill }\n"
         "  decode: { service: lm, role: decode }\n"
-        f"classes:\n{classes}"
+        f"classes:\n{classes_text}"
     )
