--- a/soak/checks_of_words.py
+++ b/soak/checks_of_words.py
@@ -1,4 +1,4 @@
-"""Checks of what workers say of themselves in answers: that they leave, rest, take few calls."""
+"""Checks that instances follow the notices in workers' answers: leaving, backoff, rate limit."""
 
 from collections import defaultdict
 from collections.abc import Iterator
@@ -6,118 +6,127 @@
 from soak.records import Arrival, History, NamedLimit, Request
 from soak.violations import DRAIN_S, SLACK_S, Violation
 
-__all__ = ["MOST_IN_A_REST", "limits_of_workers_hold", "rests_are_kept", "words_are_heard"]
+__all__ = [
+    "MAX_CALLS_IN_BACKOFF",
+    "check_announced_limits",
+    "check_backoffs",
+    "check_leaving_notices",
+]
 
-# Calls that are on their way when a worker asks for a rest arrive within this; so many more may.
-_ON_THE_WAY_S = 0.5
-MOST_IN_A_REST = 2
-# A limit that a worker names holds so long after it named it first, in each span of this length:
-# half as many more calls, and some on top, from instances that passed on an answer with it.
-_KNOWN_S = 2.0
-_SPAN_S = 4.0
+# Calls that are in transit when a worker requests a backoff arrive within this time.
+_IN_TRANSIT_S = 0.5
+# Number of calls that may arrive from one instance during the remaining backoff.
+MAX_CALLS_IN_BACKOFF = 2
+# An announced limit applies from this time after its first announcement.
+_PROPAGATION_S = 2.0
+# In each window of this length, all instances that have forwarded an answer with the limit may
+# together send half as many calls again as the limit allows, and some extra calls.
+_LIMIT_WINDOW_S = 4.0
 _LIMIT_FACTOR = 1.5
-_LIMIT_MORE = 5
+_LIMIT_EXTRA_CALLS = 5
 
 
-def words_are_heard(history: History) -> Iterator[Violation]:
-    """A worker that said in an answer that it leaves gets nothing more from who passed it on."""
-    said_at = {word.worker: word.at for word in history.words}
+def check_leaving_notices(history: History) -> Iterator[Violation]:
+    """Check that an instance sends nothing to a worker after an answer announced its leaving."""
+    announced_at = {notice.worker: notice.at for notice in history.words}
     requests = {request.name: request for request in history.requests}
-    heard: dict[tuple[str, int, int], float] = {}
+    forwarded_at: dict[tuple[str, int, int], float] = {}
     for run in history.runs:
         request = requests.get(run.request)
-        at = said_at.get(run.worker)
-        if request is None or at is None or run.began_at <= at or not request.whole:
+        at = announced_at.get(run.worker)
+        if request is None or at is None or run.began_at <= at or not request.is_complete:
             continue
-        key = (run.worker, request.instance, request.life)
-        heard[key] = min(request.ended_at, heard.get(key, request.ended_at))
+        key = (run.worker, request.instance, request.incarnation)
+        forwarded_at[key] = min(request.ended_at, forwarded_at.get(key, request.ended_at))
     for arrival in history.arrivals:
         request = requests.get(arrival.request)
         if request is None:
             continue
-        at = heard.get((arrival.worker, request.instance, request.life))
+        at = forwarded_at.get((arrival.worker, request.instance, request.incarnation))
         if at is None or request.sent_at <= at + DRAIN_S + SLACK_S:
             continue
-        if history.is_calm(f"instance {request.instance}", at, arrival.at):
+        if history.is_undisturbed(f"instance {request.instance}", at, arrival.at):
             late_s = request.sent_at - at
-            detail = f"{arrival.worker} got work {late_s:.2f} s after its answer was passed on"
+            detail = f"{arrival.worker} received a request {late_s:.2f} s after its leaving notice"
             yield Violation("", detail, (arrival.request,))
 
 
-def rests_are_kept(history: History) -> Iterator[Violation]:
-    """Few calls of an instance reach a worker within a rest that it asked that instance for."""
+def check_backoffs(history: History) -> Iterator[Violation]:
+    """Check that an instance sends only few calls to a worker that requested a backoff from it."""
     requests = {request.name: request for request in history.requests}
-    for rest in history.rests:
+    for period in history.rests:
         by_sender: dict[tuple[int, int], list[Arrival]] = defaultdict(list)
         for arrival in history.arrivals:
             request = requests.get(arrival.request)
-            if request is not None and arrival.worker == rest.worker:
-                by_sender[request.instance, request.life].append(arrival)
+            if request is not None and arrival.worker == period.worker:
+                by_sender[request.instance, request.incarnation].append(arrival)
         for (instance, _), arrivals in by_sender.items():
-            for asked in arrivals:
-                if not rest.began_at < asked.at < rest.ended_at:
+            for rejected in arrivals:
+                if not period.began_at < rejected.at < period.ended_at:
                     continue
-                since, until = asked.at + _ON_THE_WAY_S, asked.at + rest.rest_s
+                since, until = rejected.at + _IN_TRANSIT_S, rejected.at + period.backoff_s
                 late = [item for item in arrivals if since < item.at < until]
-                calm = history.is_calm(f"instance {instance}", asked.at, until)
-                if calm and len(late) > MOST_IN_A_REST:
+                undisturbed = history.is_undisturbed(f"instance {instance}", rejected.at, until)
+                if undisturbed and len(late) > MAX_CALLS_IN_BACKOFF:
                     detail = (
-                        f"{rest.worker} got {len(late)} calls within {rest.rest_s:.1f} s of rest"
+                        f"{period.worker} received {len(late)} calls "
+                        f"in a backoff of {period.backoff_s:.1f} s"
                     )
                     yield Violation("", detail, tuple(item.request for item in late))
                     break
 
 
-def limits_of_workers_hold(history: History) -> Iterator[Violation]:
-    """A worker gets no more calls than it says it takes, of all instances that it told."""
+def check_announced_limits(history: History) -> Iterator[Violation]:
+    """Check that all instances that know of a worker's announced limit keep it together."""
     requests = {request.name: request for request in history.requests}
     for limit in history.named_limits:
-        told_at = _told_at(history, limit, requests)
-        arrivals = _bound_arrivals(history, limit, requests, told_at)
-        bound = _LIMIT_FACTOR * limit.rate * _SPAN_S + _LIMIT_MORE
+        known_at = _find_first_notices(history, limit, requests)
+        arrivals = _find_limited_arrivals(history, limit, requests, known_at)
+        bound = _LIMIT_FACTOR * limit.rate_per_s * _LIMIT_WINDOW_S + _LIMIT_EXTRA_CALLS
         for first in arrivals:
-            within = [item for item in arrivals if 0 <= item.at - first.at < _SPAN_S]
+            within = [item for item in arrivals if 0 <= item.at - first.at < _LIMIT_WINDOW_S]
             if len(within) > bound:
                 detail = (
-                    f"{limit.worker} takes {limit.rate:g} a second and got {len(within)} in 4 s"
+                    f"{limit.worker} announced a limit of {limit.rate_per_s:g} calls per second "
+                    f"and received {len(within)} in 4 s"
                 )
                 yield Violation("", detail, tuple(item.request for item in within))
                 break
 
 
-def _told_at(
+def _find_first_notices(
     history: History, limit: NamedLimit, requests: dict[str, Request]
 ) -> dict[tuple[int, int], float]:
-    """Give when each life of an instance passed on the first answer that named a limit."""
-    told_at: dict[tuple[int, int], float] = {}
+    """Return when each process of an instance forwarded the first answer with the limit."""
+    known_at: dict[tuple[int, int], float] = {}
     for run in history.runs:
         request = requests.get(run.request)
-        if request is None or run.worker != limit.worker or not request.whole:
+        if request is None or run.worker != limit.worker or not request.is_complete:
             continue
         if limit.began_at <= run.began_at and run.ended_at <= limit.ended_at:
-            life = (request.instance, request.life)
-            told_at[life] = min(request.ended_at, told_at.get(life, request.ended_at))
-    return told_at
+            process = (request.instance, request.incarnation)
+            known_at[process] = min(request.ended_at, known_at.get(process, request.ended_at))
+    return known_at
 
 
-def _bound_arrivals(
+def _find_limited_arrivals(
     history: History,
     limit: NamedLimit,
     requests: dict[str, Request],
-    told_at: dict[tuple[int, int], float],
+    known_at: dict[tuple[int, int], float],
 ) -> list[Arrival]:
-    """Give what a worker got while its limit held, of instances that knew and were undisturbed."""
+    """Return calls to a worker under its limit, from undisturbed instances that know the limit."""
     found = []
     for arrival in sorted(history.arrivals, key=lambda item: item.at):
         request = requests.get(arrival.request)
         if request is None or arrival.worker != limit.worker:
             continue
-        if not limit.began_at + _KNOWN_S <= arrival.at < limit.ended_at:
+        if not limit.began_at + _PROPAGATION_S <= arrival.at < limit.ended_at:
             continue
-        at = told_at.get((request.instance, request.life))
-        if at is None or arrival.at < at + _ON_THE_WAY_S:
+        at = known_at.get((request.instance, request.incarnation))
+        if at is None or arrival.at < at + _IN_TRANSIT_S:
             continue
-        since = arrival.at - _SPAN_S - SLACK_S
-        if history.is_calm(f"instance {request.instance}", since, arrival.at):
+        since = arrival.at - _LIMIT_WINDOW_S - SLACK_S
+        if history.is_undisturbed(f"instance {request.instance}", since, arrival.at):
             found.append(arrival)
     return found
--- a/soak/organisations.py
+++ b/soak/organisations.py
@@ -1,72 +1,80 @@
-"""Organisations of a run: their keys and limits, and what was done to them."""
+"""Organisations of a run: their API keys and rate limits, and the changes of both."""
 
 import random
 from typing import Any
 
 import trio
 
-from soak.records import Caller, KeyChange, LimitChange
+from soak.records import CallerIdentity, KeyChange, LimitChange
 
-__all__ = ["NOBODY", "SoakOrganisations"]
+__all__ = ["ANONYMOUS", "SoakOrganisations"]
 
-NOBODY = Caller()
-_STEADY, _HOT, _MOVING = "steady", "hot", "moving"
-# Requests a second of the hot one, which asks for several times as many.
-_LIMITS = (2.0, 1.0, 3.0)
+ANONYMOUS = CallerIdentity()
+_UNLIMITED, _LIMITED, _ROTATING = "steady", "hot", "moving"
+# Limits of the limited organisation, in turn; it sends several times as many requests per second.
+_LIMITS_PER_S = (2.0, 1.0, 3.0)
+# Size of its burst, in seconds of its limit.
 _BURST_S = 2.0
-# Shares of the requests, and of those of the moving one that come with an older key.
-_HOT_SHARE, _MOVING_SHARE = 0.35, 0.25
-_OLD_KEY_SHARE = 0.3
+# Shares of all requests that belong to these two organisations.
+_LIMITED_SHARE, _ROTATING_SHARE = 0.35, 0.25
+# Share of the requests of the organisation with changing keys that use one of its keys at random,
+# possibly a revoked one.
+_ANY_KEY_SHARE = 0.3
 
 
 class SoakOrganisations:
     """Three organisations: one without a limit, one over its limit, one whose keys change."""
 
     def __init__(self, seed: int) -> None:
-        # A generator of its own: faults and callers of a seed stay what they are without it.
+        # A separate generator: the faults and callers of a seed are the same without organisations.
         self._rng = random.Random(seed)
-        self._limit = 0
-        self._keys = ["moving-0"]
+        self._limit_changes = 0
+        self._issued_keys = ["moving-0"]
         self.keys: list[KeyChange] = []
         self.limits: list[LimitChange] = []
-        self._note_limit()
+        self._record_limit()
 
-    def _note_limit(self) -> None:
-        rate = _LIMITS[self._limit % len(_LIMITS)]
-        self.limits.append(LimitChange(_HOT, rate, _BURST_S * rate, trio.current_time()))
+    def _record_limit(self) -> None:
+        rate_per_s = _LIMITS_PER_S[self._limit_changes % len(_LIMITS_PER_S)]
+        self.limits.append(
+            LimitChange(_LIMITED, rate_per_s, _BURST_S * rate_per_s, trio.current_time())
+        )
 
     def entries(self) -> list[dict[str, Any]]:
-        """Give them as the configuration has them."""
+        """Return the organisations in the form that the configuration contains."""
         limit = self.limits[-1]
         return [
-            {"name": _STEADY, "api_keys": ["steady-0"]},
+            {"name": _UNLIMITED, "api_keys": ["steady-0"]},
             {
-                "name": _HOT,
+                "name": _LIMITED,
                 "api_keys": ["hot-0"],
                 "priority": 1,
-                "rate_per_s": limit.rate,
+                "rate_per_s": limit.rate_per_s,
                 "burst": limit.burst,
             },
-            {"name": _MOVING, "api_keys": self._keys[-1:], "priority": 0},
+            {"name": _ROTATING, "api_keys": self._issued_keys[-1:], "priority": 0},
         ]
 
     def move_key(self) -> None:
-        """Take the moving one's key away and give it another; to be published by the caller."""
+        """Replace the key of the organisation with changing keys; the caller must publish it."""
         now = trio.current_time()
-        self.keys.append(KeyChange(self._keys[-1], f"moving-{len(self._keys)}", now))
-        self._keys.append(self.keys[-1].new)
+        self.keys.append(KeyChange(self._issued_keys[-1], f"moving-{len(self._issued_keys)}", now))
+        self._issued_keys.append(self.keys[-1].new_key)
 
     def change_limit(self) -> None:
-        """Give the hot one another limit; to be published by the caller."""
-        self._limit += 1
-        self._note_limit()
+        """Change the limit of the limited organisation; the caller must publish it."""
+        self._limit_changes += 1
+        self._record_limit()
 
-    def pick(self) -> Caller:
-        """Give whose the next request is, and the key that it comes with."""
+    def pick_caller(self) -> CallerIdentity:
+        """Choose the organisation and the API key of the next request."""
         draw = self._rng.random()
-        if draw < _HOT_SHARE:
-            return Caller(_HOT, "hot-0")
-        if draw < _HOT_SHARE + _MOVING_SHARE:
-            is_old = self._rng.random() < _OLD_KEY_SHARE
-            return Caller(_MOVING, self._rng.choice(self._keys) if is_old else self._keys[-1])
-        return Caller(_STEADY, "steady-0")
+        if draw < _LIMITED_SHARE:
+            return CallerIdentity(_LIMITED, "hot-0")
+        if draw < _LIMITED_SHARE + _ROTATING_SHARE:
+            uses_any_key = self._rng.random() < _ANY_KEY_SHARE
+            return CallerIdentity(
+                _ROTATING,
+                self._rng.choice(self._issued_keys) if uses_any_key else self._issued_keys[-1],
+            )
+        return CallerIdentity(_UNLIMITED, "steady-0")
--- a/soak/records.py
+++ b/soak/records.py
@@ -1,10 +1,13 @@
-"""What callers, workers and the soak itself saw: plain data for the checks."""
+"""What callers, workers and the soak itself recorded during a run: plain data for the checks.
+
+All times are seconds on the clock of trio.
+"""
 
 from typing import NamedTuple
 
 __all__ = [
     "Arrival",
-    "Caller",
+    "CallerIdentity",
     "CrashingRun",
     "History",
     "KeyChange",
@@ -26,7 +29,10 @@
 
 
 class RequestKind(StrEnum):
-    """How often a request may run; ``SWITCH`` is a safe one on the route that moves."""
+    """Kinds of requests, which differ in whether they may be repeated.
+
+    ``SWITCH`` is a safe request on the route that moves from service to service.
+    """
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -35,103 +41,121 @@
     SWITCH = "switch"
 
 
-class Caller(NamedTuple):
-    """Whose a request is, and its key; both are empty where there are no organisations."""
+class CallerIdentity(NamedTuple):
+    """Organisation of a caller and its API key; both are empty in a run without organisations."""
 
     organisation: str = ""
-    key: str = ""
+    api_key: str = ""
 
 
 class KeyChange(NamedTuple):
-    """A key that was taken away as of a time, and the one that was given instead."""
+    """The replacement of an API key by a new one at a time; the old key is revoked."""
 
-    old: str
-    new: str
+    old_key: str
+    new_key: str
     at: float
 
 
 class LimitChange(NamedTuple):
-    """An organisation's limit, in requests a second and on top, as of a time."""
+    """A change of an organisation's limit.
+
+    Attributes:
+        organisation: Name of the organisation.
+        rate_per_s: New limit, in requests per second.
+        burst: Requests allowed on top of that rate.
+        at: When the limit changed.
+    """
 
     organisation: str
-    rate: float
+    rate_per_s: float
     burst: float
     at: float
 
 
 class Request(NamedTuple):
-    """One request of a caller and what came of it.
+    """One request of a caller and its result.
 
     Attributes:
-        name: Its id.
-        kind: How often it may run.
-        instance: Instance that it was sent to.
-        life: Which life of that instance's process.
-        sent_at: When its last byte was sent.
-        ended_at: When its answer or its connection ended.
-        status: Status of the answer; 0 for none.
-        owner: Id that the answer carries.
-        signed: Whether the answer carries a worker's signature.
-        whole: Whether the answer ended properly.
-        body: The answer's body.
-        left: Whether the caller left before the answer.
-        surplus: Bytes that followed the answer although nothing was asked.
-        retry_after: What the answer says of when to come back; empty for nothing.
-        caller: Whose it is.
+        name: ID of the request.
+        kind: Its kind, which determines how often it may run.
+        instance: Number of the instance that it was sent to.
+        incarnation: Which process of that instance, counted from the first start.
+        sent_at: When the caller had sent all of it.
+        ended_at: When the answer or the connection ended.
+        status: Status of the answer; 0 if there was none.
+        answer_id: Request ID in the answer.
+        is_signed: Whether the answer carries a worker's signature.
+        is_complete: Whether the answer ended properly.
+        body: Body of the answer.
+        caller_left: Whether the caller disconnected before the answer.
+        extra_bytes: Bytes that were received on the connection before this request was sent,
+            after the previous answer.
+        retry_after: Value of the answer's Retry-After header; empty if there was none.
+        caller: Organisation and key of the caller.
     """
 
     name: str
     kind: RequestKind
     instance: int
-    life: int
+    incarnation: int
     sent_at: float
     ended_at: float
     status: int = 0
-    owner: str = ""
-    signed: bool = False
-    whole: bool = False
+    answer_id: str = ""
+    is_signed: bool = False
+    is_complete: bool = False
     body: bytes = b""
-    left: bool = False
-    surplus: bytes = b""
+    caller_left: bool = False
+    extra_bytes: bytes = b""
     retry_after: str = ""
-    caller: Caller = Caller()
+    caller: CallerIdentity = CallerIdentity()
 
 
 class Arrival(NamedTuple):
-    """A request as it reached a worker, run or not.
+    """A request as it reached a worker, whether the worker ran it or not.
 
     Attributes:
-        request: Its id.
-        worker: The worker.
-        service: The worker's service.
+        request: ID of the request.
+        worker: Name of the worker.
+        service: Service of the worker.
         at: When it arrived.
-        prefill: Whether only its prompt is to be computed.
-        organisation: Whose it is, as the worker was told; empty for nothing.
-        key: The caller's key if that reached the worker too; empty for none.
+        is_prefill: Whether the worker was asked for the prefill only.
+        organisation: Organisation that the worker received with it; empty if none.
+        authorization: Value of the Authorization header, which must not reach a worker; empty if
+            there was none.
     """
 
     request: str
     worker: str
     service: str
     at: float
-    prefill: bool
+    is_prefill: bool
     organisation: str = ""
-    key: str = ""
+    authorization: str = ""
 
 
 class WorkerRun(NamedTuple):
-    """A run of a request at a worker; ``ended_at`` is infinite while it goes on."""
+    """A run of a request on a worker.
+
+    Attributes:
+        request: ID of the request.
+        worker: Name of the worker.
+        service: Service of the worker.
+        began_at: When the run began.
+        ended_at: When it ended; infinite while it continues.
+        is_cancelled: Whether the connection closed before the run ended.
+    """
 
     request: str
     worker: str
     service: str
     began_at: float
     ended_at: float
-    dropped: bool
+    is_cancelled: bool
 
 
 class CrashingRun(NamedTuple):
-    """A run that crashed its worker, by what was asked."""
+    """A run that crashed its worker, with the body of the request."""
 
     body: str
     worker: str
@@ -139,7 +163,14 @@
 
 
 class Order(NamedTuple):
-    """An order that a worker took."""
+    """A role order that a worker accepted.
+
+    Attributes:
+        worker: Name of the worker.
+        holder: Name of the instance that gave the order as the leader.
+        fence: Fencing token of the order.
+        at: When the worker accepted it.
+    """
 
     worker: str
     holder: str
@@ -148,53 +179,53 @@
 
 
 class Withdrawal(NamedTuple):
-    """A worker that said at a time that it is leaving."""
+    """A worker whose registration announces since a time that it is leaving."""
 
     worker: str
     at: float
 
 
 class LeavingWord(NamedTuple):
-    """A worker that says in its answers, from a time on, that it is leaving."""
+    """A worker that announces only in its answers, since a time, that it is leaving."""
 
     worker: str
     at: float
 
 
 class Rest(NamedTuple):
-    """A time in which a worker turned everything away and asked for a rest each time.
+    """A period in which a worker rejected all work and requested a backoff each time.
 
     Attributes:
-        worker: The worker.
-        began_at: When it began to turn work away.
-        ended_at: When it took work again.
-        rest_s: Seconds that it asked for with each refusal.
+        worker: Name of the worker.
+        began_at: When it began to reject work.
+        ended_at: When it accepted work again.
+        backoff_s: Backoff that it requested with each rejection, in seconds.
     """
 
     worker: str
     began_at: float
     ended_at: float
-    rest_s: float
+    backoff_s: float
 
 
 class NamedLimit(NamedTuple):
-    """A time in which a worker named a limit over all instances in its answers.
+    """A period in which a worker's answers announced a rate limit over all instances.
 
     Attributes:
-        worker: The worker.
-        began_at: When it began to name it.
-        ended_at: When it named it no longer.
-        rate: Calls a second.
+        worker: Name of the worker.
+        began_at: When it began to announce the limit.
+        ended_at: When it stopped announcing it.
+        rate_per_s: The limit, in calls per second.
     """
 
     worker: str
     began_at: float
     ended_at: float
-    rate: float
+    rate_per_s: float
 
 
 class Switch(NamedTuple):
-    """The moving route went to a service, as of a time."""
+    """A configuration that moved the ``/switch/`` route to a new service, at a time."""
 
     service: str
     at: float
@@ -205,15 +236,15 @@
 
     Attributes:
         instance: Number of the instance.
-        life: Counts its processes.
+        incarnation: Which process of the instance, counted from the first start.
         began_at: When it was asked to stop.
-        ended_at: When it had ended, or was no longer waited for.
-        code: Exit code of the process; -9 for one that had to be killed.
-        is_earlier_build: Whether the process was of an earlier build.
+        ended_at: When it had exited, or when the wait for that timed out.
+        code: Exit code of the process; -9 if it had to be killed.
+        is_earlier_build: Whether the process ran an earlier build.
     """
 
     instance: int
-    life: int
+    incarnation: int
     began_at: float
     ended_at: float
     code: int
@@ -221,44 +252,44 @@
 
 
 class Spell(NamedTuple):
-    """A time in which something was disturbed.
+    """A period in which a component was disturbed by a fault.
 
     Attributes:
-        what: ``store``, ``instance N`` or the name of a worker.
-        began_at: When it began.
-        ended_at: When it was over.
+        component: ``store``, ``instance N`` or the name of a worker.
+        began_at: When the disturbance began.
+        ended_at: When it ended.
     """
 
-    what: str
+    component: str
     began_at: float
     ended_at: float
 
 
 class History(NamedTuple):
-    """All of a run.
+    """Everything that was recorded during a run.
 
     Attributes:
-        requests: What callers saw.
-        arrivals: What reached workers.
-        runs: What workers ran.
-        orders: What orders workers took.
-        withdrawals: Workers that left as planned.
-        switches: Where the moving route went, in order.
+        requests: Requests and their results, as callers saw them.
+        arrivals: Requests that reached workers.
+        runs: Runs of requests on workers.
+        orders: Role orders that workers accepted.
+        withdrawals: Workers whose registrations announced that they were leaving.
+        switches: Changes of the service behind the ``/switch/`` route, in order.
         stops: Planned stops.
         spells: Disturbances.
-        exits: Processes that ended by themselves, as texts.
-        unserved: Instances that serve nothing after all has healed.
-        budget: Extra arrivals that any window may have, beyond its share of requests.
-        ended_at: When the run was over.
-        keys: Keys that were taken away, in order.
-        limits: Limits, in order, the first ones among them.
+        exits: Descriptions of unplanned exits of processes, and of starts that took too long.
+        unserved: Numbers of the instances that serve no requests after all faults have ended.
+        budget: Extra sends allowed in any window, in addition to the share of requests.
+        ended_at: When the run ended.
+        keys: Changes of API keys, in order.
+        limits: Limits of organisations, in order, starting with the initial ones.
         crashes: Runs that crashed their workers.
-        words: Workers that said in answers that they leave.
-        rests: Workers that asked for a rest.
-        named_limits: Workers that named a limit over all instances.
-        store_calls: Calls to the store of all instances.
-        instances: How many instances there are.
-        seconds: Length of the run.
+        words: Workers that announced in answers that they were leaving.
+        rests: Periods in which workers requested backoffs.
+        named_limits: Periods in which workers announced rate limits over all instances.
+        store_calls: Number of calls to the store, from all instances.
+        instances: Number of instances.
+        seconds: Duration of the run, in seconds.
     """
 
     requests: list[Request]
@@ -283,9 +314,9 @@
     instances: int = 1
     seconds: float = 30.0
 
-    def is_calm(self, what: str, since: float, until: float) -> bool:
-        """Tell whether something was undisturbed throughout a time."""
+    def is_undisturbed(self, component: str, since: float, until: float) -> bool:
+        """Return whether no fault disturbed a component between two times."""
         return not any(
-            spell.what == what and spell.began_at < until and spell.ended_at > since
+            spell.component == component and spell.began_at < until and spell.ended_at > since
             for spell in self.spells
         )
--- a/soak/regressions.py
+++ b/soak/regressions.py
@@ -1,4 +1,4 @@
-"""Seeds that failed once, each with its cause; ``cleatlink-soak --regressions`` plays them."""
+"""Seeds that once failed, each with its cause; ``cleatlink-soak --regressions`` runs them."""
 
 from typing import NamedTuple
 
@@ -7,14 +7,15 @@
 
 __all__ = ["REGRESSIONS", "STOPS_IN_SERIES", "Regression"]
 
-# Stops in series and overlapping, with reloads and configurations, at callers that stay.
+# Planned stops, in series and overlapping, with reloads and new configurations, while callers stay
+# connected.
 STOPS_IN_SERIES = RunSettings(
     seed=0, seconds=25.0, instances=4, callers=12, rate=1.5, kinds=STOP_KINDS
 )
 
 
 class Regression(NamedTuple):
-    """A run that failed, and why."""
+    """A run that once failed, and the cause."""
 
     settings: RunSettings
     cause: str
@@ -23,39 +24,39 @@
 REGRESSIONS = (
     Regression(
         RunSettings(311, seconds=14.0, rate=2.5),
-        "the soak's own: ports free at one IP number were taken at another instance's, "
-        "and the instance ended with a traceback in place of a line",
+        "fault of the soak: ports that were free at one IP address were in use at that of "
+        "another instance, which exited with a traceback instead of an error line",
     ),
     Regression(
         STOPS_IN_SERIES._replace(seed=500),
-        "SIGHUP ended two processes that were being started",
+        "SIGHUP terminated two processes while they were starting",
     ),
     Regression(
         STOPS_IN_SERIES._replace(seed=502),
-        "SIGHUP ended a process that was being started",
+        "SIGHUP terminated a process while it was starting",
     ),
     Regression(
         STOPS_IN_SERIES._replace(seed=511),
-        "a stopping instance that had seen only quick streams took one of 3.5 s",
+        "a stopping instance that had measured only short streams accepted one of 3.5 s",
     ),
     Regression(
         STOPS_IN_SERIES._replace(seed=512),
-        "a stopping instance that had seen only quick streams took one of 3.5 s",
+        "a stopping instance that had measured only short streams accepted one of 3.5 s",
     ),
     Regression(
         STOPS_IN_SERIES._replace(seed=520),
-        "a stopping instance that had seen only quick streams took two of 3.5 s",
+        "a stopping instance that had measured only short streams accepted two of 3.5 s",
     ),
     Regression(
         STOPS_IN_SERIES._replace(seed=1009),
-        "the same with eight quick stretches measured, by chance none of a slow stream",
+        "the same after eight measurements of short intervals, by chance none of a slow stream",
     ),
     Regression(
         STOPS_IN_SERIES._replace(seed=3101),
-        "the end of a stop cancelled the sending of an answer that was ready",
+        "the end of a planned stop cancelled the sending of an answer that was ready",
     ),
     Regression(
         STOPS_IN_SERIES._replace(seed=521),
-        "the soak's own: SIGHUP in the first milliseconds of a process, before its code runs",
+        "fault of the soak: SIGHUP in the first milliseconds of a process, before its code runs",
     ),
 )
--- a/soak/traffic.py
+++ b/soak/traffic.py
@@ -1,21 +1,23 @@
-"""Callers of the soak: they keep connections, leave early, and note what they saw."""
+"""Callers of the soak: they reuse connections, sometimes leave early, and record the results."""
 
 import random
 
 import trio
 
 from soak.fleet import SoakFleet
-from soak.organisations import NOBODY
+from soak.organisations import ANONYMOUS
 from soak.records import Request, RequestKind
 from standins.relay.client import Caller, Reply
 
 __all__ = ["STREAM_HEADERS", "Traffic"]
 
-_PAUSE_S = 0.05
-_GIVE_UP_S = 9.0
-_SHARE_LEAVING = 0.08
-_MOST_RETRY_S = 0.5
-_KEEP_CONNECTION = 0.9
+_MEAN_PAUSE_S = 0.05
+_ANSWER_TIMEOUT_S = 9.0
+# Share of requests whose caller leaves before the answer.
+_LEAVE_SHARE = 0.08
+_MAX_RETRY_PAUSE_S = 0.5
+# Share of answers after which a caller reuses its connection.
+_REUSE_SHARE = 0.9
 _PATHS = {
     RequestKind.SAFE: ("/safe/x", "GET"),
     RequestKind.UNSAFE: ("/unsafe/x", "POST"),
@@ -32,7 +34,7 @@
 
 
 class Traffic:
-    """Requests of many callers, each on one connection at a time."""
+    """Sends requests of many callers, each on one connection at a time, and records the results."""
 
     def __init__(self, fleet: SoakFleet, seed: int) -> None:
         self.requests: list[Request] = []
@@ -41,81 +43,88 @@
         self._stopping = False
 
     def stop(self) -> None:
-        """Have every caller end with its next request."""
+        """Make every caller stop after its current request."""
         self._stopping = True
 
     async def run(self, callers: int) -> None:
-        """Call until ``stop``."""
+        """Send requests from a number of callers until ``stop``."""
         async with trio.open_nursery() as nursery:
             for number in range(callers):
-                nursery.start_soon(self._call_always, number)
+                nursery.start_soon(self._run_caller, number)
 
-    async def _call_always(self, number: int) -> None:
-        """Be one caller: use a connection until it ends, then take another instance."""
-        await trio.sleep(_PAUSE_S * self._rng.random())
+    async def _run_caller(self, number: int) -> None:
+        """Run one caller: use a connection until it ends, then connect to any instance."""
+        await trio.sleep(_MEAN_PAUSE_S * self._rng.random())
         while not self._stopping:
             instance = self._rng.choice(self._fleet.instances)
             caller = Caller(instance.front)
             try:
                 await caller.open()
-                while not self._stopping and await self._call(caller, instance.number):
-                    await trio.sleep(2 * _PAUSE_S * self._rng.random())
+                while not self._stopping and await self._send_request(caller, instance.number):
+                    await trio.sleep(2 * _MEAN_PAUSE_S * self._rng.random())
             except OSError:
-                # Nobody listens there just now.
-                await trio.sleep(_PAUSE_S)
+                # No process of that instance is listening at the moment.
+                await trio.sleep(_MEAN_PAUSE_S)
             finally:
                 caller.close()
 
-    async def _call(self, caller: Caller, number: int) -> bool:
-        """Make one request; tells whether the connection can be used again."""
+    async def _send_request(self, caller: Caller, number: int) -> bool:
+        """Send one request and record its result; return whether to reuse the connection."""
         kind = self._rng.choice(list(RequestKind))
         path, method = _PATHS[kind]
-        stream = kind in (RequestKind.STREAM, RequestKind.RESUMABLE)
-        life = self._fleet.instances[number - 1].life
-        surplus = caller.unread
+        is_stream = kind in (RequestKind.STREAM, RequestKind.RESUMABLE)
+        incarnation = self._fleet.instances[number - 1].life
+        extra_bytes = caller.unread
         organisations = self._fleet.organisations
-        whose = organisations.pick() if organisations is not None else NOBODY
-        fields = dict(STREAM_HEADERS) if stream else {}
-        if whose.key:
-            fields["Authorization"] = f"Bearer {whose.key}"
+        identity = organisations.pick_caller() if organisations is not None else ANONYMOUS
+        headers = dict(STREAM_HEADERS) if is_stream else {}
+        if identity.api_key:
+            headers["Authorization"] = f"Bearer {identity.api_key}"
         try:
             name = await caller.send(
                 path,
                 method,
                 body=b"body" if method == "POST" else b"",
-                headers=fields,
+                headers=headers,
             )
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             return False
         sent_at = trio.current_time()
-        leaves_s = 0.25 * self._rng.random() if self._rng.random() < _SHARE_LEAVING else None
-        reply = await self._receive(caller, leaves_s)
+        leave_s = 0.25 * self._rng.random() if self._rng.random() < _LEAVE_SHARE else None
+        reply = await self._receive(caller, leave_s)
         ended_at = trio.current_time()
         request = Request(
-            name, kind, number, life, sent_at, ended_at, surplus=surplus, caller=whose
+            name,
+            kind,
+            number,
+            incarnation,
+            sent_at,
+            ended_at,
+            extra_bytes=extra_bytes,
+            caller=identity,
         )
         if reply is None:
-            self.requests.append(request._replace(left=True))
+            self.requests.append(request._replace(caller_left=True))
             caller.close()
             return False
         self.requests.append(
             request._replace(
                 status=reply.status,
-                owner=reply.headers.get("attempt-id", ""),
-                signed="server-stamp" in reply.headers,
-                whole=reply.whole,
+                answer_id=reply.headers.get("attempt-id", ""),
+                is_signed="server-stamp" in reply.headers,
+                is_complete=reply.whole,
                 body=reply.body,
                 retry_after=reply.headers.get("retry-after", ""),
             )
         )
         if reply.status == 503:
-            retry_s = float(reply.headers.get("retry-after") or _MOST_RETRY_S)
-            await trio.sleep(min(_MOST_RETRY_S, retry_s))
+            retry_s = float(reply.headers.get("retry-after") or _MAX_RETRY_PAUSE_S)
+            await trio.sleep(min(_MAX_RETRY_PAUSE_S, retry_s))
         closes = not reply.whole or reply.headers.get("connection") == "close"
-        return not closes and self._rng.random() < _KEEP_CONNECTION
+        return not closes and self._rng.random() < _REUSE_SHARE
 
-    async def _receive(self, caller: Caller, leaves_s: float | None) -> Reply | None:
-        """Receive an answer; None when the caller left before it was there."""
-        with trio.move_on_after(_GIVE_UP_S if leaves_s is None else leaves_s):
+    async def _receive(self, caller: Caller, leave_s: float | None) -> Reply | None:
+        """Receive an answer; return None if the caller gave up before it was complete."""
+        with trio.move_on_after(_ANSWER_TIMEOUT_S if leave_s is None else leave_s):
             return await caller.receive()
         return None
--- a/soak/workers.py
+++ b/soak/workers.py
@@ -1,4 +1,4 @@
-"""Workers of the soak: the stand-ins, with the times that the checks need."""
+"""Workers of the soak: stand-ins that also record the times that the checks need."""
 
 import math
 from collections.abc import Iterator
@@ -10,58 +10,58 @@
 from standins.relay import Worker
 from standins.relay.http import RawCall
 
-__all__ = ["CRASHING", "EVENTS", "SoakWorker"]
+__all__ = ["CRASHING", "EVENTS_PER_STREAM", "SoakWorker"]
 
-EVENTS = 8
-# Bodies with this crash the worker that runs them.
+EVENTS_PER_STREAM = 8
+# A request whose body contains this crashes the worker that runs it.
 CRASHING = b"crash-"
 _EVENT_S = 0.04
-# One stream and one unsafe call in so many is long: what its caller's leaving leaves
-# behind shows.
-_LONG_EVERY = 4
+# Streams and unsafe calls with an ID divisible by this are long, so that a run that continues after
+# its caller has left is noticed.
+_LONG_DIVISOR = 4
 _LONG_EVENT_S = 0.25
-# Other streams last for most of the time that a planned stop has.
-_LONGEST_EVERY = 7
+# Streams with an ID divisible by this last for most of the time that a planned stop may take.
+_LONGEST_DIVISOR = 7
 _LONGEST_EVENT_S = 0.44
-_LONG_WORK_S = 1.8
-_PLAIN_WORK_S = 0.02
+_LONG_CALL_S = 1.8
+_SHORT_CALL_S = 0.02
 _PREFILL_S = 0.03
 
 
 class SoakWorker(Worker):
-    """A worker that notes when things happened."""
+    """A worker that records when requests and orders arrive."""
 
     def __init__(self, service: str, stage: str = "") -> None:
         super().__init__(service, stage)
-        self.work_s = _PREFILL_S if stage else _PLAIN_WORK_S
-        self.events = EVENTS
+        self.work_s = _PREFILL_S if stage else _SHORT_CALL_S
+        self.events = EVENTS_PER_STREAM
         self.event_s = _EVENT_S
         self.crashes_on = CRASHING
         self.seen: list[Arrival] = []
         self.ordered: list[Order] = []
 
     async def serve(self, call: RawCall, stream: trio.SocketStream) -> bool:
-        """Note what arrives for this worker, then answer it."""
+        """Record a request that arrives for this worker, then answer it."""
         expected = call.headers.get("expected-instance", self.name)
         name = call.headers.get("attempt-id")
         if name is not None and expected == self.name:
-            prefill = call.headers.get("stage") == "prefill"
+            is_prefill = call.headers.get("stage") == "prefill"
             now = trio.current_time()
             organisation = call.headers.get("tenant", "")
-            key = call.headers.get("authorization", "")
+            authorization = call.headers.get("authorization", "")
             self.seen.append(
-                Arrival(name, self.name, self.service, now, prefill, organisation, key)
+                Arrival(name, self.name, self.service, now, is_prefill, organisation, authorization)
             )
         return await super().serve(call, stream)
 
     def work_time_s(self, call: RawCall) -> float:
-        """Give the seconds that a plain call takes."""
+        """Return the duration of a plain call, in seconds."""
         is_long = call.method == "POST" and _is_long(call.headers["attempt-id"])
-        return _LONG_WORK_S if is_long else self.work_s
+        return _LONG_CALL_S if is_long else self.work_s
 
     def event_time_s(self, request: str) -> float:
-        """Give the seconds between two events of a request's stream."""
-        if int(request[1:]) % _LONGEST_EVERY == 0:
+        """Return the time between two events of a request's stream, in seconds."""
+        if int(request[1:]) % _LONGEST_DIVISOR == 0:
             return _LONGEST_EVENT_S
         return _LONG_EVENT_S if _is_long(request) else self.event_s
 
@@ -73,13 +73,13 @@
         return status
 
     def crashing_runs(self) -> Iterator[CrashingRun]:
-        """Give the runs that crashed this worker as records."""
+        """Return records of the runs that crashed this worker."""
         for run in self.runs:
             if run.call.body.startswith(CRASHING):
                 yield CrashingRun(run.call.body.decode(), self.name, run.began_at)
 
     def worker_runs(self) -> Iterator[WorkerRun]:
-        """Give its runs as records."""
+        """Return records of all runs on this worker."""
         for run in self.runs:
             ended_at = math.inf if run.ended_at is None else run.ended_at
             yield WorkerRun(
@@ -88,4 +88,4 @@
 
 
 def _is_long(request: str) -> bool:
-    return int(request[1:]) % _LONG_EVERY == 0
+    return int(request[1:]) % _LONG_DIVISOR == 0
