--- a/cleatlink/relay/peers/contract_test.py
+++ b/cleatlink/relay/peers/contract_test.py
@@ -35,7 +35,7 @@
     encode,
 )
 from cleatlink.relay.peers.snapshots import Snapshot, decode_snapshot
-from soak.builds import LANDED, extract_build
+from soak.earlier_builds import RELEASED_COMMITS, extract_build
 from tools import message_samples
 
 RECORDINGS = Path(__file__).parent / "contract"
@@ -96,7 +96,7 @@
     return msgspec.msgpack.decode(bytes.fromhex(text))
 
 
-@pytest.mark.parametrize("build", LANDED)
+@pytest.mark.parametrize("build", RELEASED_COMMITS)
 def test_this_build_decodes_messages_of_earlier_builds(build: str) -> None:
     samples = recorded(build)
     assert "Snapshot" in samples
@@ -111,10 +111,10 @@
 @pytest.fixture(scope="module")
 def builds(tmp_path_factory: pytest.TempPathFactory) -> dict[str, Path]:
     folder = tmp_path_factory.mktemp("builds")
-    return {build: extract_build(build, folder) for build in LANDED}
+    return {build: extract_build(build, folder) for build in RELEASED_COMMITS}
 
 
-@pytest.mark.parametrize("build", LANDED)
+@pytest.mark.parametrize("build", RELEASED_COMMITS)
 def test_earlier_builds_decode_messages_of_this_build(build: str, builds: dict[str, Path]) -> None:
     source_tree = builds[build]
     written = message_samples.write()
@@ -133,8 +133,10 @@
         if name == "Snapshot":
             is_expected = build in SNAPSHOT_DECODERS
         else:
-            first = FIRST_BUILDS.get(name, LANDED[0])
-            is_expected = bool(first) and LANDED.index(build) >= LANDED.index(first)
+            first = FIRST_BUILDS.get(name, RELEASED_COMMITS[0])
+            is_expected = bool(first) and RELEASED_COMMITS.index(build) >= RELEASED_COMMITS.index(
+                first
+            )
         assert (decoded is not None) is is_expected, name
         if decoded is not None:
             assert is_prefix(decode_untyped(decoded), decode_untyped(text)), name
@@ -144,14 +146,14 @@
     """The subprocess must use the sources of the earlier build, which has fewer message types."""
     process = subprocess.run(
         [sys.executable, str(PROGRAM), "write"],
-        env={**os.environ, "PYTHONPATH": str(builds[LANDED[0]])},
-        cwd=builds[LANDED[0]],
+        env={**os.environ, "PYTHONPATH": str(builds[RELEASED_COMMITS[0]])},
+        cwd=builds[RELEASED_COMMITS[0]],
         capture_output=True,
         text=True,
         check=True,
     )
-    assert json.loads(process.stdout) == recorded(LANDED[0])
-    earlier = {RECORDED_TYPES[name].__name__ for name in recorded(LANDED[0])}
+    assert json.loads(process.stdout) == recorded(RELEASED_COMMITS[0])
+    earlier = {RECORDED_TYPES[name].__name__ for name in recorded(RELEASED_COMMITS[0])}
     assert message_samples.write().keys() > earlier
 
 
--- a/soak/broken.py
+++ b/soak/ablations.py
@@ -1,6 +1,6 @@
 """Runs the program with one mechanism disabled, to test that the soak test detects it.
 
-python -m soak.broken MECHANISM entry ...
+python -m soak.ablations MECHANISM entry ...
 """
 
 import sys
@@ -24,7 +24,7 @@
 from cleatlink.routing.endpoint_limits import EndpointLimits
 from cleatlink.routing.fleet_records import FleetRecords
 from cleatlink.scripts.main import main
-from soak.plan import FaultKind
+from soak.fault_schedule import FaultKind
 
 __all__ = ["ABLATIONS", "Ablation"]
 
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -4,11 +4,11 @@
 from collections.abc import Callable, Iterator
 from typing import NamedTuple
 
-from soak.checks_of_words import check_announced_limits, check_backoffs, check_leaving_notices
-from soak.records import Arrival, History, Request, RequestKind, Switch
+from soak.notice_checks import check_announced_limits, check_backoffs, check_leaving_notices
+from soak.records import Arrival, History, Request, RequestKind, RouteMove
 from soak.violations import DRAIN_S, SLACK_S, Violation
 
-__all__ = ["CHECKS", "Violation", "judge"]
+__all__ = ["CHECKS", "Violation", "check_history"]
 
 # Bounds and ratios that follow from the settings of the soak's instances. A configuration applies
 # within `APPLY_S`; an instance is up to date again `CATCH_UP_S` after a fault or an event.
@@ -195,7 +195,7 @@
             continue
         if request.sent_at < current.at + APPLY_S + SLACK_S:
             continue
-        if any(current.at < switch.at <= arrival.at for switch in history.switches):
+        if any(current.at < switch.at <= arrival.at for switch in history.route_moves):
             continue
         if _store_and_instance_undisturbed(history, request, current.at - CATCH_UP_S, arrival.at):
             late_s = request.sent_at - current.at
@@ -207,7 +207,7 @@
 def _check_configuration_order(history: History) -> Iterator[Violation]:
     """Check that a process never returns to a configuration that it has replaced."""
     seen: dict[tuple[int, int], int] = {}
-    numbers = {switch.service: number for number, switch in enumerate(history.switches)}
+    numbers = {switch.service: number for number, switch in enumerate(history.route_moves)}
     for arrival, request in sorted(
         _find_switch_arrivals(history), key=lambda item: item[1].sent_at
     ):
@@ -231,8 +231,8 @@
     ]
 
 
-def _find_switch(history: History, time: float) -> Switch | None:
-    before = [switch for switch in history.switches if switch.at <= time]
+def _find_switch(history: History, time: float) -> RouteMove | None:
+    before = [switch for switch in history.route_moves if switch.at <= time]
     return before[-1] if before else None
 
 
@@ -262,7 +262,9 @@
 
 
 def _workers_undisturbed(history: History, since: float, until: float) -> bool:
-    disturbed = {spell.component for spell in history.spells if spell.component.startswith("i-")}
+    disturbed = {
+        spell.component for spell in history.disturbances if spell.component.startswith("i-")
+    }
     return all(history.is_undisturbed(worker, since, until) for worker in disturbed)
 
 
@@ -318,7 +320,7 @@
         for at in extra_times:
             count = sum(at - RETRY_WINDOW_S < other <= at for other in extra_times)
             total = sum(at - 2 * RETRY_WINDOW_S < item.at <= at for item in arrivals)
-            if count > RETRY_RATIO * total + history.budget:
+            if count > RETRY_RATIO * total + history.extra_send_allowance:
                 yield Violation("", f"{count} extra sends to {service} for {total} arrivals")
                 break
 
@@ -339,8 +341,8 @@
 
 def _check_keys(history: History) -> Iterator[Violation]:
     """Check that a revoked API key is rejected in time, and a new one accepted in time."""
-    revoked_at = {change.old_key: change.at for change in history.keys}
-    issued_at = {change.new_key: change.at for change in history.keys}
+    revoked_at = {change.old_key: change.at for change in history.key_changes}
+    issued_at = {change.new_key: change.at for change in history.key_changes}
     executed_ids = {run.request for run in history.runs}
     for request in history.requests:
         api_key, bound_s = request.caller.api_key, APPLY_S + SLACK_S
@@ -364,7 +366,7 @@
 def _check_organisation_limits(history: History) -> Iterator[Violation]:
     """Check that the runs of an organisation stay within its limit over all instances."""
     organisation_by_id = {request.name: request.caller.organisation for request in history.requests}
-    for organisation in {limit.organisation for limit in history.limits}:
+    for organisation in {limit.organisation for limit in history.limit_changes}:
         times = sorted(
             run.began_at
             for run in history.runs
@@ -385,7 +387,7 @@
 
     A lowered limit only binds one window after it applies.
     """
-    changes = [change for change in history.limits if change.organisation == organisation]
+    changes = [change for change in history.limit_changes if change.organisation == organisation]
     since = at - 2 * LIMIT_WINDOW_S - APPLY_S
     before = [change for change in changes if change.at <= since][-1:]
     bounds = [
@@ -413,9 +415,9 @@
 
 def _check_liveness(history: History) -> Iterator[Violation]:
     """Check that no process exits by itself, and that all serve requests after the faults."""
-    for text in history.exits:
+    for text in history.process_failures:
         yield Violation("", text)
-    for instance in history.unserved:
+    for instance in history.unserving_instances:
         yield Violation("", f"instance {instance} serves no requests after all faults have ended")
 
 
@@ -445,7 +447,7 @@
 }
 
 
-def judge(history: History) -> list[Violation]:
+def check_history(history: History) -> list[Violation]:
     """Return all violations in a history."""
     return [
         violation._replace(check=name)
--- a/soak/checks_test.py
+++ b/soak/checks_test.py
@@ -4,24 +4,24 @@
 
 import pytest
 
-from soak.checks import CHECKS, judge
+from soak.checks import CHECKS, check_history
 from soak.records import (
+    AnnouncedWorkerLimit,
     Arrival,
     CallerIdentity,
     CrashingRun,
+    Disturbance,
     History,
     KeyChange,
-    LeavingWord,
     LimitChange,
-    NamedLimit,
     Order,
     Request,
+    RequestedBackoff,
     RequestKind,
-    Rest,
-    Spell,
+    RouteMove,
     Stop,
-    Switch,
     Withdrawal,
+    WorkerLeavingNotice,
     WorkerRun,
 )
 
@@ -45,7 +45,7 @@
 STREAM = SUCCESS._replace(kind=RequestKind.RESUMABLE, body=stream("r1", *range(1, 9)))
 SWITCH = SUCCESS._replace(kind=RequestKind.SWITCH)
 INTERRUPTED = SUCCESS._replace(status=0, answer_id="", is_signed=False, is_complete=False, body=b"")
-SWITCHES = [Switch("s0", 10.0), Switch("s1", 40.0)]
+SWITCHES = [RouteMove("s0", 10.0), RouteMove("s1", 40.0)]
 
 VIOLATING_HISTORIES = {
     "requests that crash workers stop": EMPTY_HISTORY._replace(
@@ -69,10 +69,10 @@
         requests=[SUCCESS],
         arrivals=[arrival("r1", 50.0)],
         # The store was restored from a copy long after the instances had read of the leaving.
-        spells=[Spell("store", 45.0, 49.0)],
+        disturbances=[Disturbance("store", 45.0, 49.0)],
     ),
     "a worker's word is heard": EMPTY_HISTORY._replace(
-        words=(LeavingWord("i-1", 40.0),),
+        leaving_notices=(WorkerLeavingNotice("i-1", 40.0),),
         requests=[
             SUCCESS._replace(name="r0", answer_id="r0", sent_at=41.0, ended_at=41.1),
             SUCCESS,
@@ -81,7 +81,7 @@
         arrivals=[arrival("r0", 41.0), arrival("r1", 50.0)],
     ),
     "rests are kept": EMPTY_HISTORY._replace(
-        rests=(Rest("i-1", 40.0, 44.0, 3.0),),
+        backoffs=(RequestedBackoff("i-1", 40.0, 44.0, 3.0),),
         requests=[
             SUCCESS._replace(name=f"q{n}", answer_id=f"q{n}", sent_at=40.0 + n, ended_at=40.1 + n)
             for n in range(1, 5)
@@ -89,7 +89,7 @@
         arrivals=[arrival(f"q{n}", 41.0 + 0.7 * (n - 1)) for n in range(1, 5)],
     ),
     "limits of workers hold": EMPTY_HISTORY._replace(
-        named_limits=(NamedLimit("i-1", 40.0, 60.0, 1.0),),
+        announced_limits=(AnnouncedWorkerLimit("i-1", 40.0, 60.0, 1.0),),
         requests=[
             SUCCESS._replace(name=f"q{n}", answer_id=f"q{n}", sent_at=41.0 + n, ended_at=41.1 + n)
             for n in range(13)
@@ -102,7 +102,7 @@
         requests=[SUCCESS], arrivals=[arrival("r1", 50.0)], withdrawals=[Withdrawal("i-1", 46.0)]
     ),
     "a configuration is in force": EMPTY_HISTORY._replace(
-        requests=[SWITCH], arrivals=[arrival("r1", 50.0, "s0")], switches=SWITCHES
+        requests=[SWITCH], arrivals=[arrival("r1", 50.0, "s0")], route_moves=SWITCHES
     ),
     "a configuration never reverts": EMPTY_HISTORY._replace(
         requests=[
@@ -110,7 +110,7 @@
             SWITCH._replace(name="r2", answer_id="r2", sent_at=41.5),
         ],
         arrivals=[arrival("r1", 41.0, "s1"), arrival("r2", 41.5, "s0")],
-        switches=SWITCHES,
+        route_moves=SWITCHES,
     ),
     "a planned stop cuts nothing off": EMPTY_HISTORY._replace(
         requests=[INTERRUPTED], runs=[run("r1")], stops=[Stop(1, 1, 49.9, 53.0, 0)]
@@ -131,7 +131,7 @@
     "keys in force": EMPTY_HISTORY._replace(
         requests=[SUCCESS._replace(caller=CallerIdentity("first", "k1"))],
         runs=[run("r1")],
-        keys=(KeyChange("k1", "k2", 47.0),),
+        key_changes=(KeyChange("k1", "k2", 47.0),),
     ),
     "limits hold over all": EMPTY_HISTORY._replace(
         requests=[
@@ -139,20 +139,20 @@
             for n in range(35)
         ],
         runs=[run(f"r{n}") for n in range(35)],
-        limits=(LimitChange("first", 1.0, 2.0, 0.0), LimitChange("first", 0.5, 1.0, 45.0)),
+        limit_changes=(LimitChange("first", 1.0, 2.0, 0.0), LimitChange("first", 0.5, 1.0, 45.0)),
     ),
-    "it goes on": EMPTY_HISTORY._replace(unserved=[2]),
+    "it goes on": EMPTY_HISTORY._replace(unserving_instances=[2]),
 }
 
 
 @pytest.mark.parametrize("name", list(CHECKS))
 def test_only_the_expected_check_reports_its_violation(name: str) -> None:
-    assert {violation.check for violation in judge(VIOLATING_HISTORIES[name])} == {name}
+    assert {violation.check for violation in check_history(VIOLATING_HISTORIES[name])} == {name}
 
 
 def test_history_without_violations_passes() -> None:
     requests = [SUCCESS, UNSAFE._replace(name="r2", answer_id="r2"), STREAM]
-    assert judge(EMPTY_HISTORY._replace(requests=requests, runs=[run("r2")])) == []
+    assert check_history(EMPTY_HISTORY._replace(requests=requests, runs=[run("r2")])) == []
 
 
 @pytest.mark.parametrize(
@@ -160,42 +160,45 @@
     [
         # The instance may not have read the registration before the store failed. Once it has read
         # it, an unavailable store is no excuse.
-        ("a leaving worker gets nothing", Spell("store", 45.0, 46.5)),
-        ("a configuration is in force", Spell("instance 1", 41.0, 42.0)),
-        ("a planned stop cuts nothing off", Spell("i-7", 48.0, 49.0)),
-        ("limits of workers hold", Spell("instance 1", 43.5, 44.5)),
-        ("no work for callers that are gone", Spell("i-1", 49.0, 51.0)),
+        ("a leaving worker gets nothing", Disturbance("store", 45.0, 46.5)),
+        ("a configuration is in force", Disturbance("instance 1", 41.0, 42.0)),
+        ("a planned stop cuts nothing off", Disturbance("i-7", 48.0, 49.0)),
+        ("limits of workers hold", Disturbance("instance 1", 43.5, 44.5)),
+        ("no work for callers that are gone", Disturbance("i-1", 49.0, 51.0)),
     ],
 )
 def test_disturbance_excuses_only_the_component_and_time_it_affects(
-    name: str, spell: Spell
+    name: str, spell: Disturbance
 ) -> None:
     history = VIOLATING_HISTORIES[name]
-    assert judge(history._replace(spells=[spell])) == []
+    assert check_history(history._replace(disturbances=[spell])) == []
     earlier = spell._replace(began_at=1.0, ended_at=2.0)
-    assert judge(history._replace(spells=[earlier])) != []
+    assert check_history(history._replace(disturbances=[earlier])) != []
 
 
 def test_later_store_outage_does_not_excuse_sends_to_a_worker_known_to_leave() -> None:
     history = VIOLATING_HISTORIES["a leaving worker gets nothing"]
-    later = Spell("store", 47.5, 48.0)
-    found = judge(history._replace(spells=[later]))
+    later = Disturbance("store", 47.5, 48.0)
+    found = check_history(history._replace(disturbances=[later]))
     assert {violation.check for violation in found} == {"what is known to leave gets nothing"}
 
 
 def test_truncated_answer_must_not_end_as_complete() -> None:
     truncated = STREAM._replace(body=stream("r1", 1, 2, 3))
-    assert judge(EMPTY_HISTORY._replace(requests=[truncated]))
-    assert judge(EMPTY_HISTORY._replace(requests=[truncated._replace(is_complete=False)])) == []
+    assert check_history(EMPTY_HISTORY._replace(requests=[truncated]))
+    assert (
+        check_history(EMPTY_HISTORY._replace(requests=[truncated._replace(is_complete=False)]))
+        == []
+    )
 
 
 def test_equal_fencing_token_and_unfinished_run_are_reported() -> None:
     orders = [Order("i-1", "n1", 5, 50.0), Order("i-2", "n2", 5, 60.0)]
-    assert judge(EMPTY_HISTORY._replace(orders=orders))
+    assert check_history(EMPTY_HISTORY._replace(orders=orders))
     unfinished = EMPTY_HISTORY._replace(
         requests=[INTERRUPTED._replace(caller_left=True)], runs=[run("r1", ended_at=math.inf)]
     )
-    assert judge(unfinished)
+    assert check_history(unfinished)
 
 
 def test_valid_key_is_accepted_and_never_reaches_a_worker() -> None:
@@ -204,9 +207,10 @@
         status=401, answer_id="", is_signed=False, caller=CallerIdentity("first", "k1")
     )
     assert [
-        item.check for item in judge(EMPTY_HISTORY._replace(requests=[refused], keys=changes))
+        item.check
+        for item in check_history(EMPTY_HISTORY._replace(requests=[refused], key_changes=changes))
     ] == ["keys in force"]
     early = refused._replace(sent_at=41.0)
-    assert judge(EMPTY_HISTORY._replace(requests=[early], keys=changes)) == []
+    assert check_history(EMPTY_HISTORY._replace(requests=[early], key_changes=changes)) == []
     leaked = arrival("r1", 50.0)._replace(authorization="Bearer k1")
-    assert judge(EMPTY_HISTORY._replace(requests=[SUCCESS], arrivals=[leaked]))
+    assert check_history(EMPTY_HISTORY._replace(requests=[SUCCESS], arrivals=[leaked]))
--- a/soak/builds.py
+++ b/soak/earlier_builds.py
@@ -5,11 +5,11 @@
 from io import BytesIO
 from pathlib import Path
 
-__all__ = ["LANDED", "extract_build"]
+__all__ = ["RELEASED_COMMITS", "extract_build"]
 
 _ROOT = Path(__file__).parent.parent
 # Commits of the released builds whose instances exchange messages with peers, oldest first.
-LANDED = ("8d4f081", "e627dcc", "c558fa2", "820ff69", "709868b", "4207a6e")
+RELEASED_COMMITS = ("8d4f081", "e627dcc", "c558fa2", "820ff69", "709868b", "4207a6e")
 
 
 def extract_build(commit: str, folder: Path) -> Path:
--- a/soak/emulation_test.py
+++ b/soak/emulation_test.py
@@ -7,7 +7,7 @@
 import pytest
 
 from soak.checks import CHECKS
-from soak.plan import FaultKind
+from soak.fault_schedule import FaultKind
 from standins.relay import Fault
 
 ROOT = Path(__file__).parent.parent
--- a/soak/strike.py
+++ b/soak/fault_injector.py
@@ -6,13 +6,19 @@
 
 import trio
 
+from soak.fault_schedule import ORGANISATION_KINDS, FaultKind, PlannedFault
 from soak.fleet import SoakFleet
 from soak.link import Link, LinkFault
-from soak.plan import ORGANISATION_KINDS, FaultKind, PlannedFault
 from soak.processes import InstanceProcess
-from soak.records import LeavingWord, NamedLimit, Rest, Stop, Withdrawal
+from soak.records import (
+    AnnouncedWorkerLimit,
+    RequestedBackoff,
+    Stop,
+    Withdrawal,
+    WorkerLeavingNotice,
+)
 from soak.traffic import STREAM_HEADERS
-from soak.workers import CRASHING, SoakWorker
+from soak.workers import CRASHING_BODY_PREFIX, SoakWorker
 from standins.relay import Fault, StoreMode
 from standins.relay.client import Caller
 
@@ -232,7 +238,7 @@
         if organisations is None:
             return
         if fault.kind is FaultKind.KEY:
-            organisations.move_key()
+            organisations.replace_key()
         else:
             organisations.change_limit()
         self._fleet.publish()
@@ -272,10 +278,10 @@
             nursery.cancel_scope.cancel()
 
     async def _send_signals(self, instance: InstanceProcess) -> None:
-        life = instance.life
-        while instance.life == life:
+        life = instance.incarnation
+        while instance.incarnation == life:
             await trio.sleep(_SIGNAL_INTERVAL_S * self._rng.uniform(0.5, 1.5))
-            if instance.life == life:
+            if instance.incarnation == life:
                 self._rng.choice((instance.stop, instance.reload))()
 
     async def _roll_instances(self, fault: PlannedFault) -> None:
@@ -303,7 +309,7 @@
             await self._inject_exclusively(instance.name, instance_fault, self._stop_instance)
 
     async def _stop(self, instance: InstanceProcess) -> None:
-        began_at, life = trio.current_time(), instance.life
+        began_at, life = trio.current_time(), instance.incarnation
         is_earlier_build = instance.is_earlier_build
         instance.stop()
         code = await instance.wait_for_exit(_EXIT_TIMEOUT_S)
@@ -380,9 +386,9 @@
     async def _send_crashing_requests(self, fault: PlannedFault) -> None:
         """Send a request that crashes workers repeatedly, each time through a random instance."""
         path, headers = _CRASHING_REQUEST_TARGETS[fault.target % len(_CRASHING_REQUEST_TARGETS)]
-        body = CRASHING + str(fault.target).encode()
+        body = CRASHING_BODY_PREFIX + str(fault.target).encode()
         for _ in range(_CRASHING_REQUEST_COUNT):
-            caller = Caller(self._rng.choice(self._fleet.instances).front)
+            caller = Caller(self._rng.choice(self._fleet.instances).caller_address)
             try:
                 with trio.move_on_after(_CRASHING_REQUEST_TIMEOUT_S):
                     await caller.ask(path, "POST", body=body, headers=headers)
@@ -417,7 +423,9 @@
 
         def announce(worker: SoakWorker) -> None:
             worker.says_leaving = True
-            self._fleet.leaving_notices.append(LeavingWord(worker.name, trio.current_time()))
+            self._fleet.leaving_notices.append(
+                WorkerLeavingNotice(worker.name, trio.current_time())
+            )
 
         await self._replace_leaving_worker(fault, announce)
 
@@ -428,7 +436,9 @@
         worker.asks_rest_s, worker.sheds = backoff_s, True
         await trio.sleep(fault.duration_s)
         worker.sheds = False
-        self._fleet.backoffs.append(Rest(worker.name, began_at, trio.current_time(), backoff_s))
+        self._fleet.backoffs.append(
+            RequestedBackoff(worker.name, began_at, trio.current_time(), backoff_s)
+        )
 
     async def _announce_limit(self, fault: PlannedFault) -> None:
         """Make a worker announce its rate limit over all instances for a while."""
@@ -438,7 +448,7 @@
         await trio.sleep(_MIN_LIMIT_DURATION_S + fault.duration_s)
         worker.names_limit = None
         self._fleet.announced_limits.append(
-            NamedLimit(worker.name, began_at, trio.current_time(), rate_per_s)
+            AnnouncedWorkerLimit(worker.name, began_at, trio.current_time(), rate_per_s)
         )
 
     async def _drain_worker(self, fault: PlannedFault) -> None:
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -7,7 +7,15 @@
 from soak.link import Link
 from soak.organisations import SoakOrganisations
 from soak.processes import InstanceProcess, find_free_ports, instance_ip
-from soak.records import LeavingWord, NamedLimit, Rest, Spell, Stop, Switch, Withdrawal
+from soak.records import (
+    AnnouncedWorkerLimit,
+    Disturbance,
+    RequestedBackoff,
+    RouteMove,
+    Stop,
+    Withdrawal,
+    WorkerLeavingNotice,
+)
 from soak.workers import SoakWorker
 from standins.relay.fleet import Fleet
 
@@ -53,14 +61,14 @@
         self.active_workers: list[SoakWorker] = []
         self.links: dict[str, Link] = {}
         self.store_links: list[Link] = []
-        self.route_moves: list[Switch] = []
+        self.route_moves: list[RouteMove] = []
         self.withdrawals: list[Withdrawal] = []
         self.stops: list[Stop] = []
-        self.disturbances: list[Spell] = []
+        self.disturbances: list[Disturbance] = []
         self.process_failures: list[str] = []
-        self.leaving_notices: list[LeavingWord] = []
-        self.backoffs: list[Rest] = []
-        self.announced_limits: list[NamedLimit] = []
+        self.leaving_notices: list[WorkerLeavingNotice] = []
+        self.backoffs: list[RequestedBackoff] = []
+        self.announced_limits: list[AnnouncedWorkerLimit] = []
         self.earlier_build_folder = earlier_build_folder
         # Workers with an entry in the store, and the state in the entry, by worker name.
         self._registered: dict[str, tuple[SoakWorker, str]] = {}
@@ -188,7 +196,7 @@
             if route["path_prefix"] == "/switch/":
                 route["service"] = service
         self.publish()
-        self.route_moves.append(Switch(service, trio.current_time()))
+        self.route_moves.append(RouteMove(service, trio.current_time()))
 
     def publish(self) -> None:
         """Publish the current routes and organisations."""
@@ -198,4 +206,4 @@
 
     def note_disturbance(self, target: str, began_at: float) -> None:
         """Record that a target was disturbed from a time until now."""
-        self.disturbances.append(Spell(target, began_at, trio.current_time()))
+        self.disturbances.append(Disturbance(target, began_at, trio.current_time()))
--- a/soak/main.py
+++ b/soak/main.py
@@ -9,7 +9,7 @@
 import click
 import trio
 
-from soak.plan import FaultKind
+from soak.fault_schedule import FaultKind
 from soak.regressions import REGRESSIONS
 from soak.run import RunResult, RunSettings, run_soak
 
--- a/soak/checks_of_words.py
+++ b/soak/notice_checks.py
@@ -3,7 +3,7 @@
 from collections import defaultdict
 from collections.abc import Iterator
 
-from soak.records import Arrival, History, NamedLimit, Request
+from soak.records import AnnouncedWorkerLimit, Arrival, History, Request
 from soak.violations import DRAIN_S, SLACK_S, Violation
 
 __all__ = [
@@ -28,7 +28,7 @@
 
 def check_leaving_notices(history: History) -> Iterator[Violation]:
     """Check that an instance sends nothing to a worker after an answer announced its leaving."""
-    announced_at = {notice.worker: notice.at for notice in history.words}
+    announced_at = {notice.worker: notice.at for notice in history.leaving_notices}
     requests = {request.name: request for request in history.requests}
     forwarded_at: dict[tuple[str, int, int], float] = {}
     for run in history.runs:
@@ -54,7 +54,7 @@
 def check_backoffs(history: History) -> Iterator[Violation]:
     """Check that an instance sends only few calls to a worker that requested a backoff from it."""
     requests = {request.name: request for request in history.requests}
-    for period in history.rests:
+    for period in history.backoffs:
         by_sender: dict[tuple[int, int], list[Arrival]] = defaultdict(list)
         for arrival in history.arrivals:
             request = requests.get(arrival.request)
@@ -79,7 +79,7 @@
 def check_announced_limits(history: History) -> Iterator[Violation]:
     """Check that all instances that know of a worker's announced limit keep it together."""
     requests = {request.name: request for request in history.requests}
-    for limit in history.named_limits:
+    for limit in history.announced_limits:
         known_at = _find_first_notices(history, limit, requests)
         arrivals = _find_limited_arrivals(history, limit, requests, known_at)
         bound = _LIMIT_FACTOR * limit.rate_per_s * _LIMIT_WINDOW_S + _LIMIT_EXTRA_CALLS
@@ -95,7 +95,7 @@
 
 
 def _find_first_notices(
-    history: History, limit: NamedLimit, requests: dict[str, Request]
+    history: History, limit: AnnouncedWorkerLimit, requests: dict[str, Request]
 ) -> dict[tuple[int, int], float]:
     """Return when each process of an instance forwarded the first answer with the limit."""
     known_at: dict[tuple[int, int], float] = {}
@@ -111,7 +111,7 @@
 
 def _find_limited_arrivals(
     history: History,
-    limit: NamedLimit,
+    limit: AnnouncedWorkerLimit,
     requests: dict[str, Request],
     known_at: dict[tuple[int, int], float],
 ) -> list[Arrival]:
--- a/soak/organisations.py
+++ b/soak/organisations.py
@@ -30,19 +30,19 @@
         self._rng = random.Random(seed)
         self._limit_changes = 0
         self._issued_keys = ["moving-0"]
-        self.keys: list[KeyChange] = []
-        self.limits: list[LimitChange] = []
+        self.key_changes: list[KeyChange] = []
+        self.limit_changes: list[LimitChange] = []
         self._record_limit()
 
     def _record_limit(self) -> None:
         rate_per_s = _LIMITS_PER_S[self._limit_changes % len(_LIMITS_PER_S)]
-        self.limits.append(
+        self.limit_changes.append(
             LimitChange(_LIMITED, rate_per_s, _BURST_S * rate_per_s, trio.current_time())
         )
 
     def entries(self) -> list[dict[str, Any]]:
         """Return the organisations in the form that the configuration contains."""
-        limit = self.limits[-1]
+        limit = self.limit_changes[-1]
         return [
             {"name": _UNLIMITED, "api_keys": ["steady-0"]},
             {
@@ -55,11 +55,13 @@
             {"name": _ROTATING, "api_keys": self._issued_keys[-1:], "priority": 0},
         ]
 
-    def move_key(self) -> None:
+    def replace_key(self) -> None:
         """Replace the key of the organisation with changing keys; the caller must publish it."""
         now = trio.current_time()
-        self.keys.append(KeyChange(self._issued_keys[-1], f"moving-{len(self._issued_keys)}", now))
-        self._issued_keys.append(self.keys[-1].new_key)
+        self.key_changes.append(
+            KeyChange(self._issued_keys[-1], f"moving-{len(self._issued_keys)}", now)
+        )
+        self._issued_keys.append(self.key_changes[-1].new_key)
 
     def change_limit(self) -> None:
         """Change the limit of the limited organisation; the caller must publish it."""
--- a/soak/processes.py
+++ b/soak/processes.py
@@ -8,7 +8,7 @@
 
 import trio
 
-from soak.clocked import ClockOffsets, write_offsets
+from soak.shifted_clocks import ClockOffsets, write_offsets
 from standins.ports import free_port
 from standins.relay.client import Caller
 from standins.relay.settings import Ports, write_instance_settings
@@ -66,7 +66,7 @@
             shifts_clocks: Whether faults can shift its clocks.
         """
         self.number = number
-        self.life = 0
+        self.incarnation = 0
         self.ports = ports
         self.ip = instance_ip(number)
         self.log_path = folder / f"n{number}.log"
@@ -81,9 +81,9 @@
         write_offsets(self._offsets_path, self._offsets)
         module_arguments = ["cleatlink.scripts.main"]
         if ablation:
-            module_arguments = ["soak.broken", ablation]
+            module_arguments = ["soak.ablations", ablation]
         elif shifts_clocks:
-            module_arguments = ["soak.clocked", str(self._offsets_path)]
+            module_arguments = ["soak.shifted_clocks", str(self._offsets_path)]
         self._command = [sys.executable, "-m", *module_arguments, "entry"]
         self._command += ["--settings-file", str(self._settings_path)]
         self._command += ["--metrics-listen", f"{self.ip}:{ports.metrics}"]
@@ -95,7 +95,7 @@
         return f"instance {self.number}"
 
     @property
-    def front(self) -> str:
+    def caller_address(self) -> str:
         """Address for callers."""
         return f"{self.ip}:{self.ports.front}"
 
@@ -118,7 +118,7 @@
 
     def start(self) -> None:
         """Start a new process."""
-        self.life += 1
+        self.incarnation += 1
         environment = None
         self.is_earlier_build = self.source_folder is not None
         if self.source_folder is not None:
--- a/soak/records.py
+++ b/soak/records.py
@@ -11,16 +11,16 @@
     "CrashingRun",
     "History",
     "KeyChange",
-    "LeavingWord",
+    "WorkerLeavingNotice",
     "LimitChange",
-    "NamedLimit",
+    "AnnouncedWorkerLimit",
     "Order",
     "Request",
     "RequestKind",
-    "Rest",
-    "Spell",
+    "RequestedBackoff",
+    "Disturbance",
     "Stop",
-    "Switch",
+    "RouteMove",
     "Withdrawal",
     "WorkerRun",
 ]
@@ -185,14 +185,14 @@
     at: float
 
 
-class LeavingWord(NamedTuple):
+class WorkerLeavingNotice(NamedTuple):
     """A worker that announces only in its answers, since a time, that it is leaving."""
 
     worker: str
     at: float
 
 
-class Rest(NamedTuple):
+class RequestedBackoff(NamedTuple):
     """A period in which a worker rejected all work and requested a backoff each time.
 
     Attributes:
@@ -208,7 +208,7 @@
     backoff_s: float
 
 
-class NamedLimit(NamedTuple):
+class AnnouncedWorkerLimit(NamedTuple):
     """A period in which a worker's answers announced a rate limit over all instances.
 
     Attributes:
@@ -224,7 +224,7 @@
     rate_per_s: float
 
 
-class Switch(NamedTuple):
+class RouteMove(NamedTuple):
     """A configuration that moved the ``/switch/`` route to a new service, at a time."""
 
     service: str
@@ -251,7 +251,7 @@
     is_earlier_build: bool = False
 
 
-class Spell(NamedTuple):
+class Disturbance(NamedTuple):
     """A period in which a component was disturbed by a fault.
 
     Attributes:
@@ -274,19 +274,22 @@
         runs: Runs of requests on workers.
         orders: Role orders that workers accepted.
         withdrawals: Workers whose registrations announced that they were leaving.
-        switches: Changes of the service behind the ``/switch/`` route, in order.
+        route_moves: Changes of the service behind the ``/switch/`` route, in order.
         stops: Planned stops.
-        spells: Disturbances.
-        exits: Descriptions of unplanned exits of processes, and of starts that took too long.
-        unserved: Numbers of the instances that serve no requests after all faults have ended.
-        budget: Extra sends allowed in any window, in addition to the share of requests.
+        disturbances: Disturbances.
+        process_failures: Descriptions of unplanned exits of processes, and of starts that took too
+            long.
+        unserving_instances: Numbers of the instances that serve no requests after all faults have
+            ended.
+        extra_send_allowance: Extra sends allowed in any window, in addition to the share of
+            requests.
         ended_at: When the run ended.
-        keys: Changes of API keys, in order.
-        limits: Limits of organisations, in order, starting with the initial ones.
+        key_changes: Changes of API keys, in order.
+        limit_changes: Limits of organisations, in order, starting with the initial ones.
         crashes: Runs that crashed their workers.
-        words: Workers that announced in answers that they were leaving.
-        rests: Periods in which workers requested backoffs.
-        named_limits: Periods in which workers announced rate limits over all instances.
+        leaving_notices: Workers that announced in answers that they were leaving.
+        backoffs: Periods in which workers requested backoffs.
+        announced_limits: Periods in which workers announced rate limits over all instances.
         store_calls: Number of calls to the store, from all instances.
         instances: Number of instances.
         seconds: Duration of the run, in seconds.
@@ -297,19 +300,19 @@
     runs: list[WorkerRun]
     orders: list[Order]
     withdrawals: list[Withdrawal]
-    switches: list[Switch]
+    route_moves: list[RouteMove]
     stops: list[Stop]
-    spells: list[Spell]
-    exits: list[str]
-    unserved: list[int]
-    budget: float
+    disturbances: list[Disturbance]
+    process_failures: list[str]
+    unserving_instances: list[int]
+    extra_send_allowance: float
     ended_at: float
-    keys: tuple[KeyChange, ...] = ()
-    limits: tuple[LimitChange, ...] = ()
+    key_changes: tuple[KeyChange, ...] = ()
+    limit_changes: tuple[LimitChange, ...] = ()
     crashes: tuple[CrashingRun, ...] = ()
-    words: tuple[LeavingWord, ...] = ()
-    rests: tuple[Rest, ...] = ()
-    named_limits: tuple[NamedLimit, ...] = ()
+    leaving_notices: tuple[WorkerLeavingNotice, ...] = ()
+    backoffs: tuple[RequestedBackoff, ...] = ()
+    announced_limits: tuple[AnnouncedWorkerLimit, ...] = ()
     store_calls: int = 0
     instances: int = 1
     seconds: float = 30.0
@@ -318,5 +321,5 @@
         """Return whether no fault disturbed a component between two times."""
         return not any(
             spell.component == component and spell.began_at < until and spell.ended_at > since
-            for spell in self.spells
+            for spell in self.disturbances
         )
--- a/soak/regressions.py
+++ b/soak/regressions.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from soak.plan import STOP_KINDS
+from soak.fault_schedule import STOP_KINDS
 from soak.run import RunSettings
 
 __all__ = ["REGRESSIONS", "STOPS_IN_SERIES", "Regression"]
--- a/soak/run.py
+++ b/soak/run.py
@@ -7,14 +7,14 @@
 
 import trio
 
-from soak.builds import extract_build
-from soak.checks import Violation, judge
+from soak.checks import Violation, check_history
+from soak.earlier_builds import extract_build
+from soak.fault_injector import FaultInjector
+from soak.fault_schedule import CLOCK_KINDS, FaultKind, PlannedFault, plan_faults
 from soak.fleet import SoakFleet
 from soak.organisations import SoakOrganisations
-from soak.plan import CLOCK_KINDS, FaultKind, PlannedFault, plan_faults
 from soak.processes import InstanceProcess
 from soak.records import History
-from soak.strike import FaultInjector
 from soak.traffic import Traffic
 from standins.relay.client import Caller
 
@@ -100,7 +100,7 @@
             finally:
                 fleet.close()
                 nursery.cancel_scope.cancel()
-        violations = judge(history)
+        violations = check_history(history)
         log_excerpt = _collect_log_excerpt(folder, violations)
     request_counts = Counter(f"{request.kind} {request.status}" for request in history.requests)
     return RunResult(settings, violations, request_counts, injector.injected, log_excerpt)
@@ -135,23 +135,27 @@
     workers = fleet.workers
     return History(
         requests=traffic.requests,
-        arrivals=[arrival for worker in workers for arrival in worker.seen],
+        arrivals=[arrival for worker in workers for arrival in worker.recorded_arrivals],
         runs=[run for worker in workers for run in worker.worker_runs()],
-        orders=[order for worker in workers for order in worker.ordered],
+        orders=[order for worker in workers for order in worker.recorded_orders],
         withdrawals=fleet.withdrawals,
-        switches=fleet.route_moves,
+        route_moves=fleet.route_moves,
         stops=fleet.stops,
-        spells=fleet.disturbances,
-        exits=exits,
-        unserved=unserved,
-        budget=_MAX_RETRY_ALLOWANCE,
+        disturbances=fleet.disturbances,
+        process_failures=exits,
+        unserving_instances=unserved,
+        extra_send_allowance=_MAX_RETRY_ALLOWANCE,
         ended_at=trio.current_time(),
-        keys=tuple(fleet.organisations.keys) if fleet.organisations is not None else (),
-        limits=tuple(fleet.organisations.limits) if fleet.organisations is not None else (),
+        key_changes=tuple(fleet.organisations.key_changes)
+        if fleet.organisations is not None
+        else (),
+        limit_changes=tuple(fleet.organisations.limit_changes)
+        if fleet.organisations is not None
+        else (),
         crashes=tuple(run for worker in workers for run in worker.crashing_runs()),
-        words=tuple(fleet.leaving_notices),
-        rests=tuple(fleet.backoffs),
-        named_limits=tuple(fleet.announced_limits),
+        leaving_notices=tuple(fleet.leaving_notices),
+        backoffs=tuple(fleet.backoffs),
+        announced_limits=tuple(fleet.announced_limits),
         store_calls=fleet.platform.store.calls,
         instances=len(fleet.instances),
         seconds=settings.seconds,
@@ -166,7 +170,7 @@
 async def _serves_path(instance: InstanceProcess, path: str) -> bool:
     headers = {"Authorization": "Bearer steady-0"}
     for _ in range(_MAX_SERVE_ATTEMPTS):
-        caller = Caller(instance.front)
+        caller = Caller(instance.caller_address)
         try:
             with trio.move_on_after(1.0):
                 if (await caller.ask(path, headers=headers)).status == 200:
--- a/soak/clocked.py
+++ b/soak/shifted_clocks.py
@@ -1,6 +1,6 @@
 """Runs the program with clocks that the soak test can shift while it runs.
 
-    python -m soak.clocked FILE entry ...
+    python -m soak.shifted_clocks FILE entry ...
 
 FILE contains the offsets of the monotonic clock and of the wall clock in seconds. Shifting both
 forward simulates a suspended machine; shifting the wall clock simulates a clock adjustment.
--- a/soak/clocked_test.py
+++ b/soak/shifted_clocks_test.py
@@ -5,13 +5,13 @@
 import sys
 from pathlib import Path
 
-from soak.clocked import ClockOffsets, read_offsets, write_offsets
+from soak.shifted_clocks import ClockOffsets, read_offsets, write_offsets
 
 PROGRAM = """
 import sys, time
 from pathlib import Path
 from cleatlink import clock
-from soak.clocked import _patch_clocks
+from soak.shifted_clocks import _patch_clocks
 _patch_clocks(Path(sys.argv[1]))
 ahead_s = clock.SuspendAwareClock().current_time() - time.clock_gettime(time.CLOCK_BOOTTIME)
 print(round(ahead_s), round(clock.unix_ms() / 1000 - time.time()))
--- a/soak/soak_test.py
+++ b/soak/soak_test.py
@@ -5,10 +5,9 @@
 import pytest
 import trio
 
-from soak.broken import ABLATIONS
-from soak.builds import LANDED
-from soak.link import Link, LinkFault
-from soak.plan import (
+from soak.ablations import ABLATIONS
+from soak.earlier_builds import RELEASED_COMMITS
+from soak.fault_schedule import (
     CLOCK_KINDS,
     CRASH_KINDS,
     MIXED_BUILD_KINDS,
@@ -20,6 +19,7 @@
     FaultKind,
     plan_faults,
 )
+from soak.link import Link, LinkFault
 from soak.regressions import STOPS_IN_SERIES
 from soak.run import RunSettings, run_soak
 from standins.relay import Worker
@@ -165,7 +165,7 @@
 @pytest.mark.alone
 async def test_two_builds_side_by_side_hold_every_promise() -> None:
     settings = RunSettings(CI_SEED, seconds=36.0, instances=3, rate=0.7, kinds=MIXED_BUILD_KINDS)
-    result = await run_soak(settings._replace(organisations=True, older=LANDED[-1]))
+    result = await run_soak(settings._replace(organisations=True, older=RELEASED_COMMITS[-1]))
     assert result.violations == []
     upgrades = sum(fault.kind is FaultKind.UPGRADE for fault in result.faults)
     assert upgrades == 2 * settings.instances
--- a/soak/traffic.py
+++ b/soak/traffic.py
@@ -57,7 +57,7 @@
         await trio.sleep(_MEAN_PAUSE_S * self._rng.random())
         while not self._stopping:
             instance = self._rng.choice(self._fleet.instances)
-            caller = Caller(instance.front)
+            caller = Caller(instance.caller_address)
             try:
                 await caller.open()
                 while not self._stopping and await self._send_request(caller, instance.number):
@@ -73,7 +73,7 @@
         kind = self._rng.choice(list(RequestKind))
         path, method = _PATHS[kind]
         is_stream = kind in (RequestKind.STREAM, RequestKind.RESUMABLE)
-        incarnation = self._fleet.instances[number - 1].life
+        incarnation = self._fleet.instances[number - 1].incarnation
         extra_bytes = caller.unread
         organisations = self._fleet.organisations
         identity = organisations.pick_caller() if organisations is not None else ANONYMOUS
--- a/soak/workers.py
+++ b/soak/workers.py
@@ -10,11 +10,11 @@
 from standins.relay import Worker
 from standins.relay.http import RawCall
 
-__all__ = ["CRASHING", "EVENTS_PER_STREAM", "SoakWorker"]
+__all__ = ["CRASHING_BODY_PREFIX", "EVENTS_PER_STREAM", "SoakWorker"]
 
 EVENTS_PER_STREAM = 8
 # A request whose body contains this crashes the worker that runs it.
-CRASHING = b"crash-"
+CRASHING_BODY_PREFIX = b"crash-"
 _EVENT_S = 0.04
 # Streams and unsafe calls with an ID divisible by this are long, so that a run that continues after
 # its caller has left is noticed.
@@ -36,9 +36,9 @@
         self.work_s = _PREFILL_S if stage else _SHORT_CALL_S
         self.events = EVENTS_PER_STREAM
         self.event_s = _EVENT_S
-        self.crashes_on = CRASHING
-        self.seen: list[Arrival] = []
-        self.ordered: list[Order] = []
+        self.crashes_on = CRASHING_BODY_PREFIX
+        self.recorded_arrivals: list[Arrival] = []
+        self.recorded_orders: list[Order] = []
 
     async def serve(self, call: RawCall, stream: trio.SocketStream) -> bool:
         """Record a request that arrives for this worker, then answer it."""
@@ -49,7 +49,7 @@
             now = trio.current_time()
             organisation = call.headers.get("tenant", "")
             authorization = call.headers.get("authorization", "")
-            self.seen.append(
+            self.recorded_arrivals.append(
                 Arrival(name, self.name, self.service, now, is_prefill, organisation, authorization)
             )
         return await super().serve(call, stream)
@@ -69,13 +69,13 @@
         status = super()._take_order(order)
         if status == 202:
             holder, fence = str(order["holder"]), int(order["fencing_token"])
-            self.ordered.append(Order(self.name, holder, fence, trio.current_time()))
+            self.recorded_orders.append(Order(self.name, holder, fence, trio.current_time()))
         return status
 
     def crashing_runs(self) -> Iterator[CrashingRun]:
         """Return records of the runs that crashed this worker."""
         for run in self.runs:
-            if run.call.body.startswith(CRASHING):
+            if run.call.body.startswith(CRASHING_BODY_PREFIX):
                 yield CrashingRun(run.call.body.decode(), self.name, run.began_at)
 
     def worker_runs(self) -> Iterator[WorkerRun]:
