--- a/standins/relay/__init__.py
+++ b/standins/relay/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins of what the relay meets: a configuration store, engines, plain services."""
+"""Simulated servers for tests of the relay: a configuration store, engines, plain services."""
 
 from standins.relay.http import RawCall, RawServer
 from standins.relay.store import Store, StoreMode
--- a/standins/relay/client.py
+++ b/standins/relay/client.py
@@ -1,4 +1,4 @@
-"""A caller on a raw connection: sees each byte of an answer and how it ends."""
+"""An HTTP/1.1 client on a raw connection; tests see each byte of a response and how it ends."""
 
 import itertools
 from typing import NamedTuple
@@ -7,12 +7,12 @@
 
 __all__ = ["Caller", "Reply"]
 
-_IDS = itertools.count(1)
+_REQUEST_NUMBERS = itertools.count(1)
 _READ_BYTES = 65_536
 
 
 class Reply(NamedTuple):
-    """An answer as received; ``whole`` tells whether it ended properly."""
+    """A response as received; ``whole`` tells whether it was received completely."""
 
     status: int
     headers: dict[str, str]
@@ -21,7 +21,7 @@
 
 
 class Caller:
-    """One connection to an instance."""
+    """A client of an instance, with one connection at a time."""
 
     def __init__(self, address: str) -> None:
         self._address = address
@@ -29,7 +29,7 @@
         self._buffer = b""
 
     async def open(self) -> None:
-        """Connect if there is no connection."""
+        """Open a connection if none is open."""
         if self._stream is None:
             host, _, port = self._address.rpartition(":")
             self._stream = await trio.open_tcp_stream(host, int(port))
@@ -37,7 +37,7 @@
 
     @property
     def unread(self) -> bytes:
-        """What arrived after the last answer and was read with it."""
+        """Data after the last response that was read together with it."""
         return self._buffer
 
     def close(self) -> None:
@@ -56,20 +56,23 @@
         *,
         more: tuple[str, ...] = (),
     ) -> str:
-        """Send a request; gives its id.
+        """Send a request.
 
         Args:
             path: Path and query.
-            method: Method.
-            host: Host that is named.
-            body: Body; none is sent for an empty one, but with POST.
-            headers: Headers beside the usual ones.
-            more: Header lines as they are, also such as double others.
+            method: HTTP method.
+            host: Value of the Host header.
+            body: Body; if it is empty, a Content-Length is sent only with POST.
+            headers: Headers that are added to the default ones or replace them.
+            more: Raw header lines that are appended, even if they duplicate other headers.
+
+        Returns:
+            The id of the request.
         """
         await self.open()
         assert self._stream is not None
-        name = f"r{next(_IDS)}"
-        fields = {"Host": host, "Attempt-Id": name, "Deadline-Milliseconds": "3000"}
+        request_id = f"r{next(_REQUEST_NUMBERS)}"
+        fields = {"Host": host, "Attempt-Id": request_id, "Deadline-Milliseconds": "3000"}
         fields.update(headers or {})
         if body or method == "POST":
             fields["Content-Length"] = str(len(body))
@@ -87,32 +90,33 @@
         *,
         more: tuple[str, ...] = (),
     ) -> Reply:
-        """Send a request and receive its answer."""
+        """Send a request and receive the response."""
         await self.send(path, method, host, body, headers, more=more)
         return await self.receive()
 
     async def receive(self) -> Reply:
-        """Receive one answer; status 0 stands for none."""
-        if not await self._fill_until(b"\r\n\r\n"):
+        """Receive one response; status 0 means that the connection ended before a complete head."""
+        if not await self._fill_until_delimiter(b"\r\n\r\n"):
             self.close()
             return Reply(0, {}, self._buffer, False)
         head, _, self._buffer = self._buffer.partition(b"\r\n\r\n")
-        first, *lines = head.decode("latin-1").split("\r\n")
+        status_line, *lines = head.decode("latin-1").split("\r\n")
         pairs = (line.partition(":") for line in lines)
         headers = {name.lower(): value.strip() for name, _, value in pairs}
         if headers.get("transfer-encoding") == "chunked":
-            body, whole = await self._chunks()
+            body, whole = await self._read_chunked_body()
         else:
-            body, whole = await self._counted(int(headers.get("content-length", "0")))
+            body, whole = await self._read_bytes(int(headers.get("content-length", "0")))
         if not whole or headers.get("connection") == "close":
             self.close()
-        return Reply(int(first.split(" ")[1]), headers, body, whole)
+        return Reply(int(status_line.split(" ")[1]), headers, body, whole)
 
-    async def _chunks(self) -> tuple[bytes, bool]:
+    async def _read_chunked_body(self) -> tuple[bytes, bool]:
+        """Read a chunked body; return what was received and whether it is complete."""
         body = b""
-        while await self._fill_until(b"\r\n"):
+        while await self._fill_until_delimiter(b"\r\n"):
             size, _, self._buffer = self._buffer.partition(b"\r\n")
-            data, whole = await self._counted(int(size, 16) + 2)
+            data, whole = await self._read_bytes(int(size, 16) + 2)
             if not whole:
                 return body + data, False
             body += data[:-2]
@@ -120,20 +124,23 @@
                 return body, True
         return body, False
 
-    async def _counted(self, size: int) -> tuple[bytes, bool]:
+    async def _read_bytes(self, size: int) -> tuple[bytes, bool]:
+        """Read a number of bytes; return what was received and whether it is complete."""
         while len(self._buffer) < size:
-            if not await self._fill():
+            if not await self._fill_buffer():
                 break
         data, self._buffer = self._buffer[:size], self._buffer[size:]
         return data, len(data) == size
 
-    async def _fill_until(self, mark: bytes) -> bool:
-        while mark not in self._buffer:
-            if not await self._fill():
+    async def _fill_until_delimiter(self, delimiter: bytes) -> bool:
+        """Read until the buffer contains a delimiter; return whether it does."""
+        while delimiter not in self._buffer:
+            if not await self._fill_buffer():
                 return False
         return True
 
-    async def _fill(self) -> bool:
+    async def _fill_buffer(self) -> bool:
+        """Read more data into the buffer; return False if the connection ended."""
         assert self._stream is not None
         try:
             data = await self._stream.receive_some(_READ_BYTES)
--- a/standins/relay/example.py
+++ b/standins/relay/example.py
@@ -1,4 +1,4 @@
-"""A small fleet with the usual routes, for the relay's tests."""
+"""Starts a small fleet with common routes, for tests of the relay."""
 
 from standins.relay.client import Caller
 from standins.relay.fleet import Fleet
@@ -10,7 +10,7 @@
 
 
 async def start(fleet: Fleet, *workers: Worker) -> None:
-    """Start workers, the usual routes and one instance."""
+    """Start workers and one instance, with a route of each kind."""
     for worker in workers:
         await fleet.add_worker(worker)
     fleet.add_route("/safe/", "safe", "plain")
@@ -24,17 +24,21 @@
 
 
 def engines() -> tuple[Worker, ...]:
-    """Give a prefill and two decodes of one service."""
+    """Create a prefill and two decode workers of one service."""
     return Worker("model", "prefill"), Worker("model", "decode"), Worker("model", "decode")
 
 
 def runs(fleet: Fleet, request: str) -> int:
-    """Count the runs of a request over all workers."""
+    """Return how often a request was run, over all workers."""
     return sum(run.request == request for worker in fleet.workers for run in worker.runs)
 
 
 async def start_with_known_pace(fleet: Fleet, *workers: Worker) -> Caller:
-    """Start workers whose calls are known to be quick; gives a caller."""
+    """Start a fleet and make calls, so that the instance has measured short service times.
+
+    Returns:
+        A caller; the arrivals that the workers recorded are cleared.
+    """
     await start(fleet, *workers)
     caller = fleet.caller()
     for _ in range(5):
--- a/standins/relay/fleet.py
+++ b/standins/relay/fleet.py
@@ -1,4 +1,4 @@
-"""A small platform on loopback: a store, workers and instances of the relay, in one process."""
+"""A small fleet on loopback: a store, workers and instances of the relay, in one process."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -19,12 +19,12 @@
 
 __all__ = ["Fleet", "free_address", "open_fleet"]
 
-_READY_S = 5.0
-_POLL_S = 0.01
+_READY_TIMEOUT_S = 5.0
+_POLL_INTERVAL_S = 0.01
 
 
 class Fleet:
-    """The platform and the instances that run on it."""
+    """A simulated platform, and the instances that run on it."""
 
     def __init__(self, nursery: trio.Nursery) -> None:
         self.store = Store()
@@ -40,24 +40,27 @@
         self.routes: list[dict[str, Any]] = []
         self.plain_services = ["plain", "other"]
         self.published: list[dict[str, Any]] = []
-        # Grace of planned stops, for instances that are started from now on.
+        # Longest duration of a planned stop, for instances that are started from now on.
         self.drain_s = 3.0
-        # Organisations of the next configuration; None publishes none.
+        # Organisations of the next configuration; None leaves them out of it.
         self.organisations: list[dict[str, Any]] | None = None
         self.limits: dict[str, int] = {"idle_timeout_ms": 2000, "header_timeout_ms": 500}
 
     async def add_worker(self, worker: Worker, port: int = 0) -> Worker:
-        """Start a worker and register it."""
+        """Start a worker and register it; port 0 chooses a free port."""
         await worker.start(self._nursery, port)
         self.workers.append(worker)
         self.register(worker)
         return worker
 
     def keep_restarting(self, worker: Worker, after_s: float) -> None:
-        """Have another worker come at a worker's address some time after each crash."""
-        self._nursery.start_soon(self._restart_always, worker, after_s)
+        """Replace a worker by another at the same address a given time after each crash.
 
-    async def _restart_always(self, worker: Worker, after_s: float) -> None:
+        Where the worker is behind a proxy, connections are closed in the meantime.
+        """
+        self._nursery.start_soon(self._restart_after_crashes, worker, after_s)
+
+    async def _restart_after_crashes(self, worker: Worker, after_s: float) -> None:
         while True:
             await worker.crashed.wait()
             if worker.is_behind_proxy:
@@ -71,15 +74,15 @@
             await self.add_worker(worker, worker.port)
 
     def register(self, worker: Worker, state: str = "ready") -> None:
-        """Write a worker's entry."""
+        """Write a worker's entry to the store."""
         self.store.put(f"servers/{worker.name}", worker.registration(state))
 
     def unregister(self, worker: Worker) -> None:
-        """Remove a worker's entry."""
+        """Remove a worker's entry from the store."""
         self.store.delete(f"servers/{worker.name}")
 
     def add_route(self, prefix: str, kind: str, service: str, **fields: Any) -> None:
-        """Add a route; it is in force once ``configure`` is called."""
+        """Add a route, which ``configure`` publishes; ``fields`` override the defaults."""
         route = {
             "name": f"r-{prefix.strip('/')}",
             "host": "h.example",
@@ -96,14 +99,21 @@
         self.routes.append({**route, **fields})
 
     def configure(self, engine: dict[str, Any] | None = None) -> int:
-        """Publish the routes as a new version; gives its number."""
+        """Publish the routes as a new version of the configuration.
+
+        Args:
+            engine: Properties of the model service's engines that differ from the defaults.
+
+        Returns:
+            The number of the version.
+        """
         self._version += 2
-        traits = {"slots": 8, "kv_cache_tokens": 1000, "handle_retention_s": 0.5}
-        traits.update(engine or {})
+        engine_properties = {"slots": 8, "kv_cache_tokens": 1000, "handle_retention_s": 0.5}
+        engine_properties.update(engine or {})
         services: list[dict[str, Any]] = [
             {"name": name, "connection_limit": 100} for name in self.plain_services
         ]
-        services.append({"name": "model", "connection_limit": 100, "engine": traits})
+        services.append({"name": "model", "connection_limit": 100, "engine": engine_properties})
         value = {
             "version": self._version,
             "routes": [dict(route) for route in self.routes],
@@ -117,15 +127,15 @@
         return self._version
 
     def publish_again(self) -> None:
-        """Write the newest configuration once more, as it was."""
+        """Write the newest configuration again, unchanged."""
         self.store.put("op/config", self.published[-1])
 
     def start_instance(self, data_centre: str = "a", *without: Mechanism) -> RelayInstance:
-        """Start an instance; earlier ones are its peers.
+        """Start an instance, with all earlier ones as its peers.
 
         Args:
-            data_centre: Where it runs.
-            *without: Mechanisms that are switched off in it.
+            data_centre: Data centre in which the instance runs.
+            *without: Mechanisms that are disabled in the instance.
         """
         number = len(self.instances) + 1
         settings = RelaySettings(
@@ -159,49 +169,49 @@
         return instance
 
     def turn_away(self, instance: int) -> None:
-        """Have the store refuse an instance from now on."""
+        """Make an instance's connections to the store fail from now on."""
         source = self._sources[instance]
         for client in (source._client, source._table_client):
             client.close()
             client._address = free_address()
 
     def caller(self, instance: int = 0) -> Caller:
-        """Give a caller of an instance."""
+        """Return a new caller of an instance."""
         caller = Caller(str(self._settings[instance].listen))
         self.callers.append(caller)
         return caller
 
     def prober(self, instance: int = 0) -> Caller:
-        """Give a caller of an instance's readiness."""
+        """Return a client of an instance's readiness check."""
         caller = Caller(str(self._settings[instance].ready_listen))
         self.callers.append(caller)
         return caller
 
     def peer_address(self, instance: int = 0) -> str:
-        """Give where an instance hears its peers."""
+        """Return the address at which an instance serves its peers."""
         return str(self._settings[instance].peer_listen)
 
-    async def until(self, true: Any, within_s: float = _READY_S) -> None:
-        """Wait until something is true."""
+    async def until(self, condition: Any, within_s: float = _READY_TIMEOUT_S) -> None:
+        """Wait until a condition holds, or raise ``trio.TooSlowError`` after the time limit."""
         with trio.fail_after(within_s):
-            while not true():
-                await trio.sleep(_POLL_S)
+            while not condition():
+                await trio.sleep(_POLL_INTERVAL_S)
 
     async def ready(self) -> None:
-        """Wait until every instance takes callers and knows every worker."""
+        """Wait until every instance serves callers and knows every worker."""
         names = {worker.name for worker in self.workers}
 
-        def known(instance: RelayInstance) -> set[str]:
+        def registered_names(instance: RelayInstance) -> set[str]:
             return {endpoint.registered_name for endpoint in instance.capacity.endpoints.values()}
 
         await self.until(
-            lambda: all(item.ready and names <= known(item) for item in self.instances)
+            lambda: all(item.ready and names <= registered_names(item) for item in self.instances)
         )
 
 
 @asynccontextmanager
 async def open_fleet() -> AsyncIterator[Fleet]:
-    """Open a platform with a store, and end everything with it."""
+    """Open a fleet with a running store; on exit, end all that runs in it."""
     async with trio.open_nursery() as nursery:
         fleet = Fleet(nursery)
         await fleet.store.start(nursery)
@@ -217,5 +227,5 @@
 
 
 def free_address() -> Address:
-    """Find a port of loopback that is free for TCP and UDP."""
+    """Find a loopback address with a port that is free for TCP and UDP."""
     return Address("127.0.0.1", free_port())
--- a/standins/relay/http.py
+++ b/standins/relay/http.py
@@ -1,4 +1,4 @@
-"""A raw HTTP/1.1 server: stand-ins decide about each byte that they send."""
+"""A raw HTTP/1.1 server whose subclasses control each byte that they send."""
 
 import math
 import socket
@@ -10,13 +10,13 @@
 __all__ = ["RawCall", "RawServer", "answer", "chunk", "close_connections"]
 
 _READ_BYTES = 65_536
-# Bytes of a body that are read at a time.
-_PACKET_BYTES = 16_384
+# Maximum number of body bytes per read; a simulated slow link pauses after each read.
+_BODY_READ_BYTES = 16_384
 LAST_CHUNK = b"0\r\n\r\n"
 
 
 class RawCall(NamedTuple):
-    """A request as read; header names in lower case."""
+    """A request as received; header names are in lower case."""
 
     method: str
     target: str
@@ -25,11 +25,11 @@
 
     @property
     def path(self) -> str:
-        """Path without the query."""
+        """Path of the target, without the query."""
         return self.target.partition("?")[0]
 
     def query(self, name: str) -> str:
-        """Give a query value; empty if there is none."""
+        """Return the value of a query parameter; empty if it is missing."""
         for pair in self.target.partition("?")[2].split("&"):
             key, _, value = pair.partition("=")
             if key == name:
@@ -38,33 +38,35 @@
 
 
 class RawServer(ABC):
-    """A server on loopback; what serves a call writes its answer to the stream."""
+    """A server on loopback; subclasses write their responses to the connection themselves."""
 
     def __init__(self) -> None:
         self.address = ""
+        # Number of connections that were accepted so far.
         self.connections = 0
-        # Whether it keeps new connections; one that has as many as it takes closes them.
+        # Whether it serves new connections; if not, it closes each at once, like a server that
+        # has reached its connection limit.
         self.takes_connections = True
-        # Pace at which bodies come, as over a narrow link.
+        # Rate at which bodies are read, to simulate a slow link.
         self.link_bytes_a_second = math.inf
-        # What its kernel may hold unread, set before the start; None lets the kernel choose.
+        # Size of the kernel's receive buffer, set before the start; None keeps the default size.
         self.receive_buffer_bytes: int | None = None
-        # Bytes of a body after which a call is answered; the rest is read after the answer.
+        # Number of body bytes after which a call is answered; the rest is read after the response.
         self.answers_after = math.inf
-        # What came of bodies after the answers to them.
+        # Parts of bodies that were read after the response.
         self.late_parts: list[bytes] = []
-        # Requests whose head was read, also those that never came whole.
+        # Number of requests whose head was read, including those whose body was incomplete.
         self.heads_read = 0
         self._listener: trio.SocketListener | None = None
         self._streams: set[trio.SocketStream] = set()
 
     @property
     def open_connections(self) -> int:
-        """Connections that are open now."""
+        """Number of connections that are open now."""
         return len(self._streams)
 
     async def start(self, nursery: trio.Nursery, port: int = 0) -> None:
-        """Start to serve."""
+        """Start accepting connections; port 0 chooses a free port."""
         listeners = await trio.open_tcp_listeners(port, host="127.0.0.1")
         self._listener = listeners[0]
         if self.receive_buffer_bytes is not None:
@@ -74,7 +76,7 @@
         nursery.start_soon(self._accept)
 
     def close(self) -> None:
-        """Stop to listen, and reset every connection, as a crash does."""
+        """Stop listening and reset every connection, as a crash does."""
         if self._listener is not None:
             self._listener.socket.close()
         for stream in list(self._streams):
@@ -82,7 +84,7 @@
 
     @abstractmethod
     async def serve(self, call: RawCall, stream: trio.SocketStream) -> bool:
-        """Answer one call; tells whether the connection stays open."""
+        """Respond to one call; return whether the connection stays open."""
 
     async def _accept(self) -> None:
         assert self._listener is not None
@@ -96,12 +98,12 @@
                     stream.socket.close()
                     continue
                 self.connections += 1
-                nursery.start_soon(self._connection, stream)
+                nursery.start_soon(self._serve_connection, stream)
 
     async def _read_call(
         self, stream: trio.SocketStream, buffer: bytes
     ) -> tuple[RawCall, bytes] | None:
-        """Read a request; None when the other side closed before its end."""
+        """Read a request; return None if the client closed the connection before its end."""
         while b"\r\n\r\n" not in buffer:
             data = await stream.receive_some(_READ_BYTES)
             if not data:
@@ -109,21 +111,23 @@
             buffer += data
         self.heads_read += 1
         head, _, buffer = buffer.partition(b"\r\n\r\n")
-        first, *lines = head.decode("latin-1").split("\r\n")
-        method, target, _ = first.split(" ")
+        request_line, *lines = head.decode("latin-1").split("\r\n")
+        method, target, _ = request_line.split(" ")
         pairs = (line.partition(":") for line in lines)
         headers = {name.lower(): value.strip() for name, _, value in pairs}
         length = int(headers.get("content-length", "0"))
         needed = int(min(length, self.answers_after))
-        buffer = await self._read_to(stream, buffer, needed)
+        buffer = await self._read_until_length(stream, buffer, needed)
         if len(buffer) < needed:
             return None
         return RawCall(method, target, headers, buffer[:length]), buffer[length:]
 
-    async def _read_to(self, stream: trio.SocketStream, buffer: bytes, length: int) -> bytes:
-        """Read until there are so many bytes, or the other side has closed."""
+    async def _read_until_length(
+        self, stream: trio.SocketStream, buffer: bytes, length: int
+    ) -> bytes:
+        """Read until the buffer has a given length or the client closes the connection."""
         while len(buffer) < length:
-            data = await stream.receive_some(_PACKET_BYTES)
+            data = await stream.receive_some(_BODY_READ_BYTES)
             if not data:
                 break
             buffer += data
@@ -132,20 +136,20 @@
         return buffer
 
     async def _read_rest(self, stream: trio.SocketStream, call: RawCall) -> None:
-        """Read what is left of a body after the answer to it."""
+        """Read the rest of a body after the response was sent."""
         missing = int(call.headers.get("content-length", "0")) - len(call.body)
         if missing > 0:
-            self.late_parts.append(await self._read_to(stream, b"", missing))
+            self.late_parts.append(await self._read_until_length(stream, b"", missing))
 
-    async def _connection(self, stream: trio.SocketStream) -> None:
+    async def _serve_connection(self, stream: trio.SocketStream) -> None:
         self._streams.add(stream)
         try:
             buffer = b""
             while True:
-                found = await self._read_call(stream, buffer)
-                if found is None:
+                result = await self._read_call(stream, buffer)
+                if result is None:
                     return
-                call, buffer = found
+                call, buffer = result
                 if not await self.serve(call, stream):
                     return
                 await self._read_rest(stream, call)
@@ -157,7 +161,7 @@
 
 
 async def close_connections(port: int) -> None:
-    """Take connections at a port and close each at once, as a proxy without a backend does."""
+    """Accept connections at a port and close each at once, like a proxy without a backend."""
     (listener,) = await trio.open_tcp_listeners(port, host="127.0.0.1")
     async with listener:
         while True:
@@ -166,12 +170,12 @@
 
 
 def answer(status: int, headers: dict[str, str], body: bytes = b"") -> bytes:
-    """Give a whole answer."""
+    """Build a complete response with a Content-Length header."""
     lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}"]
     lines += [f"{name}: {value}" for name, value in headers.items()]
     return ("\r\n".join(lines) + "\r\n\r\n").encode() + body
 
 
 def chunk(data: bytes) -> bytes:
-    """Give a chunk of a body without a length."""
+    """Encode a chunk of a chunked body."""
     return b"%x\r\n" % len(data) + data + b"\r\n"
--- a/standins/relay/settings.py
+++ b/standins/relay/settings.py
@@ -1,4 +1,4 @@
-"""The settings file of an instance that runs as a process against a small fleet."""
+"""Writes settings files of instances that run as processes of their own."""
 
 from pathlib import Path
 from typing import NamedTuple
@@ -7,7 +7,7 @@
 
 __all__ = ["Ports", "write_instance_settings", "write_settings"]
 
-_TEXT = """
+_TEMPLATE = """
 node = "{name}"
 zone = "{zone}"
 ip = "{ip}"
@@ -33,7 +33,7 @@
 
 
 class Ports(NamedTuple):
-    """Ports of one instance on loopback."""
+    """Ports on which one instance listens."""
 
     front: int
     ready: int
@@ -42,7 +42,7 @@
 
 
 def write_settings(file: Path, fleet: Fleet) -> Ports:
-    """Write a settings file with free ports, and give them."""
+    """Write a settings file with free ports; return the ports."""
     ports = Ports(*(free_address().port for _ in Ports._fields))
     write_instance_settings(file, ports, fleet.store.address)
     return ports
@@ -59,19 +59,20 @@
     seeds: tuple[str, ...] = (),
     retry_allowance: int = 50,
 ) -> None:
-    """Write the settings of one instance among several, each at an IP number of its own.
+    """Write the settings of one of several instances, each of which has its own IP address.
 
     Args:
-        file: Where to write.
-        ports: Its ports; those among instances are alike for all.
-        store: Address of the store, as this instance reaches it.
+        file: Path of the settings file.
+        ports: Ports of the instance; the peer port must be the same for all instances.
+        store: Address at which this instance reaches the store.
         name: Name of the instance.
-        zone: Its data centre.
-        ip: Its IP number.
-        seeds: IP numbers of the instances that it asks first.
-        retry_allowance: Extra sends that all instances may make beyond their share.
+        zone: Data centre of the instance.
+        ip: IP address of the instance.
+        seeds: IP addresses of the instances that it contacts first.
+        retry_allowance: Extra sends allowed in addition to the share of requests, over all
+            instances.
     """
     quoted = ",".join(f'"{seed}:{ports.peers}"' for seed in seeds)
     fields = {"name": name, "zone": zone, "ip": ip, "seeds": quoted, "store": store}
     fields["retry_allowance"] = str(retry_allowance)
-    file.write_text(_TEXT.format(**ports._asdict(), **fields))
+    file.write_text(_TEMPLATE.format(**ports._asdict(), **fields))
--- a/standins/relay/store.py
+++ b/standins/relay/store.py
@@ -1,4 +1,4 @@
-"""A store that is read and watched: items by key, one revision counter, a history."""
+"""A simulated configuration store: items by key, a revision counter and a history of changes."""
 
 import base64
 import json
@@ -13,7 +13,10 @@
 
 
 class StoreMode(StrEnum):
-    """How the store behaves."""
+    """How the store handles calls.
+
+    ``BUSY`` responds with status 503, ``SILENT`` never responds, ``RESET`` closes the connection.
+    """
 
     UP = "up"
     BUSY = "busy"
@@ -22,72 +25,72 @@
 
 
 class StoreCopy(NamedTuple):
-    """What the store held at some time."""
+    """A backup of the store's items and revision."""
 
     items: dict[str, tuple[Any, int]]
     revision: int
 
 
 class Store(RawServer):
-    """The store; what tests write is there at once."""
+    """A simulated store; tests write to it directly, and their writes take effect at once."""
 
     def __init__(self) -> None:
         super().__init__()
         self.mode = StoreMode.UP
         self.revision = 1
-        # How often it came back from a copy; None where answers don't say.
+        # Era of its revisions: each restore increments it; None if responses don't report it.
         self.era: int | None = None
         self.calls = 0
-        # Waits for changes that are open now.
+        # Number of watches that are open now.
         self.watching = 0
-        # Items on one page of a list.
+        # Maximum number of items on one page of a list.
         self.page_items = 500
-        # What every call is answered with; None answers properly.
+        # Body of the response to every call; None sends the regular responses.
         self.answer_with: bytes | None = None
         self._items: dict[str, tuple[Any, int]] = {}
         self._history: list[dict[str, Any]] = []
-        self._forgotten = 0
-        self._watches_kept_from = 0
+        self._forgotten_revision = 0
+        self._last_forgotten_call = 0
         self._changed = trio.Event()
 
     @property
-    def _silent(self) -> bool:
+    def _is_silent(self) -> bool:
         return self.mode is StoreMode.SILENT
 
     def put(self, key: str, value: dict[str, Any]) -> int:
-        """Write an item; gives its revision."""
+        """Write an item; return its revision."""
         return self.put_bytes(key, json.dumps(value).encode())
 
     def put_bytes(self, key: str, value: bytes) -> int:
-        """Write any bytes; gives their revision."""
+        """Write an item whose value is arbitrary bytes; return its revision."""
         return self.put_text(key, base64.b64encode(value).decode())
 
     def put_text(self, key: str, value: Any) -> int:
-        """Write an item whose value is told as it is; gives its revision."""
+        """Write an item whose value is sent without base64 encoding; return its revision."""
         self.revision += 1
         self._items[key] = (value, self.revision)
-        self._tell(self._item(key))
+        self._record_event(self._item(key))
         return self.revision
 
     def delete(self, key: str) -> None:
-        """Remove an item; one that is not there, since a copy lacks it, changes nothing."""
+        """Remove an item; a missing one, as after a restore from a copy, is ignored."""
         if self._items.pop(key, None) is None:
             return
         self.revision += 1
-        self._tell({"private_key": key, "revision": self.revision, "gone": True})
+        self._record_event({"private_key": key, "revision": self.revision, "gone": True})
 
     def keep_only(self, prefix: str, keys: set[str]) -> None:
-        """Remove all items below a prefix but some."""
+        """Remove all items whose key has a prefix, except the given keys."""
         for key in [item for item in self._items if item.startswith(prefix)]:
             if key not in keys:
                 self.delete(key)
 
     def copy(self) -> StoreCopy:
-        """Copy what it holds now."""
+        """Return a copy of the current items and their revision."""
         return StoreCopy(dict(self._items), self.revision)
 
     def restore(self, copy: StoreCopy) -> None:
-        """Come back from a copy: what was written since is gone, revisions go back."""
+        """Restore a copy: later writes are lost, and the revision goes back to that of the copy."""
         self._items = dict(copy.items)
         self.revision = copy.revision
         self._history = [item for item in self._history if item["revision"] <= copy.revision]
@@ -96,28 +99,28 @@
         self.forget_watches()
 
     def forget_history(self) -> None:
-        """Drop the history; watches from before it get 410."""
+        """Drop the history; watches after an earlier revision get status 410."""
         self._history.clear()
-        self._forgotten = self.revision
+        self._forgotten_revision = self.revision
 
     def forget_watches(self) -> None:
-        """Leave every wait for changes that is open now without an answer."""
+        """Report no changes to the watches that are open now; they end empty at their timeout."""
         self._changed = trio.Event()
-        self._watches_kept_from = self.calls
+        self._last_forgotten_call = self.calls
 
-    def _tell(self, event: dict[str, Any]) -> None:
+    def _record_event(self, event: dict[str, Any]) -> None:
         self._history.append(event)
         self._changed.set()
         self._changed = trio.Event()
 
     def _item(self, key: str) -> dict[str, Any]:
-        text, revision = self._items[key]
-        return {"private_key": key, "value": text, "revision": revision, "made": 1, "lease": 0}
+        value, revision = self._items[key]
+        return {"private_key": key, "value": value, "revision": revision, "made": 1, "lease": 0}
 
     async def serve(self, call: RawCall, stream: trio.SocketStream) -> bool:
-        """Answer a reading call."""
+        """Respond to a read or watch."""
         self.calls += 1
-        if self._silent:
+        if self._is_silent:
             await trio.sleep_forever()
         if self.mode is StoreMode.RESET:
             return False
@@ -125,7 +128,7 @@
             await stream.send_all(answer(503, self._era_header()))
             return True
         status, value = await self._read(call)
-        if self._silent:
+        if self._is_silent:
             await trio.sleep_forever()
         headers = {"Content-Type": "application/json", **self._era_header()}
         if self.answer_with is not None:
@@ -158,10 +161,10 @@
 
     async def _watch(self, call: RawCall) -> tuple[int, dict[str, Any]]:
         after, prefix = int(call.query("after")), call.query("path_prefix")
-        number = self.calls
+        call_number = self.calls
         with trio.move_on_after(int(call.query("wait_ms")) / 1000):
             while True:
-                if after < self._forgotten or after > self.revision:
+                if after < self._forgotten_revision or after > self.revision:
                     return 410, {}
                 events = [
                     event
@@ -171,6 +174,6 @@
                 if events:
                     return 200, {"events": events, "at": self.revision}
                 await self._changed.wait()
-                if number <= self._watches_kept_from:
+                if call_number <= self._last_forgotten_call:
                     await trio.sleep_forever()
         return 200, {"events": [], "at": self.revision}
