--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Tools for those who work on cleatlink."""
+"""Tools for the development of cleatlink."""
--- a/tools/constants.py
+++ b/tools/constants.py
@@ -1,7 +1,7 @@
-"""Writes the page of constants: every limit, weight and time of the relay's path.
+"""Writes the operators' page of constants: limits, weights and times that requests depend on.
 
-The figures and the reasons stand in the sources, beside what uses them; the
-page gathers them for operators.
+Each constant and the comment that explains it are in the module that uses the constant; the
+page lists them all.
 """
 
 import ast
@@ -20,7 +20,7 @@
     "cleatlink/organisations",
     "cleatlink/limits",
 )
-_HEAD = """# Constants of the relay's path
+_PAGE_HEAD = """# Constants of the relay's path
 
 Written by `python -m tools.constants`; do not edit. Names end in their unit: `_S` seconds,
 `_MS` milliseconds, `_BYTES` bytes; `_SHARE` and `_FACTOR` are ratios. What depends on a deployment
@@ -33,45 +33,47 @@
 
 
 class Constant(NamedTuple):
-    """A constant of a module.
+    """A numeric constant of a module.
 
     Attributes:
-        module: File of the module, below the package.
-        name: Its name.
-        figure: Its value as written.
-        reason: The comment above it, or above the group that it ends.
+        module: Path of the module, relative to the package.
+        name: Name of the constant.
+        value: Source text of its value.
+        comment: The comment above the constant; a group without blank lines shares one.
     """
 
     module: str
     name: str
-    figure: str
-    reason: str
+    value: str
+    comment: str
 
 
 def read_constants(path: Path) -> list[Constant]:
-    """Read the numbers that a module names in capitals."""
+    """Return the numeric constants of a module: its assignments to names in capitals."""
     lines = path.read_text().splitlines()
     module = str(path.relative_to(_ROOT / "cleatlink"))
-    found = []
+    constants = []
     for node in ast.parse("\n".join(lines)).body:
         if not isinstance(node, ast.Assign) or not isinstance(node.targets[0], ast.Name):
             continue
         name = node.targets[0].id
-        if name.lstrip("_").isupper() and _is_number(node.value):
-            figure = ast.unparse(node.value)
-            found.append(Constant(module, name, figure, _comment_above(lines, node.lineno - 1)))
-    return found
+        if name.lstrip("_").isupper() and _is_numeric(node.value):
+            source = ast.unparse(node.value)
+            constants.append(Constant(module, name, source, _comment_above(lines, node.lineno - 1)))
+    return constants
 
 
-def _is_number(value: ast.expr) -> bool:
-    parts = [value.left, value.right] if isinstance(value, ast.BinOp) else [value]
+def _is_numeric(value: ast.expr) -> bool:
+    """Check whether an expression is a number, or an operation on two numbers."""
+    operands = [value.left, value.right] if isinstance(value, ast.BinOp) else [value]
     return all(
-        isinstance(part, ast.Constant) and type(part.value) in (int, float) for part in parts
+        isinstance(operand, ast.Constant) and type(operand.value) in (int, float)
+        for operand in operands
     )
 
 
 def _comment_above(lines: list[str], index: int) -> str:
-    """Give the comment above a line; constants that follow each other share one."""
+    """Return the comment above a line; constants without a blank line between share one."""
     while index > 0 and lines[index - 1].strip() and not lines[index - 1].startswith("#"):
         index -= 1
     start = index
@@ -81,16 +83,16 @@
 
 
 def render(constants: list[Constant]) -> str:
-    """Render the page."""
+    """Return the text of the page."""
     rows = (
-        f"| `{item.module}` | `{item.name}` | {item.figure} | {item.reason.replace('|', '/')} |\n"
+        f"| `{item.module}` | `{item.name}` | {item.value} | {item.comment.replace('|', '/')} |\n"
         for item in constants
     )
-    return _HEAD + "".join(rows)
+    return _PAGE_HEAD + "".join(rows)
 
 
-def read_all() -> list[Constant]:
-    """Read the constants of all modules of the path."""
+def read_all_constants() -> list[Constant]:
+    """Return the constants of all modules that the page covers, by folder and path."""
     paths = [
         path
         for folder in _FOLDERS
@@ -102,7 +104,7 @@
 
 def main() -> None:
     """Write the page."""
-    _PAGE.write_text(render(read_all()))
+    _PAGE.write_text(render(read_all_constants()))
 
 
 if __name__ == "__main__":
--- a/tools/installed_test.py
+++ b/tools/installed_test.py
@@ -1,4 +1,4 @@
-"""Installed commands run from any folder, without the tests' scaffolding."""
+"""Installed commands run from any folder, and installed packages import no test scenarios."""
 
 import ast
 import subprocess
@@ -8,7 +8,7 @@
 import pytest
 
 ROOT = Path(__file__).parent.parent
-SHIPPED = ("bench", "cleatlink", "demo", "standins")
+INSTALLED_PACKAGES = ("bench", "cleatlink", "demo", "standins")
 
 
 @pytest.mark.parametrize(
@@ -25,19 +25,19 @@
     command: tuple[str, ...], tmp_path: Path
 ) -> None:
     program = Path(sys.executable).with_name(command[0])
-    ran = subprocess.run(
+    completed = subprocess.run(
         [program, *command[1:]], cwd=tmp_path, capture_output=True, text=True, check=False
     )
-    assert ran.returncode == 0, ran.stderr
+    assert completed.returncode == 0, completed.stderr
 
 
-def test_what_ships_imports_no_scenarios() -> None:
-    faults = []
-    for package in SHIPPED:
+def test_installed_packages_import_no_scenarios() -> None:
+    imports = []
+    for package in INSTALLED_PACKAGES:
         for path in (ROOT / package).rglob("*.py"):
             if path.name.endswith("_test.py"):
                 continue
             for node in ast.walk(ast.parse(path.read_text())):
                 if isinstance(node, ast.ImportFrom) and (node.module or "").startswith("features"):
-                    faults.append(f"{path}: {node.module}")
-    assert faults == []
+                    imports.append(f"{path}: {node.module}")
+    assert imports == []
