--- a/tools/verdict.py
+++ b/tools/verdict.py
@@ -1,8 +1,9 @@
-"""Runs the tests and passes over exactly those that KNOWN-RED.txt lists.
+"""Runs the tests and tolerates the failure of exactly those that KNOWN-RED.txt lists.
 
-A known red test is one that fails for a real fault which is not mended yet, or one whose failure
-was seen and not traced. The list may not hide anything: it is short, each test that it names must
-exist, one that is said to fail must still fail, and every entry is printed with what its test did.
+A test is listed if it fails because of a fault that is not fixed yet, or if it failed in some runs
+and the cause is unknown. To keep the list from hiding other failures, its length is limited, each
+listed test must exist and run, a test that is listed as failing must fail, and every entry is
+printed with the result of its test.
 """
 
 import os
@@ -12,22 +13,30 @@
 
 import pytest
 
-from tools.known_red import Kind, KnownRed, read_known_red
+from tools.known_red import FailureKind, KnownFailure, parse_known_failures
 
-__all__ = ["Outcome", "describe", "judge"]
+__all__ = ["RunResults", "describe_entry", "find_faults"]
 
-_FILE = Path("KNOWN-RED.txt")
-# Most tests wait for other processes and for time to pass, so that several run at a time; three
-# cores in eight are left to what they start.
-_PARALLEL = (f"--numprocesses={max(1, (os.cpu_count() or 1) * 5 // 8)}", "--dist=worksteal")
-# Tests that are marked so come after the others: beside them, callers of a fleet of processes
-# were too slow to pass the limit that one of them needs, and a planned stop missed its grace.
-_ALONE = ("--numprocesses=2", "-m", "alone")
-_RUNS = ((*_PARALLEL, "-m", "not alone"), _ALONE)
+_KNOWN_FAILURES_FILE = Path("KNOWN-RED.txt")
+# Most tests wait for other processes or for time to pass, so several run in parallel. Three of
+# eight cores are left for the processes that the tests start.
+_PARALLEL_OPTIONS = (f"--numprocesses={max(1, (os.cpu_count() or 1) * 5 // 8)}", "--dist=worksteal")
+# Tests with the mark `alone` run after the others. In parallel with them, the callers of a fleet
+# of processes were too slow to exceed the limit that one of these tests requires, and a planned
+# stop took longer than its grace period.
+_ALONE_OPTIONS = ("--numprocesses=2", "-m", "alone")
+_RUNS = ((*_PARALLEL_OPTIONS, "-m", "not alone"), _ALONE_OPTIONS)
 
 
-class Outcome(NamedTuple):
-    """What a test run showed."""
+class RunResults(NamedTuple):
+    """Results of the test runs.
+
+    Attributes:
+        collected: Ids of the collected tests.
+        passed: Ids of the tests whose call phase passed.
+        failed: Ids of the tests that failed in any phase.
+        exit_code: The highest exit code of the pytest runs.
+    """
 
     collected: frozenset[str]
     passed: frozenset[str]
@@ -35,87 +44,91 @@
     exit_code: int
 
     def result_of(self, test: str) -> str:
-        """Tell what became of a test."""
+        """Return ``failed``, ``passed`` or ``not run`` for a test."""
         if test in self.failed:
             return "failed"
         return "passed" if test in self.passed else "not run"
 
 
-class _Watcher:
-    """A pytest plugin that notes what was collected and what passed or failed."""
+class _ResultRecorder:
+    """A pytest plugin that records which tests were collected, and which passed or failed."""
 
     def __init__(self) -> None:
         self.collected: set[str] = set()
         self.passed: set[str] = set()
         self.failed: set[str] = set()
-        self.broken = 0
+        self.collection_errors = 0
 
     def pytest_collection_modifyitems(self, items: list[pytest.Item]) -> None:
-        """Note every collected test."""
+        """Record every collected test."""
         self.collected.update(item.nodeid for item in items)
 
     @pytest.hookimpl(optionalhook=True)
     def pytest_xdist_node_collection_finished(self, ids: list[str]) -> None:
-        """Note every test that a process of a parallel run collected."""
+        """Record every test that a process of a parallel run collected."""
         self.collected.update(ids)
 
     def pytest_runtest_logreport(self, report: pytest.TestReport) -> None:
-        """Note every pass, and every failure, also in set-up and tear-down."""
+        """Record every pass, and every failure, including those in setup and teardown."""
         if report.failed:
             self.failed.add(report.nodeid)
         elif report.passed and report.when == "call":
             self.passed.add(report.nodeid)
 
     def pytest_collectreport(self, report: pytest.CollectReport) -> None:
-        """Count files that could not be collected."""
-        self.broken += report.failed
+        """Count the files that could not be collected."""
+        self.collection_errors += report.failed
 
 
-def judge(known: list[KnownRed], outcome: Outcome) -> list[str]:
-    """Give every reason why the run does not pass."""
-    fails = {item.test for item in known if item.kind is Kind.FAILS and item.is_test}
-    seen_once = {item.test for item in known if item.kind is Kind.SEEN_ONCE and item.is_test}
+def find_faults(known: list[KnownFailure], results: RunResults) -> list[str]:
+    """Return every reason why the run doesn't pass, sorted."""
+    fails = {item.test for item in known if item.kind is FailureKind.FAILS and item.names_test}
+    seen_once = {
+        item.test for item in known if item.kind is FailureKind.SEEN_ONCE and item.names_test
+    }
     listed = fails | seen_once
-    faults = [f"listed, but does not exist: {test}" for test in listed - outcome.collected]
+    faults = [f"listed, but does not exist: {test}" for test in listed - results.collected]
     faults += [
-        f"listed, but has turned green: {test}"
-        for test in (fails & outcome.collected) - outcome.failed
+        f"listed as failing, but did not fail: {test}"
+        for test in (fails & results.collected) - results.failed
     ]
     faults += [
         f"listed, but was not run: {test}"
-        for test in (seen_once & outcome.collected) - outcome.failed - outcome.passed
+        for test in (seen_once & results.collected) - results.failed - results.passed
     ]
-    faults += [f"failed: {test}" for test in outcome.failed - listed]
-    expected = pytest.ExitCode.TESTS_FAILED if outcome.failed else pytest.ExitCode.OK
-    if outcome.exit_code != expected:
-        faults.append(f"the test runner ended with {outcome.exit_code}")
+    faults += [f"failed: {test}" for test in results.failed - listed]
+    expected = pytest.ExitCode.TESTS_FAILED if results.failed else pytest.ExitCode.OK
+    if results.exit_code != expected:
+        faults.append(f"pytest exited with code {results.exit_code}")
     return sorted(faults)
 
 
-def describe(item: KnownRed, outcome: Outcome) -> str:
-    """Tell of an entry of the list and of what its test did."""
-    result = outcome.result_of(item.test) if item.is_test else "no test"
+def describe_entry(item: KnownFailure, results: RunResults) -> str:
+    """Return a line with an entry of the list and the result of its test."""
+    result = results.result_of(item.test) if item.names_test else "no test"
     source = f"command: {item.command}, seed: {item.seed}, issue {item.issue}"
-    return f"known red, {item.kind.value}: {item.test}: {result}; seen: {item.seen} ({source})"
+    return f"known red, {item.kind.value}: {item.test}: {result}; seen: {item.symptom} ({source})"
 
 
 def main(arguments: list[str]) -> int:
-    """Run the tests and give the exit code."""
-    known, faults = read_known_red(_FILE.read_text() if _FILE.exists() else "")
-    watcher = _Watcher()
-    runs = [(*_PARALLEL, *arguments)] if arguments else _RUNS
-    exit_codes = [int(pytest.main(list(run), plugins=[watcher])) for run in runs]
-    outcome = Outcome(
-        frozenset(watcher.collected),
-        frozenset(watcher.passed),
-        frozenset(watcher.failed),
+    """Run the tests, print the verdict and return the exit code."""
+    known, faults = parse_known_failures(
+        _KNOWN_FAILURES_FILE.read_text() if _KNOWN_FAILURES_FILE.exists() else ""
+    )
+    recorder = _ResultRecorder()
+    runs = [(*_PARALLEL_OPTIONS, *arguments)] if arguments else _RUNS
+    exit_codes = [int(pytest.main(list(run), plugins=[recorder])) for run in runs]
+    results = RunResults(
+        frozenset(recorder.collected),
+        frozenset(recorder.passed),
+        frozenset(recorder.failed),
         max(exit_codes, default=0),
     )
-    faults += judge(known, outcome)
-    if watcher.broken:
-        faults.append(f"{watcher.broken} files could not be collected")
+    faults += find_faults(known, results)
+    if recorder.collection_errors:
+        faults.append(f"{recorder.collection_errors} files could not be collected")
     for item in known:
-        print(describe(item, outcome))
+        print(describe_entry(item, results))
     for fault in faults:
         print(f"verdict: {fault}")
     print(f"verdict: {'not passed' if faults else 'passed'}")
