--- a/tools/message_samples.py
+++ b/tools/message_samples.py
@@ -1,9 +1,10 @@
-"""Samples of what instances tell each other, made from the types of a build.
+"""Samples of the messages between instances, generated from the message types of a build.
 
-It runs with the sources of any build, also of earlier ones, and uses nothing of this one:
+The program runs with the source tree of any build, including earlier ones, as ``PYTHONPATH``, and
+so imports nothing else of this build:
 
-    python message_samples.py write           # prints the samples of the build as JSON
-    python message_samples.py read < SAMPLES  # prints what the build makes of others' samples
+    python message_samples.py write           # prints encoded samples of the build as JSON
+    python message_samples.py read < SAMPLES  # decodes samples, prints them as encoded again
 """
 
 import importlib
@@ -17,33 +18,33 @@
 
 __all__ = ["main", "write"]
 
-# Where a build keeps its messages; earlier ones had them one folder higher.
-_MODULES = ("cleatlink.relay.peers.messages", "cleatlink.relay.peer_messages")
+# Modules that define the messages; in earlier builds, the module was in the parent package.
+_MESSAGE_MODULES = ("cleatlink.relay.peers.messages", "cleatlink.relay.peer_messages")
 _SNAPSHOT = "Snapshot"
-_LISTS = (inspect.ListType, inspect.VarTupleType, inspect.SetType, inspect.FrozenSetType)
+_LIST_TYPES = (inspect.ListType, inspect.VarTupleType, inspect.SetType, inspect.FrozenSetType)
 
 
-def _messages() -> Any:
-    """Import the build's messages."""
-    for name in _MODULES:
+def _import_messages() -> Any:
+    """Import the module that defines the messages of the build."""
+    for name in _MESSAGE_MODULES:
         try:
             return importlib.import_module(name)
         except ModuleNotFoundError:
             continue
-    raise SystemExit("this build has no messages")
+    raise SystemExit("the build has no module of messages between instances")
 
 
-class _Sampler:
-    """Makes a value of a type; no two of its numbers and texts are alike."""
+class _SampleGenerator:
+    """Generates a value of a type, in which all numbers, texts and byte strings are distinct."""
 
     def __init__(self) -> None:
         self._numbers = itertools.count(1)
 
     def sample(self, kind: Any) -> Any:
-        """Give a value as it is encoded: tuples of fields are lists."""
+        """Return a value in its encoded form, in which structs and tuples are lists."""
         if isinstance(kind, inspect.UnionType):
             return self.sample(next(item for item in kind.types if not _is_none(item)))
-        if isinstance(kind, _LISTS):
+        if isinstance(kind, _LIST_TYPES):
             return [self.sample(kind.item_type)]
         if isinstance(kind, inspect.TupleType):
             return [self.sample(item) for item in kind.item_types]
@@ -54,10 +55,10 @@
         if isinstance(kind, inspect.StructType):
             fields = [self.sample(field.type) for field in kind.fields]
             return fields if kind.tag is None else [kind.tag, *fields]
-        return self._plain(kind)
+        return self._sample_scalar(kind)
 
-    def _plain(self, kind: Any) -> Any:
-        """Give a value of a type that holds no others."""
+    def _sample_scalar(self, kind: Any) -> Any:
+        """Return a value of a type that contains no other types."""
         match kind:
             case inspect.StrType():
                 return f"text {next(self._numbers)}"
@@ -71,7 +72,7 @@
                 return next(self._numbers) + 0.5
             case inspect.EnumType():
                 return next(iter(kind.cls)).value
-        raise TypeError(f"no sample of {kind}")
+        raise TypeError(f"no sample value is defined for type {kind}")
 
 
 def _is_none(kind: Any) -> bool:
@@ -79,22 +80,22 @@
 
 
 def write() -> dict[str, str]:
-    """Give the samples of this build by the name of their types, encoded as they are sent."""
-    messages = _messages()
+    """Return encoded samples of this build in hexadecimal, by the name of the message type."""
+    messages = _import_messages()
     union: Any = inspect.type_info(messages.Message)
     kinds = {kind.cls.__name__: kind for kind in union.types}
     kinds[_SNAPSHOT] = inspect.type_info(messages.Snapshot)
     samples = {}
     for name, kind in sorted(kinds.items()):
-        value = msgspec.convert(_Sampler().sample(kind), type=kind.cls, strict=False)
+        value = msgspec.convert(_SampleGenerator().sample(kind), type=kind.cls, strict=False)
         samples[name] = messages.encode(value).hex()
     return samples
 
 
-def _read(samples: dict[str, str]) -> dict[str, str | None]:
-    """Give what this build makes of samples, encoded anew; None for what it can't read."""
-    messages = _messages()
-    found: dict[str, str | None] = {}
+def _reencode(samples: dict[str, str]) -> dict[str, str | None]:
+    """Decode samples and encode them again; None for samples that the build can't decode."""
+    messages = _import_messages()
+    reencoded: dict[str, str | None] = {}
     for name, text in samples.items():
         data = bytes.fromhex(text)
         if name == _SNAPSHOT:
@@ -104,17 +105,17 @@
                 value = None
         else:
             value = messages.decode_datagram(data)
-        found[name] = None if value is None else messages.encode(value).hex()
-    return found
+        reencoded[name] = None if value is None else messages.encode(value).hex()
+    return reencoded
 
 
 def main(arguments: list[str]) -> int:
-    """Write or read samples."""
+    """Run the command ``write`` or ``read``, and return the exit code."""
     if arguments == ["write"]:
         print(json.dumps(write(), indent=1, sort_keys=True))
         return 0
     if arguments == ["read"]:
-        print(json.dumps(_read(json.load(sys.stdin))))
+        print(json.dumps(_reencode(json.load(sys.stdin))))
         return 0
     print(__doc__)
     return 2
--- a/tools/repeat.py
+++ b/tools/repeat.py
@@ -1,8 +1,8 @@
-"""Runs tests many times beside busy processes and keeps the output of what fails.
+"""Runs tests many times, with busy processes in parallel, and keeps the output of failed runs.
 
     python -m tools.repeat --times 100 --busy 8 cleatlink/routing/fleet_view_test.py::test_name
 
-Without a test it runs the whole check of ``tools.verdict`` each time.
+Without a test, each run is a full run of ``tools.verdict``.
 """
 
 import subprocess
@@ -17,13 +17,13 @@
 
 __all__ = ["Run", "busy_processes", "repeat"]
 
-_BUSY = "while True: pass"
-# Of each failed run; the file has all.
-_SHOWN_LINES = 40
+_BUSY_PROGRAM = "while True: pass"
+# Number of lines printed from the end of a failed run's output; the file has all of it.
+_PRINTED_LINES = 40
 
 
 class Run(NamedTuple):
-    """One run, its exit code and where its output is."""
+    """A run: its number, its exit code and the file of its output."""
 
     number: int
     exit_code: int
@@ -32,11 +32,11 @@
 
 @contextmanager
 def busy_processes(count: int) -> Iterator[list[int]]:
-    """Keep a number of processors busy; gives the processes' ids."""
+    """Keep a number of processors busy with one process each, and yield the process ids."""
     processes: list[subprocess.Popen[bytes]] = []
     try:
         for _ in range(count):
-            processes.append(subprocess.Popen([sys.executable, "-c", _BUSY]))
+            processes.append(subprocess.Popen([sys.executable, "-c", _BUSY_PROGRAM]))
         yield [process.pid for process in processes]
     finally:
         for process in processes:
@@ -55,24 +55,24 @@
     """Run tests a number of times.
 
     Args:
-        tests: Tests as pytest takes them; none for the whole check.
-        times: How often.
-        folder: Gets a file of output for each run that fails.
-        busy: Busy processes beside them.
-        at_a_time: Runs side by side.
+        tests: Tests as arguments of pytest; if empty, each run is a full run of the verdict.
+        times: Number of runs.
+        folder: Folder for the output of failed runs, a file for each.
+        busy: Number of busy processes in parallel with the tests.
+        at_a_time: Maximum number of concurrent runs.
 
     Returns:
-        The runs that failed, in order.
+        The runs that failed, by number.
     """
     folder.mkdir(parents=True, exist_ok=True)
 
     def run(number: int) -> Run:
         output = folder / f"run-{number}.txt"
         with output.open("wb") as file:
-            done = subprocess.run(_command(tests), stdout=file, stderr=file, check=False)
-        if done.returncode == 0:
+            completed = subprocess.run(_command(tests), stdout=file, stderr=file, check=False)
+        if completed.returncode == 0:
             output.unlink()
-        return Run(number, done.returncode, output)
+        return Run(number, completed.returncode, output)
 
     with busy_processes(busy), ThreadPoolExecutor(at_a_time) as pool:
         runs = list(pool.map(run, range(1, times + 1)))
@@ -81,25 +81,25 @@
 
 @click.command()
 @click.argument("tests", nargs=-1)
-@click.option("--times", default=10, show_default=True, help="How often the tests are run.")
-@click.option("--busy", default=0, show_default=True, help="Busy processes beside them.")
-@click.option("--at-a-time", default=1, show_default=True, help="Runs side by side.")
+@click.option("--times", default=10, show_default=True, help="Number of runs.")
+@click.option("--busy", default=0, show_default=True, help="Number of busy processes in parallel.")
+@click.option("--at-a-time", default=1, show_default=True, help="Number of concurrent runs.")
 @click.option(
     "--folder",
     type=click.Path(file_okay=False, path_type=Path),
     default=Path(".repeat"),
     show_default=True,
-    help="Where the output of failed runs is kept.",
+    help="Folder for the output of failed runs.",
 )
 def main(tests: tuple[str, ...], times: int, busy: int, at_a_time: int, folder: Path) -> None:
-    """Run tests many times, beside busy processes if wanted; exits with 1 if a run failed."""
-    failed = repeat(tests, times, folder, busy=busy, at_a_time=at_a_time)
-    for item in failed:
-        click.echo(f"run {item.number} ended with {item.exit_code}: {item.output}")
+    """Run tests many times, with busy processes in parallel; exits with 1 if a run failed."""
+    failed_runs = repeat(tests, times, folder, busy=busy, at_a_time=at_a_time)
+    for item in failed_runs:
+        click.echo(f"run {item.number} exited with code {item.exit_code}: {item.output}")
         lines = item.output.read_text("utf-8", "replace").splitlines()
-        click.echo("\n".join(lines[-_SHOWN_LINES:]))
-    click.echo(f"{len(failed)} of {times} runs failed, beside {busy} busy processes")
-    sys.exit(1 if failed else 0)
+        click.echo("\n".join(lines[-_PRINTED_LINES:]))
+    click.echo(f"{len(failed_runs)} of {times} runs failed, with {busy} busy processes")
+    sys.exit(1 if failed_runs else 0)
 
 
 if __name__ == "__main__":
--- a/tools/repeat_test.py
+++ b/tools/repeat_test.py
@@ -1,4 +1,4 @@
-"""The tool that runs tests many times."""
+"""The tool that repeats tests keeps the output of failed runs and ends its busy processes."""
 
 import os
 from pathlib import Path
@@ -8,7 +8,7 @@
 
 from tools.repeat import busy_processes, main
 
-EVERY_SECOND = """
+FAILS_EVERY_SECOND_RUN = """
 from pathlib import Path
 
 def test_every_second_time():
@@ -20,23 +20,23 @@
 """
 
 
-def test_failed_runs_are_told_with_their_output_kept(tmp_path: Path) -> None:
+def test_failed_runs_are_counted_and_their_output_is_kept(tmp_path: Path) -> None:
     test = tmp_path / "every_second_test.py"
-    test.write_text(EVERY_SECOND)
+    test.write_text(FAILS_EVERY_SECOND_RUN)
     folder = tmp_path / "kept"
     options = ["--times", "4", "--busy", "1", "--folder", str(folder)]
-    done = CliRunner().invoke(main, [*options, str(test)])
-    assert done.exit_code == 1
-    assert done.output.splitlines()[-1] == "2 of 4 runs failed, beside 1 busy processes"
+    completed = CliRunner().invoke(main, [*options, str(test)])
+    assert completed.exit_code == 1
+    assert completed.output.splitlines()[-1] == "2 of 4 runs failed, with 1 busy processes"
     assert [file.name for file in sorted(folder.iterdir())] == ["run-2.txt", "run-4.txt"]
     assert "this is run 4" in (folder / "run-4.txt").read_text()
 
 
-def test_busy_processes_are_gone_after() -> None:
-    with busy_processes(2) as found:
-        assert len(set(found)) == 2
-        for number in found:
-            os.kill(number, 0)
-    for number in found:
+def test_busy_processes_end_with_the_context() -> None:
+    with busy_processes(2) as process_ids:
+        assert len(set(process_ids)) == 2
+        for process_id in process_ids:
+            os.kill(process_id, 0)
+    for process_id in process_ids:
         with pytest.raises(ProcessLookupError):
-            os.kill(number, 0)
+            os.kill(process_id, 0)
--- a/tools/runtime_lock.py
+++ b/tools/runtime_lock.py
@@ -1,15 +1,15 @@
-"""Writes the lock of the libraries that a running instance needs.
+"""Writes the lock file of the libraries that an instance needs at run time.
 
-The whole lock also has those of the tests. This takes the blocks of the named
-libraries and of what they need, with their hashes, out of it.
+The full lock file also contains the libraries of the tests. The runtime lock file is the part
+of it, with the hashes, for the libraries named here: direct and transitive dependencies.
 """
 
 import re
 from pathlib import Path
 
-__all__ = ["RUNTIME", "main", "select_blocks"]
+__all__ = ["RUNTIME_LIBRARIES", "main", "select_blocks"]
 
-RUNTIME = (
+RUNTIME_LIBRARIES = (
     "aioprometheus",
     "attrs",
     "boltons",
@@ -29,24 +29,32 @@
     "xxhash",
     "zope-interface",
 )
-_HEAD = "# Written by tools.runtime_lock from requirements.lock; do not edit.\n"
+_FILE_HEAD = "# Written by tools.runtime_lock from requirements.lock; do not edit.\n"
 
 
 def select_blocks(lock: str, names: tuple[str, ...]) -> str:
-    """Give the blocks of some libraries in a lock, in its order."""
+    """Return the blocks of some libraries in a lock file, in the order of the file.
+
+    Args:
+        lock: Text of the lock file.
+        names: Names of the libraries.
+
+    Raises:
+        ValueError: The lock file lacks a library.
+    """
     blocks = re.split(r"(?m)^(?=[a-zA-Z0-9])", lock)
-    wanted = [block for block in blocks if re.split(r"[=\[ ]", block, maxsplit=1)[0] in names]
-    found = {re.split(r"[=\[ ]", block, maxsplit=1)[0] for block in wanted}
+    selected = [block for block in blocks if re.split(r"[=\[ ]", block, maxsplit=1)[0] in names]
+    found = {re.split(r"[=\[ ]", block, maxsplit=1)[0] for block in selected}
     missing = set(names) - found
     if missing:
-        raise ValueError(f"not in the lock: {sorted(missing)}")
-    return _HEAD + "".join(wanted)
+        raise ValueError(f"libraries not in the lock file: {sorted(missing)}")
+    return _FILE_HEAD + "".join(selected)
 
 
 def main() -> None:
-    """Write the runtime lock beside the deploy file."""
+    """Write the runtime lock file to the folder of the deploy file."""
     lock = Path("requirements.lock").read_text("utf-8")
-    Path("deploy/requirements.lock").write_text(select_blocks(lock, RUNTIME), "utf-8")
+    Path("deploy/requirements.lock").write_text(select_blocks(lock, RUNTIME_LIBRARIES), "utf-8")
 
 
 if __name__ == "__main__":
--- a/tools/runtime_lock_test.py
+++ b/tools/runtime_lock_test.py
@@ -1,4 +1,4 @@
-"""The lock of the deploy file is the part of the whole lock that a running instance needs."""
+"""The runtime lock file is the part of the full one that an instance needs at run time."""
 
 import ast
 import sys
@@ -7,39 +7,41 @@
 
 import pytest
 
-from tools.runtime_lock import RUNTIME, select_blocks
+from tools.runtime_lock import RUNTIME_LIBRARIES, select_blocks
 
 ROOT = Path(__file__).parent.parent
 
 
 def test_runtime_lock_is_up_to_date() -> None:
-    whole = (ROOT / "requirements.lock").read_text()
-    assert (ROOT / "deploy" / "requirements.lock").read_text() == select_blocks(whole, RUNTIME)
+    full_lock = (ROOT / "requirements.lock").read_text()
+    assert (ROOT / "deploy" / "requirements.lock").read_text() == select_blocks(
+        full_lock, RUNTIME_LIBRARIES
+    )
 
 
-def test_library_that_is_not_locked_is_an_error() -> None:
-    with pytest.raises(ValueError, match="not in the lock"):
+def test_library_missing_from_the_lock_file_is_an_error() -> None:
+    with pytest.raises(ValueError, match="libraries not in the lock file"):
         select_blocks("a==1 \\\n    --hash=x\n", ("b",))
 
 
-def test_relay_imports_only_locked_libraries() -> None:
+def test_instance_imports_only_locked_libraries() -> None:
     packages = ("core", "platform", "relay", "routing", "request", "members", "scripts")
-    local = {"cleatlink"}
-    names = {name.replace("-", "_") for name in RUNTIME}
-    used = set()
+    own_packages = {"cleatlink"}
+    names = {name.replace("-", "_") for name in RUNTIME_LIBRARIES}
+    imported = set()
     for package in packages:
         for path in (ROOT / "cleatlink" / package).rglob("*.py"):
             if path.name.endswith("_test.py"):
                 continue
             for node in ast.walk(ast.parse(path.read_text())):
                 if isinstance(node, ast.Import):
-                    used |= {alias.name.partition(".")[0] for alias in node.names}
+                    imported |= {alias.name.partition(".")[0] for alias in node.names}
                 elif isinstance(node, ast.ImportFrom) and node.module:
-                    used.add(node.module.partition(".")[0])
-    assert used - names - local - sys.stdlib_module_names == set()
+                    imported.add(node.module.partition(".")[0])
+    assert imported - names - own_packages - sys.stdlib_module_names == set()
 
 
-def test_deploy_file_names_a_program_that_is_there() -> None:
+def test_deploy_file_names_an_existing_program() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())
     (role,) = deploy["roles"].values()
     module = role["run"].split()[2]
