--- a/tools/kinds/__init__.py
+++ b/tools/kinds/__init__.py
@@ -1,1 +1,1 @@
-"""Plays kinds of engines that nobody tuned for, beside an earlier commit."""
+"""Compares two commits on benchmark days, for kinds of engines that no policy was tuned for."""
--- a/tools/kinds/calm_test.py
+++ b/tools/kinds/calm_test.py
@@ -1,4 +1,4 @@
-"""A few plays of two builds tell whether they differ, and say so when they can't."""
+"""The comparison of a few runs of two builds, and the verdict if they are too few."""
 
 from pathlib import Path
 
@@ -6,44 +6,49 @@
 
 from tools.kinds.calm import render
 from tools.kinds.differs import Verdict, compare
-from tools.kinds.play import Play, Played, Tree
+from tools.kinds.play import BenchRun, RunResult, WorkTree
 
-# Figures of a build that gave an order on each play, and of one that gave it on two of seven.
-ORDERED = [0.939, 0.948, 0.943, 0.947]
-SELDOM = [0.889, 0.921, 0.881, 0.945, 0.894, 0.883, 0.889]
+# Worth with a build that ordered a role change in each run, and with one that ordered it in two
+# of seven runs.
+WITH_ORDERS = [0.939, 0.948, 0.943, 0.947]
+MOSTLY_WITHOUT_ORDERS = [0.889, 0.921, 0.881, 0.945, 0.894, 0.883, 0.889]
 
 
 @pytest.mark.parametrize(
     ("before", "now", "verdict"),
     [
-        (ORDERED, SELDOM, Verdict.LOWER),
-        (SELDOM, ORDERED, Verdict.HIGHER),
-        (ORDERED, [0.95, 0.938, 0.943, 0.949], Verdict.SAME),
-        ([0.9, 0.6], [0.8, 0.7], Verdict.UNKNOWN),
-        ([0.9, 0.9], [0.9, 0.9], Verdict.SAME),
+        (WITH_ORDERS, MOSTLY_WITHOUT_ORDERS, Verdict.LOWER),
+        (MOSTLY_WITHOUT_ORDERS, WITH_ORDERS, Verdict.HIGHER),
+        (WITH_ORDERS, [0.95, 0.938, 0.943, 0.949], Verdict.EQUIVALENT),
+        ([0.9, 0.6], [0.8, 0.7], Verdict.INCONCLUSIVE),
+        ([0.9, 0.9], [0.9, 0.9], Verdict.EQUIVALENT),
     ],
 )
-def test_verdict_is_plain(before: list[float], now: list[float], verdict: Verdict) -> None:
+def test_verdict_follows_from_the_interval(
+    before: list[float], now: list[float], verdict: Verdict
+) -> None:
     assert compare(before, now).verdict(0.03) is verdict
 
 
-def test_interval_is_the_textbooks() -> None:
+def test_interval_is_welchs_interval() -> None:
     difference = compare([1.0, 2.0, 3.0], [2.0, 3.0, 4.0])
     assert difference.change == pytest.approx(1.0)
     assert difference.high - difference.change == pytest.approx(2.78 * (2 / 3) ** 0.5)
 
 
-def played(label: str, worth: float | None, orders: int = 1) -> Played:
-    play = Play("site", Path("site.toml"), "quiet-1", 1, Tree(label, Path()))
-    return Played(play, worth, "" if worth else "too slow", orders)
+def result(label: str, worth: float | None, order_count: int = 1) -> RunResult:
+    run = BenchRun("site", Path("site.toml"), "quiet-1", 1, WorkTree(label, Path()))
+    return RunResult(run, worth, "" if worth else "too slow", order_count)
 
 
-def test_site_that_is_lower_or_failed_is_not_sound() -> None:
-    good = [played("before", worth) for worth in ORDERED]
-    text, sound = render([*good, *(played("now", worth, orders=0) for worth in SELDOM)])
-    assert not sound
+def test_site_with_a_lower_worth_or_a_failed_run_does_not_pass() -> None:
+    before_results = [result("before", worth) for worth in WITH_ORDERS]
+    text, passed = render(
+        [*before_results, *(result("now", worth, order_count=0) for worth in MOSTLY_WITHOUT_ORDERS)]
+    )
+    assert not passed
     assert text.startswith("site: lower (-0.04")
-    assert text.endswith("plays with an order 4 of 4 and 0 of 7")
-    text, sound = render([*good, played("now", None)])
-    assert (text, sound) == ("site: now failed: too slow", False)
-    assert render([*good, *(played("now", worth) for worth in ORDERED)])[1]
+    assert text.endswith("runs with a role change 4 of 4 and 0 of 7")
+    text, passed = render([*before_results, result("now", None)])
+    assert (text, passed) == ("site: now failed: too slow", False)
+    assert render([*before_results, *(result("now", worth) for worth in WITH_ORDERS)])[1]
--- a/tools/kinds/catalogue.py
+++ b/tools/kinds/catalogue.py
@@ -1,8 +1,9 @@
-"""Kinds of engines and fleets on which a change of policy is held against an earlier commit.
+"""Kinds of engines and fleets on which a changed policy is compared with an earlier commit.
 
-They span what inference engines do: 0.2 to 20 ms a step, 5 to 60 tokens of a prompt a
-millisecond, memory of 3 to 200 streams, few and many slots, quick and slow changes of role.
-Sizes of requests go with them where an engine could not serve a site's own requests in time.
+They cover the range of inference engines: decode steps of 0.2 to 20 ms, prefills of 5 to 60 prompt
+tokens per millisecond, memory for 3 to 200 streams, few and many slots, fast and slow role
+changes. A kind also changes the sizes of requests if its engines could not serve the requests of
+the site in time.
 """
 
 from typing import NamedTuple
@@ -11,19 +12,19 @@
 
 
 class Kind(NamedTuple):
-    """What differs from the site's own engines; None leaves the site's figure.
+    """A kind of engine, as changes to a site; a field that is None keeps the value of the site.
 
     Attributes:
-        name: Its name in tables.
-        step_ms: Milliseconds of a decode's step with one stream.
-        prompt_tokens_ms: Tokens of a prompt that a prefill computes in a millisecond.
-        memory_tokens: Tokens that fit an engine's memory.
-        slots: Streams that an engine runs at once.
-        handover_ms: Milliseconds that it takes to begin moving a prompt's memory.
-        switch_s: Seconds that a change of role takes.
-        engines: Factor on the number of engines.
-        prompt: Tokens of a prompt, on the average.
-        output: Events of an answer, on the average.
+        name: Name in tables and on the command line.
+        step_ms: Duration of a decode step with a single stream.
+        prompt_tokens_ms: Prompt tokens that a prefill computes per millisecond.
+        memory_tokens: Size of an engine's KV cache, in tokens.
+        slots: Maximum number of concurrent streams of an engine.
+        transfer_setup_ms: Time to start the transfer of a prompt's KV cache.
+        role_switch_s: Duration of a role change.
+        engine_count_factor: Factor for the number of engines.
+        prompt: Mean number of prompt tokens.
+        output: Mean number of events in an answer.
     """
 
     name: str
@@ -31,9 +32,9 @@
     prompt_tokens_ms: float | None = None
     memory_tokens: int | None = None
     slots: int | None = None
-    handover_ms: float | None = None
-    switch_s: float | None = None
-    engines: float = 1.0
+    transfer_setup_ms: float | None = None
+    role_switch_s: float | None = None
+    engine_count_factor: float = 1.0
     prompt: float | None = None
     output: float | None = None
 
@@ -47,8 +48,8 @@
     Kind("slowest, short answers", 20.0, 8.0, 160_000, prompt=1_500.0, output=30.0),
     Kind("slow prompts", 2.0, 5.0, 100_000, prompt=1_200.0),
     Kind("few slots", 3.0, 33.0, 200_000, slots=4),
-    Kind("slow hand-over", 5.0, 33.0, 60_000, handover_ms=200.0),
-    Kind("slow change of role", 5.0, 33.0, 41_000, switch_s=15.0),
-    Kind("many small engines", 5.0, 33.0, 14_000, slots=8, engines=3.0),
-    Kind("two engines", 1.0, 50.0, 60_000, engines=0.45),
+    Kind("slow hand-over", 5.0, 33.0, 60_000, transfer_setup_ms=200.0),
+    Kind("slow change of role", 5.0, 33.0, 41_000, role_switch_s=15.0),
+    Kind("many small engines", 5.0, 33.0, 14_000, slots=8, engine_count_factor=3.0),
+    Kind("two engines", 1.0, 50.0, 60_000, engine_count_factor=0.45),
 )
--- a/tools/kinds/differs.py
+++ b/tools/kinds/differs.py
@@ -1,4 +1,4 @@
-"""Tells whether days of two builds differ, from a few plays of each."""
+"""Compares the results of two builds, from a few runs of each."""
 
 import math
 import statistics
@@ -8,7 +8,7 @@
 
 __all__ = ["Difference", "Verdict", "compare"]
 
-# Quantiles of Student's distribution for 19 in 20, by degrees of freedom.
+# Two-sided quantiles of Student's t distribution for 19 in 20 cases, by degrees of freedom.
 _QUANTILES = {
     1: 12.71,
     2: 4.30,
@@ -25,60 +25,61 @@
 
 
 class Verdict(StrEnum):
-    """What a few plays tell."""
+    """Result of a comparison of two builds."""
 
     LOWER = "lower"
     HIGHER = "higher"
-    SAME = "no difference that counts"
-    UNKNOWN = "can't tell: more plays"
+    EQUIVALENT = "no relevant difference"
+    INCONCLUSIVE = "inconclusive, more runs needed"
 
 
 class Difference(NamedTuple):
-    """The difference of two means, with an interval that holds it in 19 of 20 cases.
+    """The difference of two means, with a confidence interval of 19 in 20 cases.
 
     Attributes:
-        change: The second mean less the first.
+        change: The second mean minus the first.
         low: Lower end of the interval.
-        high: Its upper end.
+        high: Upper end of the interval.
     """
 
     change: float
     low: float
     high: float
 
-    def verdict(self, most: float) -> Verdict:
-        """Give it in words.
+    def verdict(self, tolerance: float) -> Verdict:
+        """Return the verdict on the difference.
 
         Args:
-            most: A difference that does not count.
+            tolerance: Differences smaller than this are not relevant.
         """
         if self.high < 0:
             return Verdict.LOWER
         if self.low > 0:
             return Verdict.HIGHER
-        is_small = self.low > -most and self.high < most
-        return Verdict.SAME if is_small else Verdict.UNKNOWN
+        is_within_tolerance = self.low > -tolerance and self.high < tolerance
+        return Verdict.EQUIVALENT if is_within_tolerance else Verdict.INCONCLUSIVE
 
 
 def compare(before: Sequence[float], now: Sequence[float]) -> Difference:
-    """Compare two samples whose spreads may differ (Welch's interval).
+    """Compare two samples whose variances may differ, with Welch's t interval.
 
     Args:
-        before: Figures of the first build, two at the least.
-        now: Figures of the second one, two at the least.
+        before: Results of the first build, at least two.
+        now: Results of the second build, at least two.
     """
     change = statistics.mean(now) - statistics.mean(before)
-    parts = [statistics.variance(sample) / len(sample) for sample in (before, now)]
-    spread = sum(parts)
-    if not spread:
+    squared_errors = [statistics.variance(sample) / len(sample) for sample in (before, now)]
+    squared_error_sum = sum(squared_errors)
+    if not squared_error_sum:
         return Difference(change, change, change)
-    degrees = spread**2 / sum(
-        part**2 / (len(sample) - 1) for part, sample in zip(parts, (before, now), strict=True)
+    degrees = squared_error_sum**2 / sum(
+        squared_error**2 / (len(sample) - 1)
+        for squared_error, sample in zip(squared_errors, (before, now), strict=True)
     )
-    reach = _quantile(degrees) * math.sqrt(spread)
-    return Difference(change, change - reach, change + reach)
+    margin = _quantile(degrees) * math.sqrt(squared_error_sum)
+    return Difference(change, change - margin, change + margin)
 
 
 def _quantile(degrees: float) -> float:
-    """Give the quantile for as many degrees of freedom, or for the next lower number listed."""
-    return _QUANTILES[max((known for known in _QUANTILES if known <= degrees), default=1)]
+    """Return the quantile for some degrees of freedom, or for the next lower number listed."""
+    return _QUANTILES[max((listed for listed in _QUANTILES if listed <= degrees), default=1)]
--- a/tools/kinds/play.py
+++ b/tools/kinds/play.py
@@ -1,4 +1,4 @@
-"""Plays days of site variants with a bench, several at a time."""
+"""Runs benchmark days of site variants with a bench program, several at a time."""
 
 import shutil
 import subprocess
@@ -8,92 +8,118 @@
 
 import msgspec
 
-__all__ = ["Play", "Played", "Tree", "copy_without", "play_all"]
+__all__ = ["BenchRun", "RunResult", "WorkTree", "copy_without_mechanism", "run_all"]
 
-_RUN_LINE = "cleatlink.scripts.main entry"
-# A line of the instance that leads, for each order of another role.
-_ORDER_LINE = '"orders: plans a role change"'
+_ENTRY_COMMAND = "cleatlink.scripts.main entry"
+# Log text of an instance, once for each role change that it orders.
+_ORDER_LOG_TEXT = '"orders: plans a role change"'
 
 
-class Tree(NamedTuple):
-    """A work tree of cleatlink under a label."""
+class WorkTree(NamedTuple):
+    """A work tree of cleatlink.
+
+    Attributes:
+        label: Name of the tree in tables.
+        folder: Root of the tree.
+    """
 
     label: str
     folder: Path
 
 
-class Play(NamedTuple):
-    """A day to be played.
+class BenchRun(NamedTuple):
+    """A run of a benchmark day.
 
     Attributes:
-        kind: Name of the kind of engines.
-        site: The variant's file.
+        variant: Name of the site variant in tables: a kind of engine, or the site itself.
+        site: Site file of the variant.
         day: Name of the day.
-        seed: Seed of its chance.
-        tree: What plays it.
-        counts_orders: Whether orders of roles are counted, by the instances' lines.
+        seed: Seed of the day's random choices.
+        tree: Work tree that the bench runs.
+        counts_orders: Whether to count the role changes that instances order, in their logs.
     """
 
-    kind: str
+    variant: str
     site: Path
     day: str
     seed: int
-    tree: Tree
+    tree: WorkTree
     counts_orders: bool = False
 
 
-class Played(NamedTuple):
-    """What a play came to; without a figure it failed, or broke a rule."""
+class RunResult(NamedTuple):
+    """Result of a run.
+
+    Attributes:
+        run: The run.
+        worth: Worth of the day; None if the run failed or violated a rule.
+        failure: Description of the failure; empty if there is none.
+        order_count: Number of role changes that were ordered; 0 if they are not counted.
+    """
 
-    play: Play
+    run: BenchRun
     worth: float | None
-    note: str
-    orders: int = 0
+    failure: str
+    order_count: int = 0
 
 
 class _Report(msgspec.Struct):
-    """The part of a bench's report that is read."""
+    """The fields of the bench's report that are used.
+
+    Attributes:
+        worth: Worth of the day, the field ``G`` of the report.
+        fault: Why the run failed; None if it did not fail.
+        breaks: Number of violations of each violated rule.
+    """
 
     worth: float = msgspec.field(name="G")
     fault: str | None = None
     breaks: dict[str, int] = {}
 
 
-def copy_without(tree: Tree, mechanism: str, folder: Path) -> Tree:
-    """Copy a work tree whose instances run without a mechanism."""
+def copy_without_mechanism(tree: WorkTree, mechanism: str, folder: Path) -> WorkTree:
+    """Copy a work tree, and switch off a mechanism of cleatlink in the copy's deploy file.
+
+    Raises:
+        ValueError: The deploy file lacks the command that runs an instance.
+    """
     ignored = shutil.ignore_patterns(".venv", "journal", "target", "__pycache__")
     shutil.copytree(tree.folder, folder, ignore=ignored)
     deploy = folder / "deploy" / "system.toml"
     text = deploy.read_text("utf-8")
-    if _RUN_LINE not in text:
-        raise ValueError(f"{deploy} does not run {_RUN_LINE}")
-    deploy.write_text(text.replace(_RUN_LINE, f"{_RUN_LINE} --without {mechanism}"), "utf-8")
-    return Tree(f"without {mechanism}", folder)
-
-
-def play_all(bench: Path, plays: list[Play], jobs: int, scratch: Path) -> list[Played]:
-    """Play days, ``jobs`` of them at a time, in the order given."""
-    for folder in {play.tree.folder for play in plays}:
-        _run([str(bench), "build"], folder)
-    with ThreadPoolExecutor(jobs) as pool:
-        numbered = enumerate(plays)
-        return list(pool.map(lambda item: _play(bench, item[1], scratch / f"{item[0]}"), numbered))
-
-
-def _play(bench: Path, play: Play, report: Path) -> Played:
-    command = [str(bench), "run", str(play.site), play.day, "--seed", str(play.seed)]
-    why = f"trial: {play.tree.label}, engines: {play.kind}, {play.day}"
-    command += ["--log", "all"] if play.counts_orders else []
-    ran = _run([*command, "--report", str(report), "--why", why], play.tree.folder)
+    if _ENTRY_COMMAND not in text:
+        raise ValueError(f"{deploy} does not run {_ENTRY_COMMAND}")
+    deploy.write_text(
+        text.replace(_ENTRY_COMMAND, f"{_ENTRY_COMMAND} --without {mechanism}"), "utf-8"
+    )
+    return WorkTree(f"without {mechanism}", folder)
+
+
+def run_all(bench: Path, runs: list[BenchRun], jobs: int, scratch: Path) -> list[RunResult]:
+    """Build the work trees and run the days, ``jobs`` at a time; return the results in order."""
+    for folder in {run.tree.folder for run in runs}:
+        _run_command([str(bench), "build"], folder)
+    with ThreadPoolExecutor(jobs) as executor:
+        numbered = enumerate(runs)
+        return list(
+            executor.map(lambda item: _run_day(bench, item[1], scratch / f"{item[0]}"), numbered)
+        )
+
+
+def _run_day(bench: Path, run: BenchRun, report: Path) -> RunResult:
+    command = [str(bench), "run", str(run.site), run.day, "--seed", str(run.seed)]
+    why = f"trial: {run.tree.label}, engines: {run.variant}, {run.day}"
+    command += ["--log", "all"] if run.counts_orders else []
+    completed = _run_command([*command, "--report", str(report), "--why", why], run.tree.folder)
     if not report.exists():
-        return Played(play, None, _last_line(ran.stdout + ran.stderr))
+        return RunResult(run, None, _last_line(completed.stdout + completed.stderr))
     found = msgspec.json.decode(report.read_bytes(), type=_Report)
     if found.fault is not None or found.breaks:
-        return Played(play, None, found.fault or f"rules broken: {', '.join(found.breaks)}")
-    return Played(play, found.worth, "", ran.stdout.count(_ORDER_LINE))
+        return RunResult(run, None, found.fault or f"rules broken: {', '.join(found.breaks)}")
+    return RunResult(run, found.worth, "", completed.stdout.count(_ORDER_LOG_TEXT))
 
 
-def _run(command: list[str], folder: Path) -> "subprocess.CompletedProcess[str]":
+def _run_command(command: list[str], folder: Path) -> "subprocess.CompletedProcess[str]":
     return subprocess.run(command, cwd=folder, capture_output=True, text=True, check=False)
 
 
