--- a/conftest.py
+++ b/conftest.py
@@ -1,4 +1,4 @@
-"""Settings of every test run: the same examples each time, no clock in the verdict."""
+"""Settings of all test runs: reproducible Hypothesis examples, and tests in virtual time."""
 
 from collections.abc import Callable
 from functools import partial
@@ -14,15 +14,15 @@
 settings.load_profile("same")
 
 
-def _drop(message: dict[str, Any]) -> None:
-    """Take a line that no test asked for.
+def _discard(message: dict[str, Any]) -> None:
+    """Discard a log line.
 
-    Without any destination eliot keeps lines and hands them to the first one: a test that reads
-    lines then got those of the tests before it in its process.
+    Eliot buffers log lines until a destination is added, and then passes them to it. Without this
+    destination, a test that reads log lines would get those of earlier tests in its process.
     """
 
 
-eliot.add_destinations(_drop)
+eliot.add_destinations(_discard)
 
 
 def pytest_addoption(parser: pytest.Parser) -> None:
@@ -30,13 +30,16 @@
         "--pauses",
         type=int,
         metavar="SEED",
-        help="let the machine stand still at random moments of virtual time",
+        help="pause the simulated machine at random moments of virtual time, with this seed",
     )
 
 
 @pytest.hookimpl(trylast=True)
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Run in virtual time what is marked so; the first mark of the runner holds."""
+    """Run tests with the mark ``virtual_time`` in virtual time.
+
+    pytest-trio uses the first ``trio`` mark that has a runner, so this mark has to be the first.
+    """
     seed: int | None = config.getoption("--pauses")
     run: Callable[..., Any] = run_in_virtual_time
     if seed is not None:
