--- a/tools/kinds/calm_test.py
+++ b/tools/kinds/calm_test.py
@@ -8,8 +8,7 @@
 from tools.kinds.differs import Verdict, compare
 from tools.kinds.play import BenchRun, RunResult, WorkTree
 
-# Worth with a build that ordered a role change in each run, and with one that ordered it in two
-# of seven runs.
+# Worth of two builds: the first ordered a role change in each run, the second in two of seven runs.
 WITH_ORDERS = [0.939, 0.948, 0.943, 0.947]
 MOSTLY_WITHOUT_ORDERS = [0.889, 0.921, 0.881, 0.945, 0.894, 0.883, 0.889]
 
--- a/tools/runtime_lock_test.py
+++ b/tools/runtime_lock_test.py
@@ -1,4 +1,4 @@
-"""The runtime lock file is the part of the full one that an instance needs at run time."""
+"""The runtime lock file has the part of the full lock file that an instance needs."""
 
 import ast
 import sys
