--- a/cleatlink/limits/bucket.py
+++ b/cleatlink/limits/bucket.py
@@ -49,15 +49,16 @@
         self.debited = 0
         # Units that were taken and not used; they are spent before `total` grows again.
         self.credit = 0
+        # When the total or the returned units last changed; None before the first change.
         self.changed_at: float | None = None
 
     def refill(self, now: float, share: float) -> None:
         """Refill the bucket for the time since the last refill, at a share of its rate."""
-        passed_s = max(0.0, now - self.refilled_at)
+        elapsed_s = max(0.0, now - self.refilled_at)
         self.refilled_at = max(self.refilled_at, now)
-        self.level = min(self.limit.burst, self.level + share * self.limit.rate * passed_s)
+        self.level = min(self.limit.burst, self.level + share * self.limit.rate * elapsed_s)
 
-    def change(self, limit: RateLimit) -> None:
+    def set_limit(self, limit: RateLimit) -> None:
         """Use another limit; a change of the burst takes effect at once in both directions."""
         self.level += max(0.0, limit.burst - self.limit.burst)
         self.level = min(self.level, limit.burst)
--- a/cleatlink/limits/shared.py
+++ b/cleatlink/limits/shared.py
@@ -52,7 +52,15 @@
 
 
 class _PeerAccount:
-    """The totals that one peer last reported."""
+    """The totals that one peer last reported.
+
+    Attributes:
+        incarnation: Incarnation of the peer.
+        reported_at: When the last report arrived.
+        is_complete: Whether the totals of all names are known, so that a new name starts at 0.
+        totals: Units taken, by limited name.
+        returned: Units returned, by limited name.
+    """
 
     __slots__ = ("incarnation", "is_complete", "reported_at", "returned", "totals")
 
@@ -63,18 +71,18 @@
         self.totals: dict[str, int] = {}
         self.returned: dict[str, int] = {}
 
-    def grown(self, known: dict[str, int], name: str, total: int) -> int:
+    def grown(self, last_totals: dict[str, int], name: str, total: int) -> int:
         """Record a total that only grows; return its increase, or 0 if that is not known.
 
         Args:
-            known: Totals of one kind as last reported.
+            last_totals: Totals of one kind as last reported.
             name: Limited name of the total.
             total: Total as reported now.
         """
-        before = known.get(name, 0 if self.is_complete else None)
+        before = last_totals.get(name, 0 if self.is_complete else None)
         if before is not None and total <= before:
             return 0
-        known[name] = total
+        last_totals[name] = total
         return 0 if before is None else total - before
 
     def forget(self) -> None:
@@ -127,7 +135,7 @@
             bucket = self._buckets[name] = self._open_bucket(name, limit, now)
         bucket.refill(now, self._reachable_share)
         if bucket.limit != limit:
-            bucket.change(limit)
+            bucket.set_limit(limit)
         return bucket
 
     def _open_bucket(self, name: str, limit: RateLimit, now: float) -> Bucket:
--- a/cleatlink/members/leadership.py
+++ b/cleatlink/members/leadership.py
@@ -69,25 +69,25 @@
         """All instances known at any time, except those that left."""
         return self._known
 
-    def update(self, received: PeerReports, now: float) -> bool:
+    def update(self, reports: PeerReports, now: float) -> bool:
         """Update the election; return whether this instance may send orders now."""
-        left = received.departed - {self._name}
-        live = (received.votes.keys() - left) | {self._name}
-        self._known = (self._known | live | received.known_names) - left
+        departed = reports.departed - {self._name}
+        live = (reports.votes.keys() - departed) | {self._name}
+        self._known = (self._known | live | reports.known_names) - departed
         may_be_disconnected = len(self._known) == 1 and not self._alone
         self._vote = "" if may_be_disconnected else min(live)
         was_paused = now - self._updated_at > _MAX_UPDATE_INTERVAL_S
         self._updated_at = now
-        if was_paused or not self._is_elected(received, live):
+        if was_paused or not self._is_elected(reports, live):
             self._elected_since = None
             return False
         if self._elected_since is None:
             self._elected_since = now
         return now - self._elected_since >= self._election_delay_s
 
-    def _is_elected(self, received: PeerReports, live: Set[str]) -> bool:
+    def _is_elected(self, reports: PeerReports, live: Set[str]) -> bool:
         if self._vote != self._name:
             return False
-        voters = [peer for peer in live if received.votes.get(peer) == self._name]
-        member_count = max(len(self._known), received.known_count)
+        voters = [peer for peer in live if reports.votes.get(peer) == self._name]
+        member_count = max(len(self._known), reports.known_count)
         return 2 * (len(voters) + 1) > member_count
--- a/cleatlink/members/leadership_test.py
+++ b/cleatlink/members/leadership_test.py
@@ -138,11 +138,11 @@
                 for (receiver, peer), received in received_at.items()
                 if receiver == name and now - received <= SILENCE_S
             }
-            hearing = PeerReports(
+            reports = PeerReports(
                 {peer: last_heartbeat[name, peer][0] for peer in alive},
                 known_names[name],
                 max((last_heartbeat[name, peer][1] for peer in alive), default=0),
             )
-            if views[name].update(hearing, now):
+            if views[name].update(reports, now):
                 assert last_order is None or last_order[0] == name or now - last_order[1] >= LEASE_S
                 last_order = (name, now)
--- a/cleatlink/members/membership.py
+++ b/cleatlink/members/membership.py
@@ -122,7 +122,7 @@
         return [peer for peer in self.peers(now) if peer.state is PeerState.ALIVE]
 
     def choose_note_keepers(self, request: str, now: float, count: int = 2) -> list[Peer]:
-        """Return the peers that keep the notes of a request, preferring this data centre."""
+        """Return the peers that store the notes of a request, preferring this data centre."""
         alive = {peer.name: peer for peer in self.alive_peers(now) if _is_staying(peer)}
         candidates = [alive[name] for name in rank_names(request, alive)]
         candidates.sort(key=lambda peer: peer.data_centre != self._data_centre)
--- a/cleatlink/members/reflectors_test.py
+++ b/cleatlink/members/reflectors_test.py
@@ -18,10 +18,10 @@
 
 
 def test_two_largest_instances_of_each_data_centre_are_chosen() -> None:
-    choice = ReflectorSelector("a")
-    assert choice.choose(make_candidates(), 0.0)
-    assert choice.chosen == {"a": ["a3", "a2"], "b": ["b3", "b2"]}
-    assert not choice.choose(make_candidates(), 0.5)
+    selector = ReflectorSelector("a")
+    assert selector.choose(make_candidates(), 0.0)
+    assert selector.chosen == {"a": ["a3", "a2"], "b": ["b3", "b2"]}
+    assert not selector.choose(make_candidates(), 0.5)
 
 
 def test_rank_of_equal_candidates_does_not_depend_on_their_order() -> None:
@@ -32,42 +32,42 @@
 
 
 def test_instance_that_does_not_accept_bundles_is_not_chosen() -> None:
-    choice = ReflectorSelector("a")
-    choice.choose([ReflectorCandidate("old", "b", 0.0, 0.0)], 0.0)
-    assert choice.chosen == {}
+    selector = ReflectorSelector("a")
+    selector.choose([ReflectorCandidate("old", "b", 0.0, 0.0)], 0.0)
+    assert selector.chosen == {}
 
 
 def test_silent_reflector_is_replaced_by_the_next_candidate() -> None:
-    choice = ReflectorSelector("a")
-    choice.choose(make_candidates(), 0.0)
+    selector = ReflectorSelector("a")
+    selector.choose(make_candidates(), 0.0)
     silent = [
         candidate._replace(silent_s=1.7) if candidate.name == "b3" else candidate
         for candidate in make_candidates()
     ]
-    assert choice.choose(silent, 1.7)
-    assert choice.chosen["b"] == ["b2", "b1"]
-    assert choice.choose(make_candidates(), 2.2)
-    assert choice.chosen["b"] == ["b3", "b2"]
+    assert selector.choose(silent, 1.7)
+    assert selector.chosen["b"] == ["b2", "b1"]
+    assert selector.choose(make_candidates(), 2.2)
+    assert selector.chosen["b"] == ["b3", "b2"]
 
 
 def test_no_reflector_is_chosen_if_all_candidates_are_silent() -> None:
-    choice = ReflectorSelector("a")
-    choice.choose(make_candidates(1.7), 0.0)
-    assert choice.chosen == {}
+    selector = ReflectorSelector("a")
+    selector.choose(make_candidates(1.7), 0.0)
+    assert selector.chosen == {}
 
 
 def test_local_reflector_that_returns_nothing_is_avoided_for_a_limited_time() -> None:
     """A link that is cut in one direction: the reflector sends messages but receives none."""
-    choice = ReflectorSelector("a")
+    selector = ReflectorSelector("a")
     for step in range(5):
         now = step * 0.5
-        choice.choose(make_candidates(), now)
-        choice.record_echo("a2", now)
-    assert choice.choose(make_candidates(), 2.5)
-    assert choice.chosen["a"] == ["a2", "a1"]
+        selector.choose(make_candidates(), now)
+        selector.record_echo("a2", now)
+    assert selector.choose(make_candidates(), 2.5)
+    assert selector.chosen["a"] == ["a2", "a1"]
     # Reflectors of other data centres are not expected to return messages.
-    assert choice.chosen["b"] == ["b3", "b2"]
-    choice.record_echo("a2", 17.0)
-    choice.record_echo("a1", 17.0)
-    choice.choose(make_candidates(), 17.6)
-    assert choice.chosen["a"] == ["a3", "a2"]
+    assert selector.chosen["b"] == ["b3", "b2"]
+    selector.record_echo("a2", 17.0)
+    selector.record_echo("a1", 17.0)
+    selector.choose(make_candidates(), 17.6)
+    assert selector.chosen["a"] == ["a3", "a2"]
--- a/cleatlink/quarantine/decision.py
+++ b/cleatlink/quarantine/decision.py
@@ -52,7 +52,7 @@
     attribution: CrashAttribution = CrashAttribution()
 
 
-_UNSUSPECTED = QuarantineDecision()
+_NO_SUSPICION = QuarantineDecision()
 
 
 class Quarantine:
@@ -71,17 +71,20 @@
         """Decide whether a request may run now."""
         suspicion = self.evidence.suspicion(identity)
         if not suspicion:
-            return _UNSUSPECTED
+            return _NO_SUSPICION
         attribution = self.evidence.attribution(identity)
         extra_crashes = attribution.independent_crashes - CRASHES_TO_QUARANTINE
         if extra_crashes < 0:
             return QuarantineDecision(suspicion, attribution=attribution)
         quarantine_s = min(_MAX_QUARANTINE_S, _QUARANTINE_S * 2**extra_crashes)
         trial_began_at = self._trials.get(identity, -math.inf)
-        until = max(attribution.last_crash_at + quarantine_s, trial_began_at + _MAX_TRIAL_S)
-        if now < until:
+        blocked_until = max(attribution.last_crash_at + quarantine_s, trial_began_at + _MAX_TRIAL_S)
+        if now < blocked_until:
             return QuarantineDecision(
-                suspicion, is_quarantined=True, retry_after_s=until - now, attribution=attribution
+                suspicion,
+                is_quarantined=True,
+                retry_after_s=blocked_until - now,
+                attribution=attribution,
             )
         return QuarantineDecision(suspicion, needs_trial=True, attribution=attribution)
 
--- a/cleatlink/quarantine/evidence.py
+++ b/cleatlink/quarantine/evidence.py
@@ -98,12 +98,12 @@
         Returns:
             Whether one of them was a suspect.
         """
-        is_new = False
+        was_suspected = False
         for request in requests:
-            is_new |= self.suspects.pop(request, None) is not None
+            was_suspected |= self.suspects.pop(request, None) is not None
             if len(self.suspects) + len(self.cleared) < _MAX_REQUESTS:
                 self.cleared.add(request)
-        return is_new
+        return was_suspected
 
 
 class CrashEvidence:
@@ -165,8 +165,8 @@
         """Remove crashes that are older than the retention time."""
         expired = [
             incarnation
-            for incarnation, item in self._crashes.items()
-            if now - item.crashed_at >= self._retention_s
+            for incarnation, crash in self._crashes.items()
+            if now - crash.crashed_at >= self._retention_s
         ]
         for incarnation in expired:
             del self._crashes[incarnation]
@@ -203,8 +203,8 @@
         """Attribute each crash to its suspect with the highest crash count.
 
         A crash whose highest count is shared by several suspects is attributed to none. Otherwise
-        innocent requests would be quarantined: of six requests that were retried beside one that
-        crashed endpoints, some shared its first three crashes and were refused with it.
+        innocent requests would be quarantined: of six requests that were retried beside another
+        that crashed endpoints, some shared its first three crashes and were refused with it.
         """
         if self._attributed is not None:
             return self._attributed
