--- a/cleatlink/relay/calls/call.py
+++ b/cleatlink/relay/calls/call.py
@@ -38,7 +38,7 @@
         route: Route,
         service: RoutedService,
         revision: int,
-        parts: RelayComponents,
+        components: RelayComponents,
         *,
         holder: CallerIdentity = ANONYMOUS,
     ) -> None:
@@ -53,7 +53,7 @@
         self.revision = revision
         self.last_received_at = inbound.arrived_at
         self.admission = Admission(True, 0)
-        self._parts = parts
+        self._components = components
         self._tried_endpoints: set[str] = set()
         self._last_endpoint = ""
         self._ran_before_send = ExecutionStatus.NO
@@ -73,7 +73,7 @@
     @property
     def suspicion(self) -> int:
         """Number of endpoint crashes while the request ran there, since it last completed."""
-        quarantine = self._parts.quarantine
+        quarantine = self._components.quarantine
         return 0 if quarantine.is_empty else quarantine.decide(self.identity).suspicion
 
     @property
@@ -110,15 +110,16 @@
     @property
     def forwarded_priority(self) -> int | None:
         """Priority to send to engines; None if the mechanism is off or the group is small."""
-        capacity = self._parts.capacity
+        capacity = self._components.capacity
         is_enabled = capacity.switches.is_enabled(Mechanism.ENDPOINT_PRIORITY)
         return self.priority if is_enabled and capacity.shared_wait_queues.is_large_group else None
 
     @property
     def is_authorized(self) -> bool:
         """Whether the caller's key is still valid, or the call may have run and so continues."""
-        return self.ran is not ExecutionStatus.NO or self._parts.organisation_gate.is_key_valid(
-            self.holder
+        return (
+            self.ran is not ExecutionStatus.NO
+            or self._components.organisation_gate.is_key_valid(self.holder)
         )
 
     @property
@@ -140,46 +141,48 @@
         """Refund the admission cost of a call that did not run to its organisation's limit."""
         organisation, admission = self.holder.organisation, self.admission
         if organisation is not None and admission.granted and admission.cost:
-            self._parts.organisation_gate.limits.refund(organisation, admission.cost)
+            self._components.organisation_gate.limits.refund(organisation, admission.cost)
             self.admission = Admission(True, 0)
 
     def placement_context(self) -> PlacementContext:
         """Return the placement parameters of the call at this moment."""
-        parts = self._parts
+        components = self._components
         now = trio.current_time()
-        return PlacementContext(parts.data_centre, self.excluded, now, parts.rng, self.suspicion)
+        return PlacementContext(
+            components.data_centre, self.excluded, now, components.rng, self.suspicion
+        )
 
     def find_send_refusal(self) -> Refusal | None:
-        """Return the reason why the call may not be sent now, or None; checked before each send.
+        """Return the refusal of a call that may not be sent now, or None; checked before each send.
 
         Without this check, one request crashed 14 of the 14 endpoints that it was sent to, and 28
         where a second endpoint may be tried; with it, the request crashes 3.
         """
         if not self.is_authorized:
             return Refusal(ErrorKind.UNKNOWN_KEY, "its key was taken away")
-        quarantine = self._parts.quarantine
+        quarantine = self._components.quarantine
         if quarantine.is_empty or self._is_trial_run:
             return None
-        verdict = quarantine.decide(self.identity)
-        if verdict.needs_trial:
+        decision = quarantine.decide(self.identity)
+        if decision.needs_trial:
             self._is_trial_run = True
             quarantine.begin_trial(self.identity)
-        if not verdict.is_quarantined:
+        if not decision.is_quarantined:
             return None
         self.log(
             "request refused: it is in quarantine",
             asks=self.identity.hex(),
-            crashes=verdict.attribution.independent_crashes,
-            endpoints=verdict.attribution.incarnations,
-            last_ago_s=round(trio.current_time() - verdict.attribution.last_crash_at, 3),
-            retry_after_s=round(verdict.retry_after_s, 1),
+            crashes=decision.attribution.independent_crashes,
+            endpoints=decision.attribution.incarnations,
+            last_ago_s=round(trio.current_time() - decision.attribution.last_crash_at, 3),
+            retry_after_s=round(decision.retry_after_s, 1),
         )
         if self.ran is not ExecutionStatus.NO:
             return self.make_refusal("the request crashed the endpoints that ran it")
         detail = (
-            f"the request crashed {verdict.attribution.independent_crashes} endpoints that ran it"
+            f"the request crashed {decision.attribution.independent_crashes} endpoints that ran it"
         )
-        return Refusal(ErrorKind.QUARANTINED, detail, verdict.retry_after_s)
+        return Refusal(ErrorKind.QUARANTINED, detail, decision.retry_after_s)
 
     async def wait_for_crash_check(self, endpoint: RoutedEndpoint) -> None:
         """Wait, after an endpoint failed the call, until it is known whether it crashed.
@@ -188,14 +191,14 @@
         third crash is counted. Suspects of a crash continue at different moments, so that each
         knows by then where the others run.
         """
-        await self._parts.crash_watch.wait_for_check(endpoint)
+        await self._components.crash_detector.wait_for_check(endpoint)
         if self.suspicion >= MIN_CRASHES_TO_ISOLATE:
-            await trio.sleep(_SUSPECT_SPREAD_S * self._parts.rng.random())
+            await trio.sleep(_SUSPECT_SPREAD_S * self._components.rng.random())
 
     def note_completed(self) -> None:
         """Record that an endpoint completed the call, which clears it of earlier crashes."""
-        if not self._parts.quarantine.is_empty:
-            self._parts.quarantine.record_completed(self.identity)
+        if not self._components.quarantine.is_empty:
+            self._components.quarantine.record_completed(self.identity)
 
     def may_send(self, endpoint: RoutedEndpoint) -> bool:
         """Check whether the route's maximum of attempts allows the call to go to an endpoint."""
@@ -209,10 +212,10 @@
     def take_retry(self, reason: str) -> bool:
         """Take one retry from the shared budget; return False if the budget is empty."""
         now = trio.current_time()
-        is_granted = self._parts.retry_budget(self.service.name).try_spend(
-            self._parts.member_count(), now
+        is_granted = self._components.retry_budget(self.service.name).try_spend(
+            self._components.count_members(), now
         )
-        self._parts.metrics.count_retry(reason if is_granted else "budget_empty")
+        self._components.metrics.count_retry(reason if is_granted else "budget_empty")
         self.log("retries" if is_granted else "no retry: the retry budget is empty", reason=reason)
         return is_granted
 
@@ -239,13 +242,13 @@
 
     def note_refused(self, endpoint: RoutedEndpoint, head: ResponseHead) -> None:
         """Record an endpoint's report that it did not run the call, with its reason."""
-        capacity = self._parts.capacity
-        back_off_s = self._parts.protocol.read_notice(head).rest_s
+        capacity = self._components.capacity
+        backoff_s = self._components.protocol.read_notice(head).rest_s
         self.log(
             "endpoint reports that it did not run the request",
             endpoint=endpoint.name,
             status=head.status,
-            rest_s=back_off_s,
+            rest_s=backoff_s,
         )
         if head.status == MISDIRECTED_REQUEST:
             self.note_address_reused(endpoint)
@@ -273,14 +276,14 @@
         )
         self.excluded.add(endpoint.name)
         if in_progress and isinstance(error, OutcomeUnknownError | StreamBrokenError):
-            # The trial run of a quarantined request ended: the next send is judged again.
+            # The trial run of a quarantined request ended: the next send is checked again.
             self._is_trial_run = False
             seconds = trio.current_time() - self._last_started_at
-            self._parts.crash_watch.report_broken_request(endpoint, identity, seconds)
+            self._components.crash_detector.report_broken_request(endpoint, identity, seconds)
         if not isinstance(error, EndpointRefusedError):
-            self._parts.capacity.note_failure(endpoint.name, trio.current_time())
+            self._components.capacity.note_failure(endpoint.name, trio.current_time())
         if isinstance(error, EndpointUnreachableError):
-            self._parts.on_endpoint_problem(endpoint.name, HintKind.UNREACHABLE)
+            self._components.on_endpoint_problem(endpoint.name, HintKind.UNREACHABLE)
 
     def start_upload(self, endpoint: RoutedEndpoint) -> Upload:
         """Start to track the upload of the call's body to an endpoint.
@@ -288,13 +291,13 @@
         Each endpoint that did not read the body in time halves the expected rate, since the slow
         link may be this instance's own.
         """
-        measured = self._parts.capacity.read_rates.read_rate(endpoint.name)
+        measured = self._components.capacity.read_rates.read_rate(endpoint.name)
         rate = measured.bytes_a_second / 2**self._unread_uploads
         return Upload(measured._replace(bytes_a_second=rate))
 
     def update_read_rate(self, endpoint: RoutedEndpoint, upload: Upload, seconds: float) -> None:
         """Update the read rate of an endpoint that answered the call after the given seconds."""
-        self._parts.capacity.read_rates.note_answered(endpoint.name, upload, seconds)
+        self._components.capacity.read_rates.note_answered(endpoint.name, upload, seconds)
 
     def processing_s(self, upload: Upload, began_at: float) -> float | None:
         """Return the time for which an endpoint has been processing the call.
@@ -308,7 +311,7 @@
             process was paused meanwhile.
         """
         now = trio.current_time()
-        if self._parts.capacity.process_pauses.has_paused_since(began_at, now):
+        if self._components.capacity.process_pauses.has_paused_since(began_at, now):
             return None
         return upload.processing_s(began_at, now)
 
@@ -333,7 +336,7 @@
             endpoint=endpoint.name,
             took_ms=int(1000 * seconds),
         )
-        self._parts.on_endpoint_problem(endpoint.name, HintKind.SLOW)
+        self._components.on_endpoint_problem(endpoint.name, HintKind.SLOW)
 
     def note_received(self, now: float) -> None:
         """Record the time of the last received part of the answer."""
@@ -352,11 +355,13 @@
             return True
         now = trio.current_time()
         arrived_at = self.inbound.arrived_at
-        return self._parts.planned_stop.leaves_time(arrived_at, self.deadline, max_duration_s, now)
+        return self._components.planned_stop.leaves_time(
+            arrived_at, self.deadline, max_duration_s, now
+        )
 
     def refuse_for_stop(self, max_duration_s: float) -> Refusal:
         """Refuse a call that has not run; its caller can retry at another instance at once."""
-        stop_left_s = self._parts.planned_stop.ends_at - trio.current_time()
+        stop_left_s = self._components.planned_stop.ends_at - trio.current_time()
         self.log(
             "request refused: it may not end before the planned stop",
             left_s=round(stop_left_s, 3),
@@ -367,7 +372,7 @@
     def log_interrupted_by_stop(self) -> None:
         """Log that the end of a planned stop interrupts the call."""
         now = trio.current_time()
-        stop_age_s = self._parts.planned_stop.age_s(now)
+        stop_age_s = self._components.planned_stop.age_s(now)
         self.log(
             "request interrupted by the end of the planned stop",
             sends=self.send_count,
@@ -378,7 +383,7 @@
 
     def log_rate_limit_wait(self, endpoint: RoutedEndpoint, wait_s: float) -> None:
         """Log that the call waits until an endpoint's rate limit allows it."""
-        limits, now = self._parts.capacity.endpoint_limits, trio.current_time()
+        limits, now = self._components.capacity.endpoint_limits, trio.current_time()
         self.log(
             "waiting for the rate limit of the endpoint",
             endpoint=endpoint.name,
--- a/cleatlink/relay/calls/components.py
+++ b/cleatlink/relay/calls/components.py
@@ -33,13 +33,13 @@
         metrics: Counters and histograms.
         rng: The seeded random generator.
         retry_budget: Returns the retry budget of a service.
-        member_count: Returns the number of instances that may share a retry budget.
+        count_members: Returns the number of instances that may share a retry budget.
         on_reservations_changed: Called with the keys of this instance's reservations that changed.
         on_limit_nearly_used: Called when little is left of an organisation's limit.
         on_endpoint_problem: Called with an endpoint that was slow or unreachable.
         on_rejection: Called with a decode endpoint that rejected a stream, and the tokens that the
             stream needed.
-        crash_watch: Finds out whether an endpoint that interrupted a request has crashed.
+        crash_detector: Finds out whether an endpoint that interrupted a request has crashed.
         quarantine: Requests that are suspected of crashing endpoints.
         spawn: Starts a task that outlives the call that starts it.
     """
@@ -54,11 +54,11 @@
     metrics: RelayMetrics
     rng: random.Random
     retry_budget: Callable[[str], SharedRetryBudget]
-    member_count: Callable[[], int]
+    count_members: Callable[[], int]
     on_reservations_changed: Callable[..., None]
     on_limit_nearly_used: Callable[[], None]
     on_endpoint_problem: Callable[[str, HintKind], None]
     on_rejection: Callable[[str, int], None]
-    crash_watch: CrashDetector
+    crash_detector: CrashDetector
     quarantine: SharedQuarantine
     spawn: Callable[..., None]
--- a/cleatlink/relay/calls/decode_admission.py
+++ b/cleatlink/relay/calls/decode_admission.py
@@ -132,13 +132,13 @@
 class DecodeAdmission:
     """Places streams at decode endpoints, and queues them while there is no capacity."""
 
-    def __init__(self, parts: RelayComponents) -> None:
-        self._parts = parts
+    def __init__(self, components: RelayComponents) -> None:
+        self._components = components
         self._wait_queue = WaitQueue()
-        self._expected_retries = ExpectedRetries(parts.capacity)
+        self._expected_retries = ExpectedRetries(components.capacity)
         self._last_placement_at = -math.inf
         self._is_placement_scheduled = False
-        self._shared_queues = parts.capacity.shared_wait_queues
+        self._shared_queues = components.capacity.shared_wait_queues
         self._shared_queues.set_local_source(lambda: self._wait_queue.groups(trio.current_time()))
 
     @property
@@ -154,7 +154,7 @@
             self._place_waiting_now()
             return
         self._is_placement_scheduled = True
-        self._parts.spawn(self._place_waiting_later)
+        self._components.spawn(self._place_waiting_later)
 
     async def _place_waiting_later(self) -> None:
         await trio.sleep_until(self._last_placement_at + _MIN_PLACEMENT_INTERVAL_S)
@@ -167,14 +167,14 @@
 
     def release(self, key: str) -> None:
         """Release a reservation and try to place the waiting streams."""
-        capacity = self._parts.capacity
+        capacity = self._components.capacity
         released = [
             item for item in (key, key + _PROMPT_KEY_SUFFIX) if item in capacity.own_reservations
         ]
         for item in released:
             capacity.release(item)
         capacity.endpoint_limits.cancel_reservation(key, trio.current_time())
-        self._parts.on_reservations_changed(*released)
+        self._components.on_reservations_changed(*released)
         self.place_waiting()
 
     async def acquire(self, call: Call, *, prompt_ready: bool = False) -> DecodePlacement | Refusal:
@@ -230,7 +230,9 @@
         urgency = call.group_urgency if self._shared_queues.is_in_use else -call.priority
         if prompt_ready:
             urgency = _PROMPT_COMPUTED_URGENCY - call.priority
-        urgency = self._shared_queues.draw_urgency(call.service.name, urgency, self._parts.rng, now)
+        urgency = self._shared_queues.draw_urgency(
+            call.service.name, urgency, self._components.rng, now
+        )
         refused = self._expected_retries.match_retry(call.inbound, now)
         if refused is None:
             return _QueuePosition(urgency, now, prompt_ready, yield_limit=YieldLimit())
@@ -245,9 +247,9 @@
         context = call.placement_context()
         if not position.prompt_ready:
             return plan_prompt(
-                call.inbound, call.route, call.service, self._parts.capacity, context
+                call.inbound, call.route, call.service, self._components.capacity, context
             )
-        start_s = self._parts.capacity.service_times(call.service.name).first_event_s
+        start_s = self._components.capacity.service_times(call.service.name).first_event_s
         age_at_start_s = call.age_s + start_s
         caller_slack_s = min(
             call.route.abandon_after_s - age_at_start_s, call.remaining_s - start_s
@@ -256,7 +258,7 @@
 
     def _max_duration_s(self, call: Call, plan: PromptPlan) -> float:
         """Return the maximum time that a call needs once it has capacity, in seconds."""
-        service_times = self._parts.capacity.service_times(call.service.name)
+        service_times = self._components.capacity.service_times(call.service.name)
         return estimate_longest_stream_s(call.inbound, service_times, plan.ready_s)
 
     @staticmethod
@@ -299,12 +301,14 @@
         Returns:
             Seconds; None if unknown.
         """
-        traits = call.service.engine
-        assert traits is not None, "only engines decode"
-        capacity, now = self._parts.capacity, trio.current_time()
+        engine_properties = call.service.engine
+        assert engine_properties is not None, (
+            "a service with decode endpoints has engine properties"
+        )
+        capacity, now = self._components.capacity, trio.current_time()
         if not capacity.switches.is_enabled(Mechanism.FORECAST):
             return 0.0 if capacity.candidates(call.service.name, Role.DECODE, now) else None
-        forecast = CapacityForecast(call.service.name, traits, capacity, now)
+        forecast = CapacityForecast(call.service.name, engine_properties, capacity, now)
         service_times = capacity.service_times(call.service.name)
         output = estimate_output_tokens(call.inbound, service_times)
         prompt_s = plan.ready_s + _PROMPT_GAP_S if plan.computed_by_decode else 0.0
@@ -330,8 +334,8 @@
         if position.prompt_ready or position.urgency >= _BEGUN_STREAM_URGENCY:
             return NONE_AHEAD
         is_late = plan.slack_s < position.refused_ago_s
-        due = compute_effective_arrival(position.arrived_at, position.urgency)
-        queued = QueuedStream(call.service.name, due, is_late)
+        effective_arrival = compute_effective_arrival(position.arrived_at, position.urgency)
+        queued = QueuedStream(call.service.name, effective_arrival, is_late)
         return self._shared_queues.queued_ahead(queued, trio.current_time())
 
     async def _wait_for_capacity(
@@ -349,14 +353,14 @@
             The reservation; None if the wait ended without one.
         """
         expected_at = trio.current_time() + expected_wait_s
-        found: list[DecodePlacement] = []
+        placements: list[DecodePlacement] = []
         done = trio.Event()
 
         def attempt() -> bool:
             placement = self._try_to_place(call, position, is_retry=True)
             if placement is None:
                 return False
-            found.append(placement)
+            placements.append(placement)
             done.set()
             return True
 
@@ -382,23 +386,25 @@
             with trio.move_on_after(max(0.0, min(wait_s, call.remaining_s))):
                 await done.wait()
         except trio.Cancelled:
-            for placement in found:
+            for placement in placements:
                 self.release(placement.key)
             raise
         finally:
             self._wait_queue.remove(ticket)
             self._shared_queues.notify_change()
-        if not found:
+        if not placements:
             return None
-        self._parts.metrics.observe_capacity_wait(trio.current_time() - began_at)
-        return found[0]
+        self._components.metrics.observe_capacity_wait(trio.current_time() - began_at)
+        return placements[0]
 
     def _try_to_place(
         self, call: Call, position: _QueuePosition, *, is_retry: bool
     ) -> DecodePlacement | None:
-        traits = call.service.engine
-        assert traits is not None, "only engines decode"
-        capacity = self._parts.capacity
+        engine_properties = call.service.engine
+        assert engine_properties is not None, (
+            "a service with decode endpoints has engine properties"
+        )
+        capacity = self._components.capacity
         plan = self._plan_prompt(call, position)
         service_times = capacity.service_times(call.service.name)
         if call.find_send_refusal() is not None or not call.can_end_before_stop(
@@ -423,7 +429,7 @@
         capacity.reserve(key, reservation)
         permit = self._reserve_send_time(endpoint, key, now)
         capacity.count_demand(reservation, now)
-        self._parts.on_reservations_changed(key)
+        self._components.on_reservations_changed(key)
         if plan.computed_by_decode:
             prompt_s = plan.ready_s / speed
             self._reserve_prompt(call, endpoint, key, now + prompt_s, prompt_s)
@@ -438,7 +444,7 @@
             computes_prompt=plan.computed_by_decode,
             is_far=endpoint.data_centre != context.data_centre,
         )
-        self._parts.metrics.count_stream_placement(
+        self._components.metrics.count_stream_placement(
             is_other_data_centre=endpoint.data_centre != context.data_centre
         )
         prompt_start_at = permit.due_at - ready_in_s
@@ -462,26 +468,28 @@
         is_retry: bool,
     ) -> _Candidate | None:
         """Return the endpoint that has capacity for a call now, and the capacity that it needs."""
-        traits = call.service.engine
-        assert traits is not None, "only engines decode"
-        capacity = self._parts.capacity
+        engine_properties = call.service.engine
+        assert engine_properties is not None, (
+            "a service with decode endpoints has engine properties"
+        )
+        capacity = self._components.capacity
         service_times = capacity.service_times(call.service.name)
         output = estimate_output_tokens(call.inbound, service_times)
         duration_s = service_times.stream_duration_s(output) + plan.ready_s
         prefill_s = 0.0 if plan.computed_by_decode else plan.ready_s
         size = StreamSize(call.inbound.prompt_tokens, output, duration_s, prefill_s)
         ready_in_s = 0.0 if plan.computed_by_decode else plan.ready_s
-        spare_s = max(0.0, plan.slack_s - position.refused_ago_s)
+        slack_s = max(0.0, plan.slack_s - position.refused_ago_s)
         endpoint = choose_decode(
             call.service.name,
             size,
-            traits,
+            engine_properties,
             capacity,
             context,
             computes_prompt=plan.computed_by_decode,
             requires_spare_capacity=self._must_yield(plan, position),
-            send_time=SendTime(ready_in_s, ready_in_s + spare_s, is_retry),
-            prompt_wait_shares=self._prompt_waits_s(call, plan, position, context),
+            send_time=SendTime(ready_in_s, ready_in_s + slack_s, is_retry),
+            prompt_wait_shares=self._prompt_wait_shares(call, plan, position, context),
         )
         if endpoint is None:
             if position.yield_limit is not None:
@@ -494,11 +502,11 @@
             else None
         )
 
-    def _prompt_waits_s(
+    def _prompt_wait_shares(
         self, call: Call, plan: PromptPlan, position: _QueuePosition, context: PlacementContext
     ) -> Mapping[str, float]:
-        """Return the prefill wait, in seconds, by the data centre of the decode endpoint."""
-        capacity, service = self._parts.capacity, call.service.name
+        """Return the prefill wait, as a share of the target, by the decode's data centre."""
+        capacity, service = self._components.capacity, call.service.name
         spill_over = capacity.spill_over
         if not spill_over.is_in_use or plan.computed_by_decode or position.prompt_ready:
             return NO_PROMPT_WAITS
@@ -521,23 +529,30 @@
         limit, ahead = position.yield_limit, self._queued_elsewhere(call, plan, position)
         if limit is None or not ahead.streams:
             return True
-        traits = call.service.engine
-        assert traits is not None, "only engines decode"
+        engine_properties = call.service.engine
+        assert engine_properties is not None, (
+            "a service with decode endpoints has engine properties"
+        )
         own = candidate.size.make_reservation(candidate.endpoint.name, context.now)
-        places = count_fitting_streams(
-            call.service.name, ahead.tokens, traits, self._parts.capacity, context, placed_first=own
+        fitting_count = count_fitting_streams(
+            call.service.name,
+            ahead.tokens,
+            engine_properties,
+            self._components.capacity,
+            context,
+            placed_first=own,
         )
         yield_count = limit.yield_count
-        may_take = limit.may_take(ahead, places, context.now)
+        may_take = limit.may_take(ahead, fitting_count, context.now)
         if not may_take and limit.yield_count > yield_count == 0:
             call.log(
                 "capacity left to streams queued ahead at other instances",
                 urgency=position.urgency,
                 ahead=ahead.streams,
-                places=places,
+                places=fitting_count,
                 spare_s=round(plan.slack_s, 3),
             )
-            self._parts.metrics.count_yielded_capacity()
+            self._components.metrics.count_yielded_capacity()
         return may_take
 
     def has_capacity_elsewhere(
@@ -553,9 +568,9 @@
         return self._find_candidate(call, plan, position, context, is_retry=False) is not None
 
     def _reserve_send_time(self, endpoint: RoutedEndpoint, key: str, now: float) -> SendPermit:
-        limits = self._parts.capacity.endpoint_limits
-        compute_effective_arrival = limits.reserve(key, endpoint.name, now)
-        return SendPermit(now, compute_effective_arrival, limits.taken_by_peers(endpoint.name))
+        limits = self._components.capacity.endpoint_limits
+        due_at = limits.reserve(key, endpoint.name, now)
+        return SendPermit(now, due_at, limits.taken_by_peers(endpoint.name))
 
     def _reserve_prompt(
         self, call: Call, endpoint: RoutedEndpoint, key: str, ends_at: float, duration_s: float
@@ -563,13 +578,13 @@
         """Reserve the prompt at its decode endpoint, which computes one prompt at a time."""
         tokens = call.inbound.prompt_tokens
         reservation = Reservation(endpoint.name, Role.PREFILL, tokens, ends_at, duration_s)
-        self._parts.capacity.reserve(key + _PROMPT_KEY_SUFFIX, reservation)
-        self._parts.on_reservations_changed(key + _PROMPT_KEY_SUFFIX)
+        self._components.capacity.reserve(key + _PROMPT_KEY_SUFFIX, reservation)
+        self._components.on_reservations_changed(key + _PROMPT_KEY_SUFFIX)
 
     def note_prompt_computed(self, key: str) -> None:
         """Release the prompt reservation of a decode endpoint that computed the prompt itself."""
-        if key + _PROMPT_KEY_SUFFIX in self._parts.capacity.own_reservations:
-            self._parts.spawn(self._release_prompt, key + _PROMPT_KEY_SUFFIX)
+        if key + _PROMPT_KEY_SUFFIX in self._components.capacity.own_reservations:
+            self._components.spawn(self._release_prompt, key + _PROMPT_KEY_SUFFIX)
 
     async def _release_prompt(self, key: str) -> None:
         await trio.sleep(_PROMPT_GAP_S)
@@ -585,7 +600,7 @@
         retry_s = min(
             max(_MIN_RETRY_DELAY_S, retry_s), call.route.max_retry_after_share * call.remaining_s
         )
-        if not position.refused_ago_s and self._parts.capacity.switches.is_enabled(
+        if not position.refused_ago_s and self._components.capacity.switches.is_enabled(
             Mechanism.RETURNS
         ):
             self._expect_retry(call, retry_s)
@@ -602,7 +617,7 @@
 
     def _final_tokens(self, call: Call) -> int:
         """Return the memory that the stream is expected to use at its end, in tokens."""
-        service_times = self._parts.capacity.service_times(call.service.name)
+        service_times = self._components.capacity.service_times(call.service.name)
         return call.inbound.prompt_tokens + estimate_output_tokens(call.inbound, service_times)
 
     def _expect_retry(self, call: Call, retry_s: float) -> None:
@@ -612,11 +627,11 @@
         key = self._expected_retries.expect_retry(
             call.inbound, service, self._final_tokens(call), now + retry_s, now
         )
-        self._parts.on_reservations_changed(key)
+        self._components.on_reservations_changed(key)
 
     def run_maintenance(self) -> None:
         """Remove expired expected retries, and try to place the waiting streams."""
-        self._parts.on_reservations_changed(
+        self._components.on_reservations_changed(
             *self._expected_retries.release_expired(trio.current_time())
         )
         self.place_waiting()
--- a/cleatlink/relay/calls/decode_target.py
+++ b/cleatlink/relay/calls/decode_target.py
@@ -40,7 +40,7 @@
         self,
         call: Call,
         admission: DecodeAdmission,
-        parts: RelayComponents,
+        components: RelayComponents,
         *,
         prompt_was_computed: bool = False,
     ) -> None:
@@ -49,14 +49,14 @@
         Args:
             call: The call.
             admission: Reserves capacity at decode endpoints.
-            parts: Components that all calls share.
+            components: Components that all calls share.
             prompt_was_computed: Whether the prompt was computed for another target before.
         """
-        self.prefill = Prefill(call, parts, prompt_was_computed=prompt_was_computed)
-        self.reservation = EndpointReservation(call, parts)
+        self.prefill = Prefill(call, components, prompt_was_computed=prompt_was_computed)
+        self.reservation = EndpointReservation(call, components)
         self._call = call
         self._admission = admission
-        self._parts = parts
+        self._components = components
         self._placement: DecodePlacement | None = None
         self._connection: EndpointConnection | None = None
         self._is_authorized = False
@@ -123,35 +123,35 @@
         """Connect to the endpoint first, so that no prompt is computed for an unreachable one."""
         self._close_connection()
         try:
-            self._connection = await self._parts.pool.acquire(
+            self._connection = await self._components.pool.acquire(
                 self.endpoint, UNREPEATABLE_IDLE_LIMIT_S
             )
         except EndpointUnreachableError as error:
             self._call.note_failure(self.endpoint, error)
-            self.leave_and_exclude()
+            self.release_and_exclude()
             return False
         return True
 
     async def _reserve_at_endpoint(self) -> bool:
         """Reserve capacity at the endpoint itself; return whether the stream may be sent there."""
-        assert self._connection is not None, "the endpoint was reached"
+        assert self._connection is not None, "the endpoint is connected"
         outcome = await self.reservation.request(
             self.endpoint, self._connection, self.placement.output_tokens
         )
         if outcome is ReservationOutcome.FULL:
             # The connection stays in the pool, since the endpoint may have capacity again soon.
-            self._parts.pool.return_unused(self.endpoint, self._connection)
+            self._components.pool.return_unused(self.endpoint, self._connection)
             self._connection = None
             self._handle_rejection()
         elif outcome is ReservationOutcome.RESERVED:
-            self._parts.capacity.note_stream_accepted(self.endpoint.name)
+            self._components.capacity.note_stream_accepted(self.endpoint.name)
         elif outcome is ReservationOutcome.FAILED:
-            self.leave_and_exclude()
+            self.release_and_exclude()
         return outcome in (ReservationOutcome.RESERVED, ReservationOutcome.NOT_OFFERED)
 
     def _handle_rejection(self) -> None:
         """Release the reservation at a full endpoint, and lower its assumed capacity."""
-        capacity, placement = self._parts.capacity, self.placement
+        capacity, placement = self._components.capacity, self.placement
         tokens = (
             capacity.own_reservations[placement.key].tokens
             if placement.key in capacity.own_reservations
@@ -161,7 +161,7 @@
         if tokens and capacity.note_memory_refusal(
             placement.endpoint.name, tokens, trio.current_time()
         ):
-            self._parts.on_rejection(placement.endpoint.name, tokens)
+            self._components.on_rejection(placement.endpoint.name, tokens)
 
     async def wait_for_rate_limit(self) -> bool:
         """Wait until the endpoint's rate limit allows the stream; return whether it may be sent.
@@ -170,7 +170,7 @@
         capacity, do not know of each other's streams yet. Where many have done so, each stream
         is sent with a probability of one in their number, so that one is sent on average.
         """
-        name, limits = self.endpoint.name, self._parts.capacity.endpoint_limits
+        name, limits = self.endpoint.name, self._components.capacity.endpoint_limits
         if limits.rate_per_s(name) is None:
             return True
         now = trio.current_time()
@@ -185,10 +185,13 @@
             await trio.sleep_until(due_at)
         if self._is_sent or permit.due_at > permit.reserved_at + _PROPAGATION_S:
             return True
-        concurrent = limits.taken_by_peers(name) - permit.taken_by_peers
-        return concurrent < _MANY_CONCURRENT or self._parts.rng.random() * (1 + concurrent) < 1
+        concurrent_count = limits.taken_by_peers(name) - permit.taken_by_peers
+        return (
+            concurrent_count < _MANY_CONCURRENT
+            or self._components.rng.random() * (1 + concurrent_count) < 1
+        )
 
-    def leave_and_exclude(self) -> None:
+    def release_and_exclude(self) -> None:
         """Release the endpoint and exclude it from further sends; keep a valid prefill handle."""
         self._call.excluded.add(self.endpoint.name)
         self.release()
@@ -199,9 +202,9 @@
         if not self.prefill.has_valid_handle():
             self.prefill.discard_handle("expired")
 
-    def close(self, handle_fate: str = "unused") -> None:
+    def close(self, handle_outcome: str = "unused") -> None:
         """Release all resources."""
-        self.prefill.discard_handle(handle_fate)
+        self.prefill.discard_handle(handle_outcome)
         self.reservation.cancel()
         self._close_connection()
         self._release_placement()
@@ -212,10 +215,10 @@
         This is the maximum before the prompt is computed, and the expected time after that: a
         stream whose prompt is computed is refused only if it is not expected to end in time.
         """
-        service_times = self._parts.capacity.service_times(self._call.service.name)
+        service_times = self._components.capacity.service_times(self._call.service.name)
         if self.prefill.source is None:
             return estimate_longest_stream_s(self._call.inbound, service_times)
-        speed = self._parts.capacity.relative_speed(self.endpoint.name, trio.current_time())
+        speed = self._components.capacity.relative_speed(self.endpoint.name, trio.current_time())
         return (
             service_times.stream_duration_s(
                 estimate_output_tokens(self._call.inbound, service_times)
--- a/cleatlink/relay/calls/endpoint_reservation.py
+++ b/cleatlink/relay/calls/endpoint_reservation.py
@@ -50,27 +50,27 @@
 class EndpointReservation:
     """The reservation of one stream at an endpoint."""
 
-    def __init__(self, call: Call, parts: RelayComponents) -> None:
+    def __init__(self, call: Call, components: RelayComponents) -> None:
         self._call = call
-        self._parts = parts
+        self._components = components
         self._endpoint: RoutedEndpoint | None = None
-        self._name = ""
+        self._reservation_id = ""
         self._valid_until = 0.0
 
-    def use(self, endpoint: RoutedEndpoint) -> str:
-        """Return the name of the reservation and forget it; empty if there is no valid one."""
+    def consume_id(self, endpoint: RoutedEndpoint) -> str:
+        """Return the reservation's id for its only use; empty if there is no valid reservation."""
         if self._endpoint is None or self._endpoint.name != endpoint.name:
             return ""
-        name, self._endpoint = self._name, None
-        return name if trio.current_time() < self._valid_until else ""
+        reservation_id, self._endpoint = self._reservation_id, None
+        return reservation_id if trio.current_time() < self._valid_until else ""
 
     def cancel(self) -> None:
         """Cancel the reservation if it was not used."""
         endpoint, self._endpoint = self._endpoint, None
-        if endpoint is None or self._parts.capacity.is_superseded(endpoint):
+        if endpoint is None or self._components.capacity.is_superseded(endpoint):
             return
         if trio.current_time() < self._valid_until:
-            self._parts.spawn(self._cancel, endpoint, self._name)
+            self._components.spawn(self._cancel, endpoint, self._reservation_id)
 
     async def request(
         self, endpoint: RoutedEndpoint, connection: EndpointConnection, output_tokens: int
@@ -82,16 +82,18 @@
             connection: A connection to it.
             output_tokens: Estimated length of the answer, in tokens.
         """
-        traits = self._call.service.engine
-        is_enabled = self._parts.capacity.switches.is_enabled(Mechanism.HOLDS)
-        if traits is None or not traits.hold_s or not is_enabled:
+        engine_properties = self._call.service.engine
+        is_enabled = self._components.capacity.switches.is_enabled(Mechanism.HOLDS)
+        if engine_properties is None or not engine_properties.hold_s or not is_enabled:
             return ReservationOutcome.NOT_OFFERED
-        if self._parts.capacity.endpoint_limits.rate_per_s(endpoint.name) is not None:
+        if self._components.capacity.endpoint_limits.rate_per_s(endpoint.name) is not None:
             # A reservation request would count against the endpoint's rate limit like the stream.
             return ReservationOutcome.NOT_OFFERED
         self.cancel()
         tokens = self._call.inbound.prompt_tokens + int(_OUTPUT_SHARE * output_tokens)
-        request = self._parts.protocol.make_reservation_request(endpoint, tokens, traits.hold_s)
+        request = self._components.protocol.make_reservation_request(
+            endpoint, tokens, engine_properties.hold_s
+        )
         began_at = trio.current_time()
         try:
             with trio.fail_after(_TIMEOUT_S):
@@ -102,7 +104,7 @@
             return ReservationOutcome.FAILED
         connection.end_exchange(trio.current_time())
         outcome = self._handle_reply(endpoint, Response(head, body))
-        self._valid_until = began_at + _USABLE_SHARE * traits.hold_s
+        self._valid_until = began_at + _USABLE_SHARE * engine_properties.hold_s
         self._call.log(
             "reservation requested at the endpoint",
             endpoint=endpoint.name,
@@ -114,7 +116,7 @@
 
     def _handle_reply(self, endpoint: RoutedEndpoint, reply: Response) -> ReservationOutcome:
         status = reply.head.status
-        capacity = self._parts.capacity
+        capacity = self._components.capacity
         if status == MISDIRECTED_REQUEST:
             capacity.note_address_mismatch(endpoint.name)
             return ReservationOutcome.FAILED
@@ -124,25 +126,27 @@
         if status != 200:
             return ReservationOutcome.NOT_OFFERED
         try:
-            field = self._parts.protocol.paths.reservation_fields.reservation_id
-            self._name = str(msgspec.json.decode(reply.body)[field])
+            field = self._components.protocol.paths.reservation_fields.reservation_id
+            self._reservation_id = str(msgspec.json.decode(reply.body)[field])
         except (msgspec.MsgspecError, KeyError, TypeError):
             return ReservationOutcome.NOT_OFFERED
         self._endpoint = endpoint
         capacity.note_free_capacity(endpoint.name)
         return ReservationOutcome.RESERVED
 
-    async def _cancel(self, endpoint: RoutedEndpoint, name: str) -> None:
+    async def _cancel(self, endpoint: RoutedEndpoint, reservation_id: str) -> None:
         """Cancel a reservation at an endpoint; if the request fails, the reservation expires."""
-        parts = self._parts
-        path = parts.protocol.paths.delete_reservation.format(name)
+        components = self._components
+        path = components.protocol.paths.delete_reservation.format(reservation_id)
 
         def make_request() -> OutgoingRequest:
-            return parts.protocol.make_relay_request(b"DELETE", path, endpoint)
+            return components.protocol.make_relay_request(b"DELETE", path, endpoint)
 
         try:
-            async with rate_limit_permit(parts.capacity, endpoint, f"free/{name}"):
+            async with rate_limit_permit(components.capacity, endpoint, f"free/{reservation_id}"):
                 with trio.fail_after(_TIMEOUT_S):
-                    await parts.pool.call(endpoint, IDLE_LIMIT_S, make_request, _MAX_REPLY_BYTES)
+                    await components.pool.call(
+                        endpoint, IDLE_LIMIT_S, make_request, _MAX_REPLY_BYTES
+                    )
         except (EndpointError, trio.TooSlowError):
             return
--- a/cleatlink/relay/calls/endpoint_reservation_test.py
+++ b/cleatlink/relay/calls/endpoint_reservation_test.py
@@ -60,7 +60,7 @@
         began_at = trio.current_time()
         reply = await fleet.caller().ask("/stream/x", "POST", body=b"p", headers=STREAM)
         assert (reply.status, "retry-after" in reply.headers) == (503, True)
-        # Few requests in vain: the back-off of a full endpoint grows with each rejection.
+        # Few requests are rejected: the back-off of a full endpoint grows with each rejection.
         assert trio.current_time() - began_at < 1.5
         assert prefill.arrivals == []
         assert 2 <= first.refused_holds + second.refused_holds <= 8
--- a/cleatlink/relay/calls/event_parser.py
+++ b/cleatlink/relay/calls/event_parser.py
@@ -10,7 +10,7 @@
 
 
 class StreamEvent(NamedTuple):
-    """One event as received, with its number if its id is one."""
+    """One event as received, with its number if its id is a number."""
 
     data: bytes
     number: int | None
@@ -19,9 +19,9 @@
 class EventParser:
     """Parses complete events, and returns each event number once and in ascending order."""
 
-    def __init__(self, last: int | None) -> None:
+    def __init__(self, last_number: int | None) -> None:
         self._buffer = b""
-        self.last_number = last
+        self.last_number = last_number
 
     @property
     def has_partial_event(self) -> bool:
--- a/cleatlink/relay/calls/plain.py
+++ b/cleatlink/relay/calls/plain.py
@@ -49,10 +49,12 @@
 class PlainCall:
     """One plain call and its attempts at endpoints."""
 
-    def __init__(self, call: Call, gate: PlainCallAdmission, parts: RelayComponents) -> None:
+    def __init__(
+        self, call: Call, admission: PlainCallAdmission, components: RelayComponents
+    ) -> None:
         self._call = call
-        self._gate = gate
-        self._parts = parts
+        self._admission = admission
+        self._components = components
         self._error_answer: Response | None = None
         self._next_endpoint: RoutedEndpoint | None = None
         # When the current endpoint last sent a byte, or was sent the call if it sent none.
@@ -70,9 +72,9 @@
                 return call_refusal
             endpoint, self._next_endpoint = self._next_endpoint, None
             if endpoint is None:
-                gate_refusal = await self._gate.wait_for_admission(call)
-                if gate_refusal is not None:
-                    return self._final_answer(gate_refusal)
+                admission_refusal = await self._admission.wait_for_admission(call)
+                if admission_refusal is not None:
+                    return self._final_answer(admission_refusal)
                 endpoint = self._select_endpoint()
                 if endpoint is None or not call.may_send(endpoint):
                     return self._give_up("no endpoint may be tried")
@@ -101,7 +103,7 @@
         A call that waits for longer misses its target, and makes the calls queued behind it miss
         theirs.
         """
-        call, capacity = self._call, self._parts.capacity
+        call, capacity = self._call, self._components.capacity
         service = call.service.name
         endpoint = choose_plain(service, capacity, call.placement_context())
         if endpoint is not None:
@@ -117,7 +119,7 @@
         Returns:
             Whether the endpoint still accepts calls after the wait.
         """
-        call, capacity = self._call, self._parts.capacity
+        call, capacity = self._call, self._components.capacity
         now = trio.current_time()
         due_at = capacity.endpoint_limits.reserve(key, endpoint.name, now)
         if due_at <= now:
@@ -135,12 +137,12 @@
         Returns:
             The answer; None if another endpoint is to be tried.
         """
-        call, parts = self._call, self._parts
+        call, components = self._call, self._components
         key = f"{call.inbound.request_id}/{call.send_count}"
         ends_at = trio.current_time() + _RESERVATION_S
         reservation = Reservation(endpoint.name, Role.PLAIN, 0, ends_at, suspicion=call.suspicion)
-        parts.capacity.reserve(key, reservation)
-        plain_load, outcome = parts.capacity.plain_load, CallOutcome.NO_ANSWER
+        components.capacity.reserve(key, reservation)
+        plain_load, outcome = components.capacity.plain_load, CallOutcome.NO_ANSWER
         started_at = None
         try:
             if not await self._wait_for_rate_limit(endpoint, key):
@@ -154,11 +156,11 @@
                 lambda scope: self._cancel_when_silent(endpoint, scope),
             )
             if answer is not None:
-                not_run = parts.protocol.reports_not_executed(answer.head)
+                not_run = components.protocol.reports_not_executed(answer.head)
                 outcome = CallOutcome.REFUSED if not_run else CallOutcome.COMPLETED
         finally:
-            parts.capacity.release(key)
-            parts.capacity.endpoint_limits.cancel_reservation(key, trio.current_time())
+            components.capacity.release(key)
+            components.capacity.endpoint_limits.cancel_reservation(key, trio.current_time())
             if started_at is not None:
                 plain_load.call_ended(endpoint.name, outcome, trio.current_time())
         if answer is None:
@@ -176,16 +178,16 @@
         slow link made endpoints look slow, and a silent endpoint was abandoned after 0.72 s instead
         of 0.16 s.
         """
-        capacity = self._parts.capacity
-        times = capacity.service_times(self._call.service.name)
+        capacity = self._components.capacity
+        service_times = capacity.service_times(self._call.service.name)
         duration_s = self._call.processing_s(self._upload, started_at)
         if duration_s is None:
             return
         now = trio.current_time()
         capacity.note_duration(
-            endpoint.name, SpeedSampleKind.PLAIN, duration_s, times.plain_call_s, now
+            endpoint.name, SpeedSampleKind.PLAIN, duration_s, service_times.plain_call_s, now
         )
-        times.note_plain_call(duration_s)
+        service_times.note_plain_call(duration_s)
 
     async def _cancel_when_silent(self, endpoint: RoutedEndpoint, scope: trio.CancelScope) -> None:
         """Cancel the exchange with an endpoint that is silent for too long, to retry elsewhere.
@@ -194,18 +196,18 @@
         endpoint may still answer.
         """
         call = self._call
-        is_enabled = self._parts.capacity.switches.is_enabled(Mechanism.PATIENCE)
+        is_enabled = self._components.capacity.switches.is_enabled(Mechanism.PATIENCE)
         if not call.repeatable or not is_enabled:
             return
         while True:
             await self._wait_for_silence()
             call.excluded.add(endpoint.name)
             other_endpoint = choose_plain(
-                call.service.name, self._parts.capacity, call.placement_context()
+                call.service.name, self._components.capacity, call.placement_context()
             )
             if other_endpoint is None or not call.may_send(other_endpoint):
                 continue
-            if self._gate.has_free_capacity(call) and call.take_retry("plain"):
+            if self._admission.has_free_capacity(call) and call.take_retry("plain"):
                 self._next_endpoint = other_endpoint
                 call.note_silent(endpoint, self._upload, trio.current_time() - self._silent_since)
                 scope.cancel()
@@ -213,7 +215,7 @@
 
     @property
     def _silent_since(self) -> float:
-        """When the endpoint was sent the call, sent its last byte or should have read the body."""
+        """Latest time when the endpoint got the call, sent a byte or should have read the body."""
         return max(self._received_at, self._upload.read_by)
 
     async def _wait_for_silence(self) -> None:
@@ -240,20 +242,22 @@
         but at most half of the time that is left, so that another endpoint can still answer.
         """
         call = self._call
-        usual_s = self._parts.capacity.service_times(call.service.name).plain_call_s
+        usual_s = self._components.capacity.service_times(call.service.name).plain_call_s
         if not usual_s:
             return max(_MIN_SILENCE_TIMEOUT_S, min(call.route.target_s, call.remaining_s / 2))
         return max(_MIN_SILENCE_TIMEOUT_S, _SILENCE_TIMEOUT_FACTOR * usual_s)
 
     async def _exchange(self, endpoint: RoutedEndpoint) -> Response:
-        call, parts = self._call, self._parts
+        call, components = self._call, self._components
         max_idle_s = IDLE_LIMIT_S if call.repeatable else UNREPEATABLE_IDLE_LIMIT_S
 
         def make_request() -> OutgoingRequest:
             call.note_sent(endpoint)
-            return parts.protocol.make_forwarded_request(call.inbound, endpoint, call.remaining_s)
+            return components.protocol.make_forwarded_request(
+                call.inbound, endpoint, call.remaining_s
+            )
 
-        return await parts.pool.call(
+        return await components.pool.call(
             endpoint,
             max_idle_s,
             make_request,
@@ -271,14 +275,14 @@
         Raises:
             OutcomeUnknownError: It belongs to another request or is not signed.
         """
-        call, parts = self._call, self._parts
+        call, components = self._call, self._components
         head = answer.head
-        if parts.protocol.reports_not_executed(head):
+        if components.protocol.reports_not_executed(head):
             self._note_refusal(endpoint, head)
             return None
-        if not parts.protocol.belongs(head, call.inbound):
+        if not components.protocol.belongs(head, call.inbound):
             raise OutcomeUnknownError("the answer belongs to another request")
-        if head.status < 300 and not parts.protocol.has_signature(head):
+        if head.status < 300 and not components.protocol.has_signature(head):
             raise OutcomeUnknownError("the answer has no signature")
         call.ran = ExecutionStatus.YES
         call.note_completed()
@@ -291,8 +295,8 @@
             self._error_answer = answer
             call.excluded.add(endpoint.name)
             return None
-        parts.capacity.note_success(endpoint.name, trio.current_time())
-        parts.capacity.note_free_capacity(endpoint.name)
+        components.capacity.note_success(endpoint.name, trio.current_time())
+        components.capacity.note_free_capacity(endpoint.name)
         return answer
 
     def _note_refusal(self, endpoint: RoutedEndpoint, head: ResponseHead) -> None:
@@ -324,7 +328,7 @@
 
     def _log_limits(self, retry_after_s: float | None) -> None:
         """Log the rate limits that the service's endpoints announced, if there are any."""
-        capacity, now = self._parts.capacity, trio.current_time()
+        capacity, now = self._components.capacity, trio.current_time()
         limits = capacity.endpoint_limits
         names = [item.name for item in capacity.in_role(self._call.service.name, Role.PLAIN)]
         levels = {
@@ -345,8 +349,8 @@
     def _retry_delay_s(self) -> float | None:
         """Return the seconds until an endpoint accepts calls again; None if all are draining."""
         now = trio.current_time()
-        capacity, service = self._parts.capacity, self._call.service.name
-        opens_in_s = capacity.accepts_work_in_s(service, Role.PLAIN, now)
-        if opens_in_s is None:
+        capacity, service = self._components.capacity, self._call.service.name
+        unavailable_s = capacity.accepts_work_in_s(service, Role.PLAIN, now)
+        if unavailable_s is None:
             return None
-        return max(self._gate.retry_delay_s(self._call, _RETRY_AFTER_S), opens_in_s)
+        return max(self._admission.retry_delay_s(self._call, _RETRY_AFTER_S), unavailable_s)
--- a/cleatlink/relay/calls/plain_call_admission.py
+++ b/cleatlink/relay/calls/plain_call_admission.py
@@ -60,14 +60,14 @@
 class PlainCallAdmission:
     """Admission control of one instance's plain calls."""
 
-    def __init__(self, parts: RelayComponents) -> None:
-        self._parts = parts
-        self._policy = PlainAdmissionPolicy(parts.capacity, parts.rng)
+    def __init__(self, components: RelayComponents) -> None:
+        self._components = components
+        self._policy = PlainAdmissionPolicy(components.capacity, components.rng)
         self._queues: dict[str, _ServiceQueue] = {}
 
     @property
     def _is_enabled(self) -> bool:
-        return self._parts.capacity.switches.is_enabled(Mechanism.PLAIN_ADMISSION)
+        return self._components.capacity.switches.is_enabled(Mechanism.PLAIN_ADMISSION)
 
     async def wait_for_admission(self, call: Call) -> Refusal | None:
         """Wait until a call is admitted or refused.
@@ -98,7 +98,7 @@
             not queued_call.decided.is_set() and self.has_free_capacity(call)
         ):
             waited_s = trio.current_time() - started_at
-            self._parts.metrics.count_plain_admission("waited" if waited_s else "passed")
+            self._components.metrics.count_plain_admission("waited" if waited_s else "passed")
             return None
         return self._refuse(call, assessment)
 
@@ -108,23 +108,23 @@
             return True
         return self._policy.service_load(call.service.name, trio.current_time()).has_free_capacity
 
-    def retry_delay_s(self, call: Call, usual_s: float) -> float:
+    def retry_delay_s(self, call: Call, default_s: float) -> float:
         """Return the Retry-After time for a call that endpoints refused.
 
         With admission control it is random, so that the callers don't all retry at the same moment.
 
         Args:
             call: The refused call.
-            usual_s: The time to return if admission control is off.
+            default_s: The time to return if admission control is off.
         """
         if not self._is_enabled:
-            return usual_s
+            return default_s
         max_delay_s = call.route.max_retry_after_share * call.remaining_s
-        return retry_after_s(max_delay_s, self._parts.rng.random())
+        return retry_after_s(max_delay_s, self._components.rng.random())
 
     def _admission_request(self, call: Call) -> AdmissionRequest:
         """Describe a call; its identity is computed only if refused calls are expected back."""
-        identity = call.identity if len(self._parts.capacity.expected_plain_retries) else b""
+        identity = call.identity if len(self._components.capacity.expected_plain_retries) else b""
         return AdmissionRequest(call.service.name, call.priority, identity, call.send_count > 0)
 
     def _max_wait_s(self, call: Call) -> float:
@@ -134,16 +134,16 @@
     def _should_wait(self, call: Call, ticket: Ticket, assessment: CallAssessment) -> bool:
         """Check whether a call is likely to be admitted before its maximum wait ends."""
         service = call.service.name
-        if self._opens_in_s(call) > self._max_wait_s(call):
+        if self._unavailable_s(call) > self._max_wait_s(call):
             return False
         expected = self._policy.expected_admissions(
             assessment, service, self._max_wait_s(call), trio.current_time()
         )
         return self._policy.queue(service).is_likely_admitted(ticket, expected)
 
-    def _opens_in_s(self, call: Call) -> float:
-        """Return the seconds until an endpoint that is in back-off or rate limited takes calls."""
-        capacity, now = self._parts.capacity, trio.current_time()
+    def _unavailable_s(self, call: Call) -> float:
+        """Return the seconds until an endpoint accepts calls, after a back-off or rate limit."""
+        capacity, now = self._components.capacity, trio.current_time()
         return capacity.accepts_work_in_s(call.service.name, Role.PLAIN, now) or 0.0
 
     def _remove(self, service_queue: _ServiceQueue, ticket: Ticket) -> None:
@@ -158,11 +158,11 @@
 
     def _refuse(self, call: Call, assessment: CallAssessment) -> Refusal:
         """Refuse a call, and expect its caller back after the Retry-After time."""
-        parts, now = self._parts, trio.current_time()
-        delay_s = max(self.retry_delay_s(call, 0.0), self._opens_in_s(call))
-        parts.capacity.expected_plain_retries.note_own_refusal(call.identity, now + delay_s)
-        parts.metrics.count_plain_admission("refused")
-        heard_ago_s = parts.capacity.plain_load.newest_message_age_s(now)
+        components, now = self._components, trio.current_time()
+        delay_s = max(self.retry_delay_s(call, 0.0), self._unavailable_s(call))
+        components.capacity.expected_plain_retries.note_own_refusal(call.identity, now + delay_s)
+        components.metrics.count_plain_admission("refused")
+        message_age_s = components.capacity.plain_load.newest_message_age_s(now)
         call.log(
             "was denied admission; the service is overloaded",
             rank=assessment.rank,
@@ -170,7 +170,7 @@
             fill=round(assessment.service_load.fill, 2),
             bears_per_s=round(assessment.service_load.sustainable_per_s, 1),
             waiting=len(self._service_queue(call.service.name).queue),
-            heard_ago_s=None if heard_ago_s is None else round(heard_ago_s, 3),
+            heard_ago_s=None if message_age_s is None else round(message_age_s, 3),
             retry_after_s=round(delay_s, 3),
         )
         return Refusal(ErrorKind.NO_ROOM, "the service's endpoints are full", delay_s)
--- a/cleatlink/relay/calls/plain_call_admission_test.py
+++ b/cleatlink/relay/calls/plain_call_admission_test.py
@@ -82,7 +82,7 @@
 
 async def test_update_message_is_small_and_contains_only_changes() -> None:
     capacity = Capacity(now=trio.current_time())
-    updates = PlainCallChannel("front-a-1", 1, capacity)
+    channel = PlainCallChannel("front-a-1", 1, capacity)
     for number in range(30):
         now = trio.current_time()
         incarnation = f"i-{number:010x}"
@@ -90,17 +90,17 @@
         capacity.plain_load.call_started(incarnation, now)
         capacity.plain_load.call_ended(incarnation, CallOutcome.COMPLETED, now)
         capacity.expected_plain_retries.note_own_refusal(b"%08d" % number, now + 5)
-    incarnations, services, returns = set(), set(), set()
+    incarnations, services, expected_retries = set(), set(), set()
     for _ in range(5):
-        (message,) = await updates.next_messages()
+        (message,) = await channel.next_messages()
         assert len(encode(message)) < 500
         incarnations |= {item[0] for item in message.endpoint_totals}
         services |= {item[0] for item in message.arrivals}
-        returns |= {item[0] for item in message.expected_retries}
-    assert (len(incarnations), len(services), len(returns)) == (30, 30, 30)
+        expected_retries |= {item[0] for item in message.expected_retries}
+    assert (len(incarnations), len(services), len(expected_retries)) == (30, 30, 30)
     with trio.move_on_after(0.8) as scope:
-        await updates.next_messages()
+        await channel.next_messages()
     assert scope.cancelled_caught, "a message was sent although nothing had changed"
-    idle_updates = PlainCallChannel("front-a-2", 1, Capacity(now=trio.current_time()))
-    assert idle_updates.initial_messages() == []
-    assert msgspec.msgpack.decode(encode(updates.initial_messages()[0]))[0] == "f"
+    idle_channel = PlainCallChannel("front-a-2", 1, Capacity(now=trio.current_time()))
+    assert idle_channel.initial_messages() == []
+    assert msgspec.msgpack.decode(encode(channel.initial_messages()[0]))[0] == "f"
--- a/cleatlink/relay/calls/planned_stop.py
+++ b/cleatlink/relay/calls/planned_stop.py
@@ -40,27 +40,30 @@
         """When a call in progress has to be answered with its state at that time."""
         return self._ends_at - ANSWER_SEND_S
 
-    def begin(self, now: float, lasts_s: float) -> None:
+    def begin(self, now: float, duration_s: float) -> None:
         """Begin the stop.
 
         Args:
             now: The current time.
-            lasts_s: Seconds until requests in progress are cut off.
+            duration_s: Seconds until requests in progress are cut off.
         """
         self._began_at = now
-        self._ends_at = now + lasts_s
+        self._ends_at = now + duration_s
 
     def end(self) -> None:
         """Record that the time is over and requests in progress are cut off."""
         self._is_over = True
 
-    def leaves_time(self, arrived_at: float, deadline: float, longest_s: float, now: float) -> bool:
+    def leaves_time(
+        self, arrived_at: float, deadline: float, max_duration_s: float, now: float
+    ) -> bool:
         """Check whether a stream that has not run can be finished before the process exits.
 
         Args:
             arrived_at: When it arrived.
             deadline: When it gets its final answer in any case.
-            longest_s: Longest time that it may need from now on, in seconds; infinite if unknown.
+            max_duration_s: Maximum time that it needs from now on, in seconds; infinite if
+                unknown.
             now: The current time.
         """
         # Accepting every call for 3.2 s cut off 43 requests that arrived after the signal, in 84
@@ -69,7 +72,7 @@
             return True
         if arrived_at - self._began_at > _REMOVAL_S:
             return False
-        return now + longest_s <= self._ends_at
+        return now + max_duration_s <= self._ends_at
 
     def age_s(self, now: float) -> float:
         """Return the seconds since the stop began; minus infinity before."""
--- a/cleatlink/relay/calls/planned_stop_test.py
+++ b/cleatlink/relay/calls/planned_stop_test.py
@@ -192,20 +192,20 @@
 
 @given(st.floats(0, 10), st.floats(0, 20), st.floats(0, 20))
 def test_every_stream_is_accepted_before_a_stop(
-    arrived_at: float, longest_s: float, now: float
+    arrived_at: float, max_duration_s: float, now: float
 ) -> None:
-    assert PlannedStop().leaves_time(arrived_at, math.inf, longest_s, now)
+    assert PlannedStop().leaves_time(arrived_at, math.inf, max_duration_s, now)
 
 
 @given(st.floats(0, 8), st.floats(0, 30), st.floats(0, 20))
 def test_accepted_streams_end_before_the_stop_does(
-    arrived_at: float, deadline_s: float, longest_s: float
+    arrived_at: float, deadline_s: float, max_duration_s: float
 ) -> None:
     stop = PlannedStop()
     stop.begin(1.0, 7.5)
     now = max(1.0, arrived_at)
-    if stop.leaves_time(arrived_at, arrived_at + deadline_s, longest_s, now):
-        assert min(arrived_at + deadline_s, now + longest_s) <= 8.5
+    if stop.leaves_time(arrived_at, arrived_at + deadline_s, max_duration_s, now):
+        assert min(arrived_at + deadline_s, now + max_duration_s) <= 8.5
     # If the duration is unknown, only the deadline bounds it.
     bounded = arrived_at + deadline_s <= stop.answer_deadline
     assert stop.leaves_time(arrived_at, arrived_at + deadline_s, math.inf, now) == bounded
--- a/cleatlink/relay/calls/prefill.py
+++ b/cleatlink/relay/calls/prefill.py
@@ -71,27 +71,27 @@
     """The prefill of one stream, and the handle of its result."""
 
     def __init__(
-        self, call: Call, parts: RelayComponents, *, prompt_was_computed: bool = False
+        self, call: Call, components: RelayComponents, *, prompt_was_computed: bool = False
     ) -> None:
         """Start without a result.
 
         Args:
             call: The call.
-            parts: Components that all calls share.
+            components: Components that all calls share.
             prompt_was_computed: Whether the prompt was computed before, for another decode
                 endpoint.
         """
         self.handle: KvHandle | None = None
         self.prompt_was_computed = prompt_was_computed
         self._call = call
-        self._parts = parts
+        self._components = components
         self._failed_attempts = 0
 
     @property
     def source(self) -> KvLocation | None:
         """Location of the result; None without one, or if the engine has restarted since."""
         handle = self.handle
-        if handle is None or self._parts.capacity.is_superseded(handle.endpoint):
+        if handle is None or self._components.capacity.is_superseded(handle.endpoint):
             return None
         return handle.source
 
@@ -101,11 +101,11 @@
 
     def handle_valid_for_s(self) -> float:
         """Return the seconds for which the handle is certainly valid; 0 without a handle."""
-        engine_traits = self._call.service.engine
-        if self.handle is None or self.source is None or engine_traits is None:
+        engine_properties = self._call.service.engine
+        if self.handle is None or self.source is None or engine_properties is None:
             return 0.0
         age_s = trio.current_time() - self.handle.created_at
-        return max(0.0, _SAFE_LIFETIME_SHARE * engine_traits.handle_lifetime_s - age_s)
+        return max(0.0, _SAFE_LIFETIME_SHARE * engine_properties.handle_lifetime_s - age_s)
 
     async def compute_prompt(self, data_centre: str) -> Refusal | None:
         """Have a prefill endpoint compute the prompt.
@@ -117,7 +117,7 @@
             The refusal of the call; None if the stream can start. Without an available prefill
             endpoint the decode endpoint computes the prompt.
         """
-        call, parts = self._call, self._parts
+        call, components = self._call, self._components
         unreachable_count = 0
         while self.handle is None:
             call_refusal = call.find_send_refusal()
@@ -126,7 +126,7 @@
             context = call.placement_context()
             endpoint = choose_prefill(
                 call.service.name,
-                parts.capacity,
+                components.capacity,
                 context,
                 data_centre,
                 call.inbound.prompt_tokens,
@@ -172,20 +172,20 @@
             EndpointError: The endpoint failed or refused the prefill.
             trio.TooSlowError: The prefill took too long and was cancelled.
         """
-        call, parts = self._call, self._parts
+        call, components = self._call, self._components
         key = f"{call.inbound.request_id}/{self._failed_attempts}/p"
         now = trio.current_time()
         tokens = call.inbound.prompt_tokens
-        times = parts.capacity.service_times(call.service.name)
-        queue_s = parts.capacity.prompt_starts_in_s(endpoint.name, now)
-        usual_s = times.prompt_s(tokens)
-        expected_s = queue_s + usual_s / parts.capacity.relative_speed(endpoint.name, now)
+        service_times = components.capacity.service_times(call.service.name)
+        queue_s = components.capacity.prompt_starts_in_s(endpoint.name, now)
+        usual_s = service_times.prompt_s(tokens)
+        expected_s = queue_s + usual_s / components.capacity.relative_speed(endpoint.name, now)
         reservation = Reservation(endpoint.name, Role.PREFILL, tokens, now + expected_s, expected_s)
-        parts.capacity.reserve(key, reservation)
-        parts.on_reservations_changed(key)
+        components.capacity.reserve(key, reservation)
+        components.on_reservations_changed(key)
         upload = call.start_upload(endpoint)
         try:
-            due_at = parts.capacity.endpoint_limits.reserve(key, endpoint.name, now)
+            due_at = components.capacity.endpoint_limits.reserve(key, endpoint.name, now)
             handle = await run_watched(
                 lambda: self._request_when_allowed(endpoint, due_at, upload),
                 lambda scope: self._cancel_when_late(upload, expected_s + _TIMEOUT_MARGIN_S, scope),
@@ -204,16 +204,16 @@
                 expected_ms=int(1000 * expected_s),
                 queue_ms=int(1000 * queue_s),
             )
-            parts.metrics.observe_prefill(elapsed_s)
-            served_s = call.processing_s(upload, now)
-            if served_s is not None:
-                self._record_speed(endpoint, queue_s, served_s)
-            parts.capacity.note_success(endpoint.name, trio.current_time())
-            parts.capacity.note_free_capacity(endpoint.name)
+            components.metrics.observe_prefill(elapsed_s)
+            processing_s = call.processing_s(upload, now)
+            if processing_s is not None:
+                self._record_speed(endpoint, queue_s, processing_s)
+            components.capacity.note_success(endpoint.name, trio.current_time())
+            components.capacity.note_free_capacity(endpoint.name)
         finally:
-            parts.capacity.release(key)
-            parts.capacity.endpoint_limits.cancel_reservation(key, trio.current_time())
-            parts.on_reservations_changed(key)
+            components.capacity.release(key)
+            components.capacity.endpoint_limits.cancel_reservation(key, trio.current_time())
+            components.on_reservations_changed(key)
 
     async def _request_when_allowed(
         self, endpoint: RoutedEndpoint, due_at: float, upload: Upload
@@ -241,29 +241,29 @@
                 return
             await sleep_until_sockets_read(due_at)
 
-    def _record_speed(self, endpoint: RoutedEndpoint, queue_s: float, served_s: float) -> None:
+    def _record_speed(self, endpoint: RoutedEndpoint, queue_s: float, processing_s: float) -> None:
         """Record the prefill speed of the endpoint and its service, without the upload time."""
-        capacity = self._parts.capacity
-        times = capacity.service_times(self._call.service.name)
+        capacity = self._components.capacity
+        service_times = capacity.service_times(self._call.service.name)
         tokens = self._call.inbound.prompt_tokens
-        usual_s = times.prompt_s(tokens)
-        prefill_s = max(0.0, served_s - _CALL_OVERHEAD_S)
+        usual_s = service_times.prompt_s(tokens)
+        prefill_s = max(0.0, processing_s - _CALL_OVERHEAD_S)
         # An endpoint that became slow is reported to peers even if its speed is already known.
-        if served_s > _SLOW_FACTOR * (queue_s + usual_s) + _SLOW_BASE_S:
-            self._call.report_slow(endpoint, served_s)
-        if times.is_known and queue_s < _MAX_QUEUE_SHARE * usual_s:
+        if processing_s > _SLOW_FACTOR * (queue_s + usual_s) + _SLOW_BASE_S:
+            self._call.report_slow(endpoint, processing_s)
+        if service_times.is_known and queue_s < _MAX_QUEUE_SHARE * usual_s:
             now = trio.current_time()
             capacity.note_duration(
                 endpoint.name, SpeedSampleKind.PROMPT, prefill_s - queue_s, usual_s, now
             )
-        times.note_prompt(tokens, queue_s, prefill_s)
+        service_times.note_prompt(tokens, queue_s, prefill_s)
 
     async def _request_prefill(self, endpoint: RoutedEndpoint, upload: Upload) -> KvHandle:
-        call, parts = self._call, self._parts
+        call, components = self._call, self._components
         call.note_started()
 
         def make_request() -> OutgoingRequest:
-            return parts.protocol.make_forwarded_request(
+            return components.protocol.make_forwarded_request(
                 call.inbound,
                 endpoint,
                 call.remaining_s,
@@ -271,54 +271,54 @@
                 priority=call.forwarded_priority,
             )
 
-        reply = await parts.pool.call(
+        reply = await components.pool.call(
             endpoint, IDLE_LIMIT_S, make_request, _MAX_REPLY_BYTES, upload=upload
         )
         return self._read_handle(endpoint, reply.head, reply.body)
 
     def _read_handle(self, endpoint: RoutedEndpoint, head: ResponseHead, body: bytes) -> KvHandle:
-        call, parts = self._call, self._parts
-        if parts.protocol.reports_not_executed(head):
+        call, components = self._call, self._components
+        if components.protocol.reports_not_executed(head):
             call.note_refused(endpoint, head)
             raise EndpointRefusedError("the endpoint refused the prefill")
-        if not parts.protocol.belongs(head, call.inbound) or head.status != 200:
+        if not components.protocol.belongs(head, call.inbound) or head.status != 200:
             raise OutcomeUnknownError(f"invalid answer to the prefill, status {head.status}")
         try:
-            handle = str(msgspec.json.decode(body)[parts.protocol.paths.prefill_handle_field])
+            handle = str(msgspec.json.decode(body)[components.protocol.paths.prefill_handle_field])
         except (msgspec.MsgspecError, KeyError, TypeError) as error:
             raise OutcomeUnknownError("the prefill answer has no valid KV handle") from error
         source = KvLocation(endpoint.address, handle)
         return KvHandle(endpoint, source, trio.current_time())
 
-    def discard_handle(self, fate: str) -> None:
+    def discard_handle(self, outcome: str) -> None:
         """Discard the handle, and free it at its endpoint unless a decode took it.
 
         Args:
-            fate: Label of the metric of handles: what became of the handle.
+            outcome: What became of the handle; a label of the metric that counts handles.
         """
         handle, self.handle = self.handle, None
         if handle is None:
             return
-        self._parts.metrics.count_kv_handle(fate)
-        if fate != "taken" and not self._parts.capacity.is_superseded(handle.endpoint):
-            self._parts.spawn(self._free_handle, handle)
+        self._components.metrics.count_kv_handle(outcome)
+        if outcome != "taken" and not self._components.capacity.is_superseded(handle.endpoint):
+            self._components.spawn(self._free_handle, handle)
 
     async def _free_handle(self, handle: KvHandle) -> None:
         """Have the endpoint free the KV cache of a result that was not used."""
-        parts = self._parts
-        path = parts.protocol.paths.kv_handle.format(handle.source.handle)
+        components = self._components
+        path = components.protocol.paths.kv_handle.format(handle.source.handle)
         endpoint = handle.endpoint
 
         def make_request() -> OutgoingRequest:
-            return parts.protocol.make_relay_request(b"DELETE", path, endpoint)
+            return components.protocol.make_relay_request(b"DELETE", path, endpoint)
 
         for _ in range(_MAX_FREE_ATTEMPTS):
             try:
                 async with rate_limit_permit(
-                    parts.capacity, endpoint, f"free/{handle.source.handle}"
+                    components.capacity, endpoint, f"free/{handle.source.handle}"
                 ):
                     with trio.fail_after(_TIMEOUT_MARGIN_S):
-                        await parts.pool.call(
+                        await components.pool.call(
                             endpoint, IDLE_LIMIT_S, make_request, _MAX_REPLY_BYTES
                         )
                 return
--- a/cleatlink/relay/calls/stream.py
+++ b/cleatlink/relay/calls/stream.py
@@ -56,15 +56,19 @@
     """One streaming request, from its arrival to the end of its answer."""
 
     def __init__(
-        self, call: Call, exchange: Exchange, admission: DecodeAdmission, parts: RelayComponents
+        self,
+        call: Call,
+        exchange: Exchange,
+        admission: DecodeAdmission,
+        components: RelayComponents,
     ) -> None:
         self._call = call
         self._exchange = exchange
         self._admission = admission
-        self._parts = parts
+        self._components = components
         self._parser = EventParser(call.inbound.last_event)
-        self._target = DecodeTarget(call, admission, parts)
-        self._failover = StreamFailover(call, admission, parts)
+        self._target = DecodeTarget(call, admission, components)
+        self._failover = StreamFailover(call, admission, components)
         self._rejection_count = 0
 
     async def run(self) -> StreamResult:
@@ -101,21 +105,21 @@
         """Send the request to the decode endpoint and relay its stream."""
         call, target = self._call, self._target
         endpoint = target.endpoint
-        if not self._parts.capacity.accepts_work(endpoint.name):
+        if not self._components.capacity.accepts_work(endpoint.name):
             # Computing a prompt can take longer than a leaving endpoint accepts new work: on
             # engines with prompts of seconds, a stream was sent 2.5 s after the endpoint had
             # announced that it was leaving.
             call.log("endpoint is leaving, placing the stream again", endpoint=endpoint.name)
-            target.leave_and_exclude()
+            target.release_and_exclude()
             return None
-        back_off_s = self._parts.capacity.backoff_left_s(endpoint.name, trio.current_time())
-        if back_off_s:
+        backoff_s = self._components.capacity.backoff_left_s(endpoint.name, trio.current_time())
+        if backoff_s:
             call.log(
                 "endpoint is in back-off, placing the stream again",
                 endpoint=endpoint.name,
-                rest_s=round(back_off_s, 3),
+                rest_s=round(backoff_s, 3),
             )
-            target.leave_and_exclude()
+            target.release_and_exclude()
             return None
         if not await target.wait_for_rate_limit():
             call.log(
@@ -165,15 +169,15 @@
         self, endpoint: RoutedEndpoint, connection: EndpointConnection
     ) -> StreamResult | None:
         """Send the request on a connection and relay the answer."""
-        call, parts, prefill = self._call, self._parts, self._target.prefill
+        call, components, prefill = self._call, self._components, self._target.prefill
         is_prefilled, sent_at = prefill.source is not None, trio.current_time()
         upload = call.start_upload(endpoint)
-        request = parts.protocol.make_forwarded_request(
+        request = components.protocol.make_forwarded_request(
             call.inbound,
             endpoint,
             call.remaining_s,
             kv_source=prefill.source,
-            reservation_id=self._target.reservation.use(endpoint),
+            reservation_id=self._target.reservation.consume_id(endpoint),
             last_event=self._parser.last_number,
             priority=call.forwarded_priority,
         )
@@ -181,22 +185,22 @@
         self._failover.expect_data(_FIRST_RESPONSE_TIMEOUT_S)
         head = await connection.exchange(request, upload=upload)
         self._note_activity()
-        if parts.protocol.reports_not_executed(head):
+        if components.protocol.reports_not_executed(head):
             connection.close()
             return await self._handle_rejection(endpoint, head)
-        if not parts.protocol.belongs(head, call.inbound):
+        if not components.protocol.belongs(head, call.inbound):
             raise OutcomeUnknownError("the answer belongs to another request")
         call.ran = ExecutionStatus.YES
         call.update_read_rate(endpoint, upload, trio.current_time() - sent_at)
-        parts.capacity.note_free_capacity(endpoint.name)
+        components.capacity.note_free_capacity(endpoint.name)
         prefill.discard_handle("taken")
         if head.status != 200:
             return await self._handle_error_response(head, connection)
-        if not parts.protocol.has_signature(head):
+        if not components.protocol.has_signature(head):
             raise OutcomeUnknownError("the answer has no signature")
         meter = StreamMeter(
             call,
-            parts.capacity,
+            components.capacity,
             endpoint.name,
             sent_at,
             is_prefilled=is_prefilled,
@@ -205,8 +209,8 @@
         await self._relay(head, connection, meter)
         meter.note_end(self._target.placement)
         call.note_completed()
-        parts.pool.release(endpoint, connection)
-        parts.capacity.note_success(endpoint.name, trio.current_time())
+        components.pool.release(endpoint, connection)
+        components.capacity.note_success(endpoint.name, trio.current_time())
         return StreamResult(is_complete=True)
 
     def _may_fail_over(self) -> bool:
@@ -236,9 +240,9 @@
             self._call.log(
                 "received an error status; looks for another endpoint", status=head.status
             )
-            self._target.leave_and_exclude()
+            self._target.release_and_exclude()
             return None
-        headers = self._parts.protocol.filter_response_headers(head)
+        headers = self._components.protocol.filter_response_headers(head)
         await self._exchange.answer(head.status, headers, body)
         return StreamResult(is_complete=True)
 
@@ -288,11 +292,11 @@
         return min(_MAX_SILENCE_S, max(_MIN_SILENCE_S, timeout_s))
 
     async def _start(self, head: ResponseHead) -> None:
-        call, parts = self._call, self._parts
-        parts.metrics.count_answer(call.route.kind.value, head.status, call.age_s)
+        call, components = self._call, self._components
+        components.metrics.count_answer(call.route.kind.value, head.status, call.age_s)
         call.log("answer started", status=head.status, in_time=call.is_in_time)
         self._admission.note_prompt_computed(self._target.placement.key)
-        await self._exchange.start(head.status, parts.protocol.filter_response_headers(head))
+        await self._exchange.start(head.status, components.protocol.filter_response_headers(head))
 
     async def _handle_rejection(
         self, endpoint: RoutedEndpoint, head: ResponseHead
@@ -322,13 +326,13 @@
         if not plan.keeps_handle:
             target.prefill.discard_handle("refused")
         if plan.action is RejectionAction.OTHER_ENDPOINT:
-            target.leave_and_exclude()
+            target.release_and_exclude()
             return None
         return await self._decode()
 
     def _plan_after_rejection(self, endpoint: RoutedEndpoint) -> RejectionPlan:
         call = self._call
-        if not self._parts.capacity.accepts_work(endpoint.name):
+        if not self._components.capacity.accepts_work(endpoint.name):
             # The endpoint is leaving, or another endpoint has its address now.
             return RejectionPlan(RejectionAction.OTHER_ENDPOINT)
         if not call.may_send(endpoint):
@@ -360,5 +364,5 @@
             if self._exchange.started:
                 return StreamResult()
             return StreamResult(Refusal(ErrorKind.ENDPOINT_FAILED, detail))
-        self._target.leave_and_exclude()
+        self._target.release_and_exclude()
         return None
--- a/cleatlink/relay/calls/stream_failover.py
+++ b/cleatlink/relay/calls/stream_failover.py
@@ -23,11 +23,11 @@
 class StreamFailover:
     """Watches one run of a stream for silence, and prepares a replacement endpoint."""
 
-    def __init__(self, call: Call, admission: DecodeAdmission, parts: RelayComponents) -> None:
+    def __init__(self, call: Call, admission: DecodeAdmission, components: RelayComponents) -> None:
         self.replacement: DecodeTarget | None = None
         self._call = call
         self._admission = admission
-        self._parts = parts
+        self._components = components
         self._waiting_since: float | None = None
         self._silence_timeout_s = 0.0
         self._upload = Upload(DEFAULT_READ_RATE)
@@ -80,7 +80,7 @@
     async def _prepare_replacement(self, prompt_was_computed: bool) -> DecodeTarget | None:
         """Prepare another endpoint, unless the silent one sends data meanwhile."""
         target = DecodeTarget(
-            self._call, self._admission, self._parts, prompt_was_computed=prompt_was_computed
+            self._call, self._admission, self._components, prompt_was_computed=prompt_was_computed
         )
         is_ready = False
         try:
--- a/cleatlink/relay/calls/stream_meter.py
+++ b/cleatlink/relay/calls/stream_meter.py
@@ -36,7 +36,7 @@
             is_prefilled: Whether a prefill endpoint computed the prompt.
             upload: The upload of the request's body.
         """
-        traits = call.service.engine
+        engine_properties = call.service.engine
         self._call = call
         self._capacity = capacity
         self._service_times = capacity.service_times(call.service.name)
@@ -44,30 +44,33 @@
         self._sent_at = sent_at
         self._is_prefilled = is_prefilled
         self._upload = upload
-        self._event_tokens = traits.event_tokens if traits is not None else 1
-        self._events = 0
-        self._segment_events = 0
+        self._event_tokens = engine_properties.event_tokens if engine_properties is not None else 1
+        self._event_count = 0
+        self._segment_event_count = 0
         self._segment_began_at = sent_at
 
     def note_events(self, count: int, now: float) -> None:
         """Count received events, and record each complete measurement."""
-        if not self._events:
+        if not self._event_count:
             start_s = self._call.processing_s(self._upload, self._sent_at)
             if self._is_prefilled and start_s is not None:
                 self._service_times.note_first_event(start_s)
-            self._events, self._segment_began_at = count, now
+            self._event_count, self._segment_began_at = count, now
             return
-        self._events += count
-        self._segment_events += count
-        if self._segment_events >= _SEGMENT_EVENTS:
+        self._event_count += count
+        self._segment_event_count += count
+        if self._segment_event_count >= _SEGMENT_EVENTS:
             self._record_segment(now)
-            self._segment_events, self._segment_began_at = 0, now
+            self._segment_event_count, self._segment_began_at = 0, now
 
     def _record_segment(self, now: float) -> None:
         """Record a segment that ends now, unless this process was paused during it."""
         if self._capacity.process_pauses.has_paused_since(self._segment_began_at, now):
             return
-        tokens, seconds = self._segment_events * self._event_tokens, now - self._segment_began_at
+        tokens, seconds = (
+            self._segment_event_count * self._event_tokens,
+            now - self._segment_began_at,
+        )
         self._service_times.note_segment(tokens, seconds)
         self._capacity.note_token_time(self._endpoint, tokens, seconds, now)
 
@@ -79,9 +82,9 @@
         Args:
             placement: The placement, with the expected length and duration.
         """
-        inbound, tokens = self._call.inbound, self._events * self._event_tokens
+        inbound, tokens = self._call.inbound, self._event_count * self._event_tokens
         now = trio.current_time()
-        if self._segment_events and self._events <= _SEGMENT_EVENTS:
+        if self._segment_event_count and self._event_count <= _SEGMENT_EVENTS:
             # Without this, a service with short answers has no time per token, and the roles of
             # its endpoints are never planned.
             self._record_segment(now)
--- a/cleatlink/relay/calls/stream_test.py
+++ b/cleatlink/relay/calls/stream_test.py
@@ -1,4 +1,4 @@
-"""Tests of streams through whole instances of the relay, over real connections."""
+"""Tests of streams through complete relay instances, over real connections."""
 
 from itertools import pairwise
 
@@ -114,9 +114,9 @@
     async with open_fleet() as fleet:
         prefill, decode, _ = engines()
         await start(fleet, prefill, decode)
-        waiting = fleet.instances[0].capacity.shared_wait_queues
-        waiting.set_peer_count(peers)
-        monkeypatch.setattr(waiting, "set_peer_count", lambda _: None)
+        wait_queues = fleet.instances[0].capacity.shared_wait_queues
+        wait_queues.set_peer_count(peers)
+        monkeypatch.setattr(wait_queues, "set_peer_count", lambda _: None)
         reply = await fleet.caller().ask("/stream/x", "POST", body=b"prompt", headers=STREAM)
         assert reply.status == 200
         for worker in (prefill, decode):
