--- a/cleatlink/request/classify_test.py
+++ b/cleatlink/request/classify_test.py
@@ -29,16 +29,16 @@
 
 
 def test_request_without_optional_headers_gets_the_defaults() -> None:
-    order = classify(VALID_BODY, x_organisation="o")
-    assert order.request.request_class == "translation"
-    assert order.request.organisation == "o"
-    assert order.request.deadline == 120.0
-    assert not order.stream
+    classified = classify(VALID_BODY, x_organisation="o")
+    assert classified.request.request_class == "translation"
+    assert classified.request.organisation == "o"
+    assert classified.request.deadline == 120.0
+    assert not classified.stream
 
 
 def test_headers_set_class_and_deadline_within_the_class_limit() -> None:
-    order = classify(VALID_BODY, x_request_class="summary", x_deadline_s="5")
-    assert (order.request.request_class, order.request.deadline) == ("summary", 105.0)
+    classified = classify(VALID_BODY, x_request_class="summary", x_deadline_s="5")
+    assert (classified.request.request_class, classified.request.deadline) == ("summary", 105.0)
     assert classify(VALID_BODY, x_deadline_s="5000").request.deadline == 120.0
 
 
@@ -100,12 +100,12 @@
     body: dict[str, object], chat: bool, deadline: str
 ) -> None:
     try:
-        order = classify({**VALID_BODY, **body}, chat, x_deadline_s=deadline or "1")
+        classified = classify({**VALID_BODY, **body}, chat, x_deadline_s=deadline or "1")
     except RequestError as error:
         assert error.detail
     else:
-        assert order.request.prompt_tokens >= 1
-        assert order.request.deadline > 100.0
+        assert classified.request.prompt_tokens >= 1
+        assert classified.request.deadline > 100.0
 
 
 @given(st.binary(max_size=60), st.booleans())
--- a/cleatlink/request/idempotency_keys.py
+++ b/cleatlink/request/idempotency_keys.py
@@ -108,7 +108,7 @@
             The state of the key; ``GRANTED`` to at most one caller for each key,
             unless the call certainly did not run.
         """
-        self._expire(now)
+        self._remove_expired(now)
         entry = self._entries.get(key)
         if entry is not None:
             return self._compare_entry(entry, fingerprint)
@@ -144,7 +144,7 @@
         is_recent = now - KEY_LIFETIME_S + MAX_CLOCK_SKEW_S < created_at < now + MAX_CLOCK_SKEW_S
         return is_recent and created_at - MAX_CLOCK_SKEW_S > owner_since
 
-    def _expire(self, now: float) -> None:
+    def _remove_expired(self, now: float) -> None:
         """Remove expired keys; the entries are ordered by the time of their grant."""
         expired = []
         for key, entry in self._entries.items():
--- a/cleatlink/request/idempotency_keys_test.py
+++ b/cleatlink/request/idempotency_keys_test.py
@@ -73,7 +73,7 @@
 
 @given(
     st.lists(
-        st.tuples(st.integers(0, 3), st.floats(0, 700), st.sampled_from(["claim", "settle"])),
+        st.tuples(st.integers(0, 3), st.floats(0, 700), st.sampled_from(["claim", "record"])),
         max_size=40,
     ),
     st.floats(0, 1000),
@@ -86,7 +86,7 @@
     for number, wait_s, action in steps:
         now += wait_s
         key = keys[number]
-        if action == "settle":
+        if action == "record":
             registry.record_outcome(key, ANSWER)
         elif registry.claim(key, "f", NOW - owner_age, now).state is ClaimState.GRANTED:
             assert key not in ran
--- a/cleatlink/request/in_flight_notes.py
+++ b/cleatlink/request/in_flight_notes.py
@@ -47,7 +47,7 @@
 
 class _StoredNote(NamedTuple):
     note: InFlightNote
-    expires: float
+    expires_at: float
 
 
 class InFlightNotes:
@@ -55,6 +55,7 @@
 
     def __init__(self) -> None:
         self._notes: dict[str, _StoredNote] = {}
+        # When the work of a dead incarnation is to be cancelled, by instance and incarnation.
         self._due_at: dict[tuple[str, int], float] = {}
 
     def __len__(self) -> int:
@@ -87,16 +88,18 @@
 
     def take_due(self, now: float) -> list[OrphanedWork]:
         """Remove and return the work to cancel now, and remove expired notes."""
-        due_incarnations = {owner for owner, due_at in self._due_at.items() if due_at <= now}
+        due_incarnations = {
+            incarnation for incarnation, due_at in self._due_at.items() if due_at <= now
+        }
         orphans: list[OrphanedWork] = []
         for request, stored in list(self._notes.items()):
             note = stored.note
-            if stored.expires <= now:
+            if stored.expires_at <= now:
                 del self._notes[request]
             elif (note.owner, note.incarnation) in due_incarnations:
                 del self._notes[request]
                 orphans += [
-                    OrphanedWork(request, note.attempt, address, stored.expires)
+                    OrphanedWork(request, note.attempt, address, stored.expires_at)
                     for address in note.endpoints
                 ]
         return orphans
--- a/cleatlink/request/model_machine.py
+++ b/cleatlink/request/model_machine.py
@@ -114,7 +114,7 @@
             case PlacementFound(placement):
                 return self._begin_attempt(placement)
             case PlacementFailed(refusal):
-                return self._handle_unplaced(refusal)
+                return self._handle_placement_failure(refusal)
             case PrefillDone(_, kv):
                 return self._begin_decode(kv)
             case OrderFailed():
@@ -205,7 +205,7 @@
         excluded = frozenset(self._excluded_names | {event.endpoint.name})
         return [*actions, CountRetry(event.cause.value), FindPlacement(excluded)]
 
-    def _handle_unplaced(self, refusal: Refusal) -> list[Action]:
+    def _handle_placement_failure(self, refusal: Refusal) -> list[Action]:
         """Handle a failed placement.
 
         If endpoints other than the last one that failed are excluded, request a
--- a/cleatlink/request/model_machine_test.py
+++ b/cleatlink/request/model_machine_test.py
@@ -213,7 +213,7 @@
     machine = make_machine()
     pending: Action | None = FindPlacement(frozenset())
     next_position, final_actions, ordered, cancelled = 0, 0, set(), set()
-    definitely_refused: set[tuple[str, int]] = set()
+    without_memory: set[tuple[str, int]] = set()
     for event in events:
         is_late = isinstance(
             event, PrefillDone | OrderFailed | StreamOpened | StreamEventReceived | StreamBroken
@@ -225,7 +225,7 @@
             and event.cause is not FailureCause.UNKNOWN
             and not is_late
         ):
-            definitely_refused.add((event.endpoint.name, event.attempt))
+            without_memory.add((event.endpoint.name, event.attempt))
         ran_before = machine.ran
         actions = machine.handle(event)
         assert not is_late or actions == []
@@ -257,7 +257,7 @@
             pending = None
             finished = any(isinstance(action, Finish) for action in actions)
             if not finished and actions:
-                not_cancelled = ordered - cancelled - definitely_refused
+                not_cancelled = ordered - cancelled - without_memory
                 assert not not_cancelled, (
                     f"endpoints may hold memory without a time limit: {not_cancelled}"
                 )
