--- a/demo/__init__.py
+++ b/demo/__init__.py
@@ -1,1 +1,1 @@
-"""The demo: the whole system on loopback as separate processes, and its check."""
+"""The demo: runs the complete system on loopback as separate processes and checks it."""
--- a/demo/broken.py
+++ b/demo/broken.py
@@ -1,4 +1,8 @@
-"""Runs an entry with one mechanism switched off, to see the demo report it."""
+"""Runs an entry with one mechanism disabled, to show that the demo detects it.
+
+Run it as ``python -m demo.broken MECHANISM entry ...``. ``MECHANISM`` is a key of
+``standins.ablate.ABLATIONS``; the other arguments are those of ``cleatlink``.
+"""
 
 import sys
 
--- a/demo/cluster.py
+++ b/demo/cluster.py
@@ -1,4 +1,4 @@
-"""Starts the processes of a small fleet on loopback and ends them again."""
+"""Starts and stops the processes of a small fleet on loopback."""
 
 import json
 import os
@@ -17,7 +17,15 @@
 
 
 class Process(NamedTuple):
-    """One started process and what it printed first."""
+    """A started process with the addresses that it printed.
+
+    Attributes:
+        name: Name of the instance or endpoint.
+        data_centre: Data centre of the process; empty for the platform.
+        process: The operating system's process.
+        address: Address at which the process serves HTTP.
+        peer_address: Address for messages of peers; empty unless the process is an entry.
+    """
 
     name: str
     data_centre: str
@@ -27,12 +35,18 @@
 
 
 class Cluster:
-    """A fleet of processes; every one is ended by ``close``."""
+    """A fleet of processes; ``close`` ends all of them."""
+
+    def __init__(self, disabled_mechanism: str = "") -> None:
+        """Create a fleet without processes.
 
-    def __init__(self, broken: str = "") -> None:
+        Args:
+            disabled_mechanism: Mechanism that entries run without, a key of
+                ``standins.ablate.ABLATIONS``; empty for none.
+        """
         self._entry_command = ["-m", "cleatlink.scripts.main"]
-        if broken:
-            self._entry_command = ["-m", "demo.broken", broken]
+        if disabled_mechanism:
+            self._entry_command = ["-m", "demo.broken", disabled_mechanism]
         self.platform: Process | None = None
         self.engines: dict[str, Process] = {}
         self.services: dict[str, Process] = {}
@@ -40,21 +54,21 @@
         self.client = httpx.AsyncClient(timeout=30.0, trust_env=False)
         self._pools: dict[str, str] = {}
         self._leaving: set[str] = set()
-        self._dead: set[str] = set()
+        self._ended: set[str] = set()
 
     async def start_platform(self) -> None:
-        """Start the platform's stand-in."""
-        self.platform = await self._start("platform", "", _standin("platform"))
+        """Start the simulated platform."""
+        self.platform = await self._start("platform", "", _standin_command("platform"))
 
     async def start_engine(self, name: str, data_centre: str, pool: str, *flags: str) -> None:
-        """Start a model engine in a pool."""
-        command = _standin("engine", "--name", name, *flags)
+        """Start a simulated model engine in a pool."""
+        command = _standin_command("engine", "--name", name, *flags)
         self.engines[name] = await self._start(name, data_centre, command)
         self._pools[name] = pool
 
     async def start_service(self, name: str, data_centre: str, pool: str) -> None:
-        """Start a plain service in a pool."""
-        command = _standin("service", "--name", name)
+        """Start a simulated plain service in a pool."""
+        command = _standin_command("service", "--name", name)
         self.services[name] = await self._start(name, data_centre, command)
         self._pools[name] = pool
 
@@ -67,46 +81,48 @@
         self.entries[name] = await self._start(name, data_centre, command)
 
     async def publish_configuration(self, text: str) -> int:
-        """Publish a configuration and give its revision."""
-        answer = await self._platform("publish/config", text)
-        return int(answer["revision"])
+        """Publish a configuration and return its revision."""
+        response = await self._post_to_platform("publish/config", text)
+        return int(response["revision"])
 
     async def publish_fleet(self) -> None:
-        """Publish the instance list as it is now."""
+        """Publish the list of endpoints and instances, without the processes that have ended."""
         endpoints = [
             {
-                "name": item.name,
-                "address": item.address,
-                "data_centre": item.data_centre,
-                "pool": self._pools[item.name],
-                "state": "leaving" if item.name in self._leaving else "live",
+                "name": member.name,
+                "address": member.address,
+                "data_centre": member.data_centre,
+                "pool": self._pools[member.name],
+                "state": "leaving" if member.name in self._leaving else "live",
             }
-            for item in (*self.engines.values(), *self.services.values())
-            if item.name not in self._dead
+            for member in (*self.engines.values(), *self.services.values())
+            if member.name not in self._ended
         ]
         instances = [
             {
-                "name": item.name,
-                "peer_address": item.peer_address,
-                "data_centre": item.data_centre,
+                "name": member.name,
+                "peer_address": member.peer_address,
+                "data_centre": member.data_centre,
                 "state": "live",
             }
-            for item in self.entries.values()
-            if item.name not in self._dead
+            for member in self.entries.values()
+            if member.name not in self._ended
         ]
-        await self._platform("publish/instances", {"endpoints": endpoints, "instances": instances})
+        await self._post_to_platform(
+            "publish/instances", {"endpoints": endpoints, "instances": instances}
+        )
 
     async def set_platform_faults(self, **faults: Any) -> None:
-        """Let the platform go down or stale, or recover."""
-        await self._platform("faults", faults)
+        """Make the platform unavailable or its documents outdated, or end these faults."""
+        await self._post_to_platform("faults", faults)
 
     async def set_faults(self, name: str, **faults: Any) -> None:
-        """Let an engine or a service have a fault."""
-        item = self.engines.get(name) or self.services[name]
-        await self.client.post(f"http://{item.address}/admin/faults", json=faults)
+        """Set faults of an engine or a service."""
+        endpoint = self.engines.get(name) or self.services[name]
+        await self.client.post(f"http://{endpoint.address}/admin/faults", json=faults)
 
     async def status(self, name: str) -> dict[str, Any] | None:
-        """Ask an entry for its status; None if it does not answer at once."""
+        """Request the status of an entry; None if it does not answer within half a second."""
         try:
             url = f"http://{self.entries[name].address}/status"
             data: dict[str, Any] = (await self.client.get(url, timeout=0.5)).json()
@@ -115,41 +131,41 @@
         return data
 
     async def ledger(self, name: str) -> dict[str, Any]:
-        """Read an engine's or a service's own ledger."""
-        item = self.engines.get(name) or self.services[name]
-        answer = await self.client.get(f"http://{item.address}/admin/ledger")
-        data: dict[str, Any] = answer.json()
+        """Read what an engine or a service has recorded about its own work."""
+        endpoint = self.engines.get(name) or self.services[name]
+        response = await self.client.get(f"http://{endpoint.address}/admin/ledger")
+        data: dict[str, Any] = response.json()
         return data
 
     async def wait_ready(self, *names: str) -> None:
-        """Wait until entries are ready."""
+        """Wait until the named entries are ready, or all entries if none is named."""
         with trio.fail_after(_START_TIMEOUT_S):
             for name in names or tuple(self.entries):
                 while not await self._is_ready(self.entries[name].address):
                     await trio.sleep(0.05)
 
     def send_signal(self, name: str, number: signal.Signals) -> None:
-        """Send a signal to a process that this cluster started."""
-        item = self.entries.get(name) or self.engines.get(name) or self.services[name]
+        """Send a signal to an entry, an engine or a service."""
+        target = self.entries.get(name) or self.engines.get(name) or self.services[name]
         if number is signal.SIGKILL:
-            self._dead.add(name)
-        item.process.send_signal(number)
+            self._ended.add(name)
+        target.process.send_signal(number)
 
     async def wait_exit(self, name: str) -> int:
-        """Wait until an entry has ended, and give its exit code."""
-        self._dead.add(name)
+        """Wait until an entry has ended, and return its exit code."""
+        self._ended.add(name)
         return await self.entries[name].process.wait()
 
     async def close(self) -> None:
-        """End every process, entries first."""
+        """End all processes, entries first."""
         await self.client.aclose()
-        items = [*self.entries.values(), *self.engines.values(), *self.services.values()]
+        members = [*self.entries.values(), *self.engines.values(), *self.services.values()]
         if self.platform is not None:
-            items.append(self.platform)
-        for item in items:
-            if item.process.returncode is None:
-                item.process.kill()
-            await item.process.wait()
+            members.append(self.platform)
+        for member in members:
+            if member.process.returncode is None:
+                member.process.kill()
+            await member.process.wait()
 
     async def _is_ready(self, address: str) -> bool:
         try:
@@ -157,7 +173,7 @@
         except httpx.HTTPError:
             return False
 
-    async def _platform(self, path: str, body: Any) -> dict[str, Any]:
+    async def _post_to_platform(self, path: str, body: Any) -> dict[str, Any]:
         assert self.platform is not None
         url = f"http://{self.platform.address}/admin/{path}"
         data: dict[str, Any] = (await self.client.post(url, json=body)).json()
@@ -174,16 +190,18 @@
             with trio.fail_after(_START_TIMEOUT_S):
                 assert process.stdout is not None
                 while not line.endswith(b"\n"):
-                    part = await process.stdout.receive_some()
-                    if not part:
-                        raise RuntimeError(f"{name} ended before it listened")
-                    line += part
+                    data = await process.stdout.receive_some()
+                    if not data:
+                        raise RuntimeError(f"{name} ended before it printed its address")
+                    line += data
         except BaseException:
             process.kill()
             raise
-        said = json.loads(line)
-        return Process(name, data_centre, process, said["address"], said.get("peer_address", ""))
+        printed = json.loads(line)
+        return Process(
+            name, data_centre, process, printed["address"], printed.get("peer_address", "")
+        )
 
 
-def _standin(kind: str, *flags: str) -> list[str]:
+def _standin_command(kind: str, *flags: str) -> list[str]:
     return [sys.executable, "-m", "standins.main", kind, *flags]
--- a/demo/cluster_test.py
+++ b/demo/cluster_test.py
@@ -1,4 +1,4 @@
-"""Real processes and sockets: one of each, asked, spoiled and stopped as planned."""
+"""Tests a small cluster of real processes: faulty streams, planned stops, commands and keys."""
 
 import random
 import signal
@@ -12,10 +12,10 @@
 from cleatlink.routing import hash_prefix
 from cleatlink.serving.endpoints import HttpEndpointClient
 from demo.cluster import Cluster
-from demo.traffic import Ask, Caller, make_key
+from demo.traffic import Caller, ModelRequest, make_key
 
-# The caller's HTTP library leaves generators of its own half read when its
-# connection is dropped; nobody outside it can close them.
+# httpx leaves its internal generators unfinished when a connection is dropped; its callers cannot
+# close them.
 pytestmark = pytest.mark.filterwarnings("ignore:Exception ignored in. <async_generator object")
 
 CONFIGURATION = """
@@ -30,15 +30,17 @@
   orders: { service: orders, role: plain }
 classes: { question: { service: lm, max_wait_s: 5 }, order: { service: orders, max_wait_s: 5 } }
 """
-ASK = Ask("question", "m", "What is repaired next?", 60)
-LIMIT_S = 60
+REQUEST = ModelRequest("question", "m", "What is repaired next?", 60)
+TEST_TIMEOUT_S = 60
 
 
-def with_cluster(story: Callable[[Cluster, Caller], Awaitable[None]]) -> None:
-    async def play() -> None:
+def run_with_cluster(scenario: Callable[[Cluster, Caller], Awaitable[None]]) -> None:
+    """Run a scenario with a cluster of one engine per role, one service and one entry."""
+
+    async def run_scenario() -> None:
         cluster = Cluster()
         try:
-            with trio.fail_after(LIMIT_S):
+            with trio.fail_after(TEST_TIMEOUT_S):
                 await cluster.start_platform()
                 await cluster.start_engine("p1", "a", "prefill")
                 await cluster.start_engine("d1", "a", "decode")
@@ -47,47 +49,47 @@
                 await cluster.publish_configuration(CONFIGURATION)
                 await cluster.publish_fleet()
                 await cluster.wait_ready()
-                await story(cluster, Caller(cluster.client))
+                await scenario(cluster, Caller(cluster.client))
         finally:
             with trio.CancelScope(shield=True):
                 await cluster.close()
 
-    trio.run(play)
+    trio.run(run_scenario)
 
 
-def test_spoiled_streams_come_whole_and_a_stop_cuts_off_nothing() -> None:
-    async def story(cluster: Cluster, caller: Caller) -> None:
+def test_faulty_streams_are_repaired_and_planned_stop_cuts_off_nothing() -> None:
+    async def scenario(cluster: Cluster, caller: Caller) -> None:
         await cluster.set_faults("d1", drop_at=3, double_at=5, foreign_at=6, swap_at=25, cut_at=45)
         address = cluster.entries["e1"].address
         async with trio.open_nursery() as nursery:
             for _ in range(4):
-                nursery.start_soon(caller.ask, "e1", address, ASK)
+                nursery.start_soon(caller.send_model_request, "e1", address, REQUEST)
             while (await cluster.ledger("d1"))["counts"].get("decodes", 0) < 4:
                 await trio.sleep(0.01)
             cluster.send_signal("e1", signal.SIGTERM)
             assert await cluster.wait_exit("e1") == 0
-        assert [result.outcome for result in caller.models] == ["whole"] * 4
-        assert all(result.text == result.expected for result in caller.models)
-        assert all(result.ids == tuple(range(60)) for result in caller.models)
+        assert [result.outcome for result in caller.model_results] == ["whole"] * 4
+        assert all(result.text == result.expected_text for result in caller.model_results)
+        assert all(result.event_ids == tuple(range(60)) for result in caller.model_results)
         counts = (await cluster.ledger("d1"))["counts"]
         assert counts["resumes"] >= 3
         for name in ("p1", "d1"):
             assert (await cluster.ledger(name))["memory"] == 0
 
-    with_cluster(story)
+    run_with_cluster(scenario)
 
 
-def test_orders_with_fences_and_cache_events_over_http() -> None:
-    async def story(cluster: Cluster, caller: Caller) -> None:
+def test_fenced_commands_and_cache_events_over_http() -> None:
+    async def scenario(cluster: Cluster, caller: Caller) -> None:
         engine = cluster.engines["p1"]
         endpoint = Endpoint("p1", engine.address, "a", "prefill")
         client = HttpEndpointClient(1.0)
         try:
-            await ask(cluster, caller, client, endpoint)
+            await check_commands_and_cache_events(cluster, caller, client, endpoint)
         finally:
             await client.close()
 
-    async def ask(
+    async def check_commands_and_cache_events(
         cluster: Cluster, caller: Caller, client: HttpEndpointClient, endpoint: Endpoint
     ) -> None:
         await client.give_order(endpoint, FencedCommand("role", "decode", 1, 7))
@@ -96,33 +98,37 @@
         assert (await cluster.ledger("p1"))["state"] == {"role": "decode"}
         while (await client.report(endpoint, Role.BOTH, 0)).load.fence != 7:
             await trio.sleep(0.05)
-        await caller.ask("e1", cluster.entries["e1"].address, ASK)
-        news = CacheUpdate((), (), 0, False)
-        while not news.added:
-            news = (await client.report(endpoint, Role.BOTH, 0)).cache
-        assert news == CacheUpdate((hash_prefix(ASK.prompt.encode()),), (), 1, False)
+        await caller.send_model_request("e1", cluster.entries["e1"].address, REQUEST)
+        update = CacheUpdate((), (), 0, False)
+        while not update.added:
+            update = (await client.report(endpoint, Role.BOTH, 0)).cache
+        assert update == CacheUpdate((hash_prefix(REQUEST.prompt.encode()),), (), 1, False)
         assert (await client.report(endpoint, Role.BOTH, 1)).cache == CacheUpdate((), (), 1, False)
 
-    with_cluster(story)
+    run_with_cluster(scenario)
 
 
-def test_caller_that_goes_frees_the_engine_and_a_key_runs_once() -> None:
-    async def story(cluster: Cluster, caller: Caller) -> None:
+def test_disconnect_frees_engine_memory_and_key_runs_once() -> None:
+    async def scenario(cluster: Cluster, caller: Caller) -> None:
         address = cluster.entries["e1"].address
-        gone = await caller.ask("e1", address, ASK._replace(max_tokens=8000, cancel_after=2))
-        assert gone.outcome == "cancelled"
+        unfinished = await caller.send_model_request(
+            "e1", address, REQUEST._replace(max_tokens=8000, cancel_after_tokens=2)
+        )
+        assert unfinished.outcome == "cancelled"
         while (await cluster.ledger("d1"))["memory"]:
             await trio.sleep(0.01)
         assert (await cluster.ledger("d1"))["counts"]["cancels"] == 1
         results = []
-        while not results or results[-1].kind in ("key_outcome_unknown", "key_unavailable"):
-            # Ownership of keys is sure some seconds after the start.
+        while not results or results[-1].error_code in ("key_outcome_unknown", "key_unavailable"):
+            # The entry confirms the ownership of keys only some seconds after its start.
             await trio.sleep(0.2)
             key = make_key(random.Random(len(results)))
-            results.append(await caller.call(address, "order", "/services/orders/orders", key))
-        again = await caller.call(address, "order", "/services/orders/orders", results[-1].key)
-        assert (results[-1].status, again.status) == (200, 200)
+            results.append(await caller.send_call(address, "order", "/services/orders/orders", key))
+        repeated = await caller.send_call(
+            address, "order", "/services/orders/orders", results[-1].key
+        )
+        assert (results[-1].status, repeated.status) == (200, 200)
         executions = (await cluster.ledger("s1"))["executions"]
         assert executions == {results[-1].key: 1}
 
-    with_cluster(story)
+    run_with_cluster(scenario)
--- a/demo/evidence_test.py
+++ b/demo/evidence_test.py
@@ -1,16 +1,16 @@
-"""The demo's judgement: each promise that is broken on purpose is reported."""
+"""Tests that the demo's checks report each guarantee that the evidence violates."""
 
 from collections import Counter
 
 import pytest
 
-from demo.evidence import CallResult, Evidence, ModelResult, check_promises
+from demo.evidence import CallResult, Evidence, ModelResult, check_guarantees
 
-WHOLE = ModelResult("question", "whole", "", (0, 1), "a b ", "a b ", 1, 0.1, 0.01, "e1")
+COMPLETE = ModelResult("question", "whole", "", (0, 1), "a b ", "a b ", 1, 0.1, 0.01, "e1")
 ANSWERED = CallResult("work-order", "k1", 200, "yes", "")
 REFUSED = CallResult("work-order", "k2", 503, "no", "no_endpoint")
-GOOD = Evidence(
-    [WHOLE],
+VALID = Evidence(
+    [COMPLETE],
     [ANSWERED, REFUSED],
     {"p1": 0},
     Counter({"k1": 1}),
@@ -24,35 +24,43 @@
 )
 
 
-def broken(evidence: Evidence) -> list[int]:
-    return [index for index, item in enumerate(check_promises(evidence)) if not item.held]
+def violated_guarantees(evidence: Evidence) -> list[int]:
+    return [index for index, finding in enumerate(check_guarantees(evidence)) if not finding.held]
 
 
-def test_good_evidence_holds_all_eight() -> None:
-    assert len(check_promises(GOOD)) == 8
-    assert broken(GOOD) == []
+def test_valid_evidence_violates_none_of_the_eight_guarantees() -> None:
+    assert len(check_guarantees(VALID)) == 8
+    assert violated_guarantees(VALID) == []
 
 
 @pytest.mark.parametrize(
-    ("changes", "promises"),
+    ("changes", "guarantees"),
     [
-        ({"engine_memory": {"p1": 0, "d1": 40}}, [0]),
-        ({"models": [WHOLE, WHOLE._replace(ids=(0, 0, 1))]}, [1]),
-        ({"models": [WHOLE._replace(ends=2)]}, [1]),
-        ({"models": [WHOLE._replace(text="a ")]}, [2]),
-        ({"models": [WHOLE, WHOLE._replace(outcome="cut", text="x", ends=0, entry="e3")]}, [2]),
-        ({"models": []}, [2]),
+        ({"engine_memory_tokens": {"p1": 0, "d1": 40}}, [0]),
+        ({"model_results": [COMPLETE, COMPLETE._replace(event_ids=(0, 0, 1))]}, [1]),
+        ({"model_results": [COMPLETE._replace(end_marks=2)]}, [1]),
+        ({"model_results": [COMPLETE._replace(text="a ")]}, [2]),
+        (
+            {
+                "model_results": [
+                    COMPLETE,
+                    COMPLETE._replace(outcome="cut", text="x", end_marks=0, entry="e3"),
+                ]
+            },
+            [2],
+        ),
+        ({"model_results": []}, [2]),
         ({"executions": Counter({"k1": 1, "k2": 1})}, [3]),
         ({"executions": Counter({"k1": 2})}, [4]),
         ({"executions": Counter()}, [4]),
-        ({"work_after_leaving": 1}, [5]),
+        ({"orders_after_leaving": 1}, [5]),
         ({"stop_exit_code": 1}, [6]),
-        ({"models": [WHOLE, WHOLE._replace(outcome="cut", ends=0)]}, [6]),
+        ({"model_results": [COMPLETE, COMPLETE._replace(outcome="cut", end_marks=0)]}, [6]),
         ({"revisions": {"e3": [1, 2, 1, 2]}}, [7]),
         ({"revisions": {"e3": [1, 1]}}, [7]),
         ({"revisions": {"e2": [1], "e3": [2]}}, []),
-        ({"in_force_s": 6.0}, [7]),
+        ({"activation_s": 6.0}, [7]),
     ],
 )
-def test_what_is_broken_is_reported(changes: dict[str, object], promises: list[int]) -> None:
-    assert broken(GOOD._replace(**changes)) == promises
+def test_violation_is_reported(changes: dict[str, object], guarantees: list[int]) -> None:
+    assert violated_guarantees(VALID._replace(**changes)) == guarantees
--- a/demo/traffic.py
+++ b/demo/traffic.py
@@ -1,4 +1,4 @@
-"""Callers of the demo: model requests and keyed calls, and what they got."""
+"""Callers of the demo: send model requests and keyed calls, and record the results."""
 
 import json
 import random
@@ -14,153 +14,177 @@
 from demo.evidence import CallResult, ModelResult
 from standins.engine import expected_tokens
 
-__all__ = ["Ask", "Caller", "make_key", "pick_ask"]
+__all__ = ["Caller", "ModelRequest", "make_key", "pick_model_request"]
 
 _Lines = AsyncGenerator[str, None]
-_PAGES = "A page of the chapter, with its panels and balloons, as the reader sees it. "
+# Sentence that prompts repeat to reach their length.
+_PROMPT_PAGE = "A page of the chapter, with its panels and balloons, as the reader sees it. "
 
 
-class Ask(NamedTuple):
-    """One model request to send; ``cancel_after`` tokens the caller goes."""
+class ModelRequest(NamedTuple):
+    """A model request to send.
+
+    Attributes:
+        request_class: Class of the request.
+        model: Name of the model.
+        prompt: The prompt.
+        max_tokens: Maximum number of tokens to generate.
+        cancel_after_tokens: Number of tokens after which the caller disconnects; None for never.
+        cancel_after_s: Seconds after which the caller disconnects; None for never.
+    """
 
     request_class: str
     model: str
     prompt: str
     max_tokens: int
-    cancel_after: int | None = None
+    cancel_after_tokens: int | None = None
     cancel_after_s: float | None = None
 
 
-def pick_ask(rng: random.Random, number: int) -> Ask:
-    """Pick a request of one of both deployments' kinds."""
-    kind = rng.choices(("translation", "tagging", "question", "verdict"), (5, 1, 3, 1))[0]
+def pick_model_request(rng: random.Random, number: int) -> ModelRequest:
+    """Pick a request of a random class of either example deployment."""
+    request_class = rng.choices(("translation", "tagging", "question", "verdict"), (5, 1, 3, 1))[0]
     model = {"translation": "bublina-translate", "tagging": "bublina-tagger"}.get(
-        kind, "conseiller"
+        request_class, "conseiller"
+    )
+    pages = (
+        rng.randrange(100, 400) if request_class in ("tagging", "verdict") else rng.randrange(1, 6)
+    )
+    return ModelRequest(
+        request_class,
+        model,
+        f"{number}: {request_class}. " + _PROMPT_PAGE * pages,
+        rng.randrange(8, 40),
     )
-    pages = rng.randrange(100, 400) if kind in ("tagging", "verdict") else rng.randrange(1, 6)
-    return Ask(kind, model, f"{number}: {kind}. " + _PAGES * pages, rng.randrange(8, 40))
 
 
 def make_key(rng: random.Random) -> str:
-    """Make a UUIDv7 of the present time."""
+    """Create a UUIDv7 with the current time."""
     milliseconds = int(time.time() * 1000)
     value = milliseconds << 80 | 0x7 << 76 | rng.getrandbits(12) << 64
     return str(uuid.UUID(int=value | 0x2 << 62 | rng.getrandbits(62)))
 
 
 class Caller:
-    """Sends requests to entries and keeps what came back."""
+    """Sends requests to entries and records the results."""
 
     def __init__(self, client: httpx.AsyncClient) -> None:
         self._client = client
-        self.models: list[ModelResult] = []
-        self.calls: list[CallResult] = []
-
-    async def ask(self, entry: str, address: str, ask: Ask) -> ModelResult:
-        """Ask one model request as a stream and note the result."""
-        answer = _Answer(ask, entry)
-        with trio.move_on_after(ask.cancel_after_s or 1e9) as scope:
-            await answer.receive(self._client, address)
+        self.model_results: list[ModelResult] = []
+        self.call_results: list[CallResult] = []
+
+    async def send_model_request(
+        self, entry: str, address: str, request: ModelRequest
+    ) -> ModelResult:
+        """Send a model request, read the response as a stream and record the result."""
+        reader = _ResponseReader(request, entry)
+        with trio.move_on_after(request.cancel_after_s or 1e9) as scope:
+            await reader.receive(self._client, address)
         if scope.cancelled_caught:
-            answer.outcome = "cancelled"
-        result = answer.result()
-        self.models.append(result)
+            reader.outcome = "cancelled"
+        result = reader.result()
+        self.model_results.append(result)
         return result
 
-    async def call(self, address: str, request_class: str, path: str, key: str) -> CallResult:
-        """Send one keyed call and note the result."""
+    async def send_call(self, address: str, request_class: str, path: str, key: str) -> CallResult:
+        """Send a call with an idempotency key and record the result."""
         method = "POST" if request_class == "work-order" else "GET"
         headers = {"Idempotency-Key": key, "X-Request-Class": request_class}
         try:
-            answer = await self._client.request(
+            response = await self._client.request(
                 method, f"http://{address}{path}", headers=headers, content=b"{}"
             )
-            error = answer.json()["error"] if answer.status_code != 200 else {}
+            error = response.json()["error"] if response.status_code != 200 else {}
             result = CallResult(
                 request_class,
                 key,
-                answer.status_code,
+                response.status_code,
                 error.get("ran", "yes"),
                 error.get("code", ""),
             )
         except httpx.HTTPError:
             result = CallResult(request_class, key, 0, "unknown", "connection")
-        self.calls.append(result)
+        self.call_results.append(result)
         return result
 
 
-class _Answer:
-    """One answer on its way in."""
+class _ResponseReader:
+    """Reads the streamed response to one model request."""
 
-    def __init__(self, ask: Ask, entry: str) -> None:
-        self._ask = ask
+    def __init__(self, request: ModelRequest, entry: str) -> None:
+        self._request = request
         self._entry = entry
-        self._ids: list[int] = []
-        self._text: list[str] = []
-        self._ends = 0
-        self._kind = ""
-        self._times: list[float] = []
-        self._started = time.monotonic()
+        self._event_ids: list[int] = []
+        self._texts: list[str] = []
+        self._end_marks = 0
+        self._error_code = ""
+        self._token_times: list[float] = []
+        self._started_at = time.monotonic()
         self.outcome = "cut"
 
     async def receive(self, client: httpx.AsyncClient, address: str) -> None:
-        """Send the request and take what comes until the end."""
+        """Send the request and read the response until its end, an error or a cancellation."""
         body = {
-            "model": self._ask.model,
-            "prompt": self._ask.prompt,
-            "max_tokens": self._ask.max_tokens,
+            "model": self._request.model,
+            "prompt": self._request.prompt,
+            "max_tokens": self._request.max_tokens,
             "stream": True,
         }
-        headers = {"X-Request-Class": self._ask.request_class}
+        headers = {"X-Request-Class": self._request.request_class}
         url = f"http://{address}/v1/completions"
         try:
             async with client.stream("POST", url, json=body, headers=headers) as response:
                 if response.status_code != httpx.codes.OK:
-                    self._refuse(json.loads(await response.aread()))
+                    self._record_refusal(json.loads(await response.aread()))
                     return
                 async with aclosing(cast(_Lines, response.aiter_lines())) as lines:
                     async for line in lines:
-                        if self._take(line):
+                        if self._process_line(line):
                             return
         except httpx.HTTPError:
             self.outcome = "cut"
 
     def result(self) -> ModelResult:
-        """Give what the caller saw."""
-        ttft_s = self._times[0] - self._started if self._times else 0.0
-        gaps = max(1, len(self._times) - 1)
+        """Return the result as observed by the caller."""
+        ttft_s = self._token_times[0] - self._started_at if self._token_times else 0.0
+        intervals = max(1, len(self._token_times) - 1)
         return ModelResult(
-            self._ask.request_class,
+            self._request.request_class,
             self.outcome,
-            self._kind,
-            tuple(self._ids),
-            "".join(self._text),
-            "".join(expected_tokens(self._ask.prompt, self._ask.max_tokens)),
-            self._ends,
+            self._error_code,
+            tuple(self._event_ids),
+            "".join(self._texts),
+            "".join(expected_tokens(self._request.prompt, self._request.max_tokens)),
+            self._end_marks,
             ttft_s,
-            (self._times[-1] - self._times[0]) / gaps if self._times else 0.0,
+            (self._token_times[-1] - self._token_times[0]) / intervals
+            if self._token_times
+            else 0.0,
             self._entry,
         )
 
-    def _refuse(self, body: dict[str, Any]) -> None:
+    def _record_refusal(self, body: dict[str, Any]) -> None:
         self.outcome = "refused"
-        self._kind = body["error"]["code"]
+        self._error_code = body["error"]["code"]
 
-    def _take(self, line: str) -> bool:
-        """Take one line; tell whether to stop."""
+    def _process_line(self, line: str) -> bool:
+        """Process one line of the stream; return whether to stop reading."""
         if line.startswith("id: "):
-            self._ids.append(int(line[4:]))
+            self._event_ids.append(int(line[4:]))
         elif line == "data: [DONE]":
-            self._ends += 1
+            self._end_marks += 1
             self.outcome = "whole"
         elif line.startswith("data: "):
             data = json.loads(line[6:])
             if "error" in data:
-                self.outcome, self._kind = "broken", data["error"]["code"]
+                self.outcome, self._error_code = "broken", data["error"]["code"]
                 return True
-            self._text.append(data["choices"][0]["text"])
-            self._times.append(time.monotonic())
-            if self._ask.cancel_after is not None and len(self._ids) >= self._ask.cancel_after:
+            self._texts.append(data["choices"][0]["text"])
+            self._token_times.append(time.monotonic())
+            if (
+                self._request.cancel_after_tokens is not None
+                and len(self._event_ids) >= self._request.cancel_after_tokens
+            ):
                 self.outcome = "cancelled"
                 return True
         return False
