--- a/examples/__init__.py
+++ b/examples/__init__.py
@@ -1,1 +1,1 @@
-"""Examples: two whole configurations and a program that embeds the library."""
+"""Examples: two complete configurations and a program that uses cleatlink as a library."""
--- a/examples/place.py
+++ b/examples/place.py
@@ -1,4 +1,4 @@
-"""Place one request with the library alone: no daemon, no network, no clock.
+"""Places one request with the library alone, without a daemon, a network or a clock.
 
 Run it from the root of the repository: ``python -m examples.place``.
 """
--- a/examples/place_test.py
+++ b/examples/place_test.py
@@ -1,4 +1,4 @@
-"""The example of embedding runs and places its request."""
+"""Tests that the library example runs and places its request."""
 
 import runpy
 
