--- a/features/__init__.py
+++ b/features/__init__.py
@@ -1,1 +1,1 @@
-"""The promises as scenarios, run over the whole instance in virtual time."""
+"""Scenarios that test the guarantees with complete entry instances in virtual time."""
--- a/features/ablation_test.py
+++ b/features/ablation_test.py
@@ -1,4 +1,4 @@
-"""Each mechanism is needed: with it switched off, its scenarios fail."""
+"""Tests that the scenarios of each mechanism fail when the mechanism is disabled."""
 
 import os
 import subprocess
@@ -10,28 +10,28 @@
 
 from standins.ablate import ABLATIONS, VARIABLE
 
-_AT_ONCE = 4
-_SCENARIOS = [f"features/{name}_test.py" for name in ("memory", "answers", "calls", "fleet")]
+_MAX_PARALLEL_RUNS = 4
+_SCENARIO_FILES = [f"features/{name}_test.py" for name in ("memory", "answers", "calls", "fleet")]
 
 
-def run_without(name: str) -> tuple[int, str]:
-    """Run a mechanism's scenarios without it."""
+def run_scenarios_without(name: str) -> tuple[int, str]:
+    """Run the scenarios of a mechanism without it; return the exit code and the output."""
     command = [sys.executable, "-m", "pytest", "-p", "standins.ablate", "--no-header"]
     command += ["--tb=no", "-p", "no:cacheprovider", "-k", ABLATIONS[name].scenarios]
-    done = subprocess.run(
-        [*command, *_SCENARIOS],
+    completed = subprocess.run(
+        [*command, *_SCENARIO_FILES],
         env={**os.environ, VARIABLE: name},
         capture_output=True,
         text=True,
         check=False,
     )
-    return done.returncode, done.stdout
+    return completed.returncode, completed.stdout
 
 
 @pytest.fixture(scope="module")
 def runs() -> Mapping[str, tuple[int, str]]:
-    with ThreadPoolExecutor(_AT_ONCE) as pool:
-        return dict(zip(ABLATIONS, pool.map(run_without, ABLATIONS), strict=True))
+    with ThreadPoolExecutor(_MAX_PARALLEL_RUNS) as pool:
+        return dict(zip(ABLATIONS, pool.map(run_scenarios_without, ABLATIONS), strict=True))
 
 
 @pytest.mark.parametrize("name", ABLATIONS)
--- a/features/answers_test.py
+++ b/features/answers_test.py
@@ -1,47 +1,51 @@
-"""Whole answers, once: the stories."""
+"""Steps of the scenarios on complete answers that are received exactly once."""
 
 from pytest_bdd import parsers, scenarios, when
 
-from features.run import Run, note_memory, reach_phase
+from features.run import ScenarioRun, record_memory_release, wait_for_phase
 from standins.world import World, wait_tokens
 
 scenarios("answers.feature")
 
 
-@when(parsers.parse("a caller asks for {tokens:d} tokens"))
-def _(run: Run, tokens: int) -> None:
-    async def story(world: World) -> None:
+@when(parsers.parse("a caller requests {tokens:d} tokens"))
+def _(run: ScenarioRun, tokens: int) -> None:
+    async def action(world: World) -> None:
         await wait_tokens(world.start_ask("e1", tokens), tokens + 1)
-        await note_memory(run, world)
+        await record_memory_release(run, world)
 
     run.tokens = tokens
-    run.play(story)
+    run.execute(action)
 
 
-@when(parsers.parse("engine {which} dies while a request for {tokens:d} tokens is {phase}"))
-def _(run: Run, which: str, tokens: int, phase: str) -> None:
-    async def story(world: World) -> None:
+@when(
+    parsers.parse(
+        "the engine assigned to {work} dies while a request for {tokens:d} tokens is {phase}"
+    )
+)
+def _(run: ScenarioRun, work: str, tokens: int, phase: str) -> None:
+    async def action(world: World) -> None:
         caller = world.start_ask("e1", tokens)
-        await reach_phase(world, caller, phase)
-        placed = world.entries["e1"].entry.view.reservations
-        role = "prefill" if which == "the prefill's" else "decode"
-        name = next(item.endpoint for key, item in placed.items() if key.endswith(role))
-        world.fleet.kill(name)
+        await wait_for_phase(world, caller, phase)
+        reserved = world.entries["e1"].entry.view.reservations
+        role = "prefill" if work == "the prefill" else "decode"
+        engine = next(item.endpoint for key, item in reserved.items() if key.endswith(role))
+        world.fleet.kill(engine)
         await wait_tokens(caller, tokens + 1)
-        await note_memory(run, world)
+        await record_memory_release(run, world)
 
     run.tokens = tokens
-    run.play(story)
+    run.execute(action)
 
 
 @when(parsers.parse("all decode engines die while a request for {tokens:d} tokens is streaming"))
-def _(run: Run, tokens: int) -> None:
-    async def story(world: World) -> None:
+def _(run: ScenarioRun, tokens: int) -> None:
+    async def action(world: World) -> None:
         caller = world.start_ask("e1", tokens)
-        await reach_phase(world, caller, "streaming")
+        await wait_for_phase(world, caller, "streaming")
         world.fleet.kill("d1")
         world.fleet.kill("d2")
         await wait_tokens(caller, tokens + 1)
 
     run.tokens = tokens
-    run.play(story)
+    run.execute(action)
--- a/features/calls.feature
+++ b/features/calls.feature
@@ -1,64 +1,64 @@
-Feature: A call that may not be repeated runs at most once, and "not run" is true
+Feature: An unrepeatable call runs at most once, and a call refused as "not run" never runs
 
   Scenario Outline: The connection to the endpoint fails
-    Given the connection to the service is cut <moment> sending
+    Given the connection to each service fails <moment> sending
     When an order is posted
-    Then the caller hears that it ran: <ran>
-    And the order ran at most <times> times
+    Then the caller receives the execution status <ran>
+    And the order ran at most <count> times
 
     Examples:
-      | moment | ran     | times |
+      | moment | ran     | count |
       | before | no      | 0     |
       | during | unknown | 0     |
       | after  | unknown | 1     |
 
   Scenario: One key at two entries at once
     Given entries e1 in a, e2 in a, e3 in b
-    When one key is posted through e1, e2, e3 at once
-    Then every caller has the same answer
-    And the key ran exactly once
+    When orders with one key are posted through e1, e2, e3 at the same time
+    Then every caller has received the same answer with status 200
+    And the order with the key ran exactly once
 
   Scenario: One key with two different bodies
     Given entries e1 in a, e2 in a, e3 in b
-    When one key is posted with two different bodies
+    When two orders with one key and different bodies are posted
     Then the second caller is refused with key_mismatch
-    And the key ran exactly once
+    And the order with the key ran exactly once
 
   Scenario: The owner of the key dies after the call ran
     Given entries e1 in a, e2 in a, e3 in a
-    When a key is posted, its owner dies, and it is posted again
-    Then the second caller hears that it ran: unknown
-    And the key ran exactly once
+    When an order is posted, the owner of its key dies, and the order is posted again
+    Then the second caller receives the execution status unknown
+    And the order with the key ran exactly once
 
   Scenario: All entries are replaced after the call ran
     Given entries e1 in a, e2 in a
-    When a key is posted, all entries are replaced, and it is posted again
-    Then the second caller hears that it ran: unknown
-    And the key ran exactly once
+    When an order is posted, all entries are replaced, and the order is posted again
+    Then the second caller receives the execution status unknown
+    And the order with the key ran exactly once
 
   Scenario: One key on both sides of a cut
     Given entries e1 in a, e2 in a, e3 in b, e4 in b
-    When the data centres are cut from each other and one key is posted on both sides
-    Then the key ran at most once
+    When the data centres are disconnected and orders with one key are posted in both
+    Then the order with the key ran at most once
 
   Scenario: One key on both sides of a cut within a data centre
     Given entries e1 in a, e2 in a
-    When e1 and e2 are cut from each other and one key is posted on both sides
-    Then the key ran at most once
+    When entries e1 and e2 are disconnected and orders with one key are posted to both
+    Then the order with the key ran at most once
 
-  Scenario: A key whose home is cut off can be made here
+  Scenario: A key whose home data centre is disconnected runs there
     Given entries e1 in a, e2 in a, e3 in b, e4 in b
-    When the data centres are cut from each other and a key of this home is posted
-    Then the key ran exactly once
+    When the data centres are disconnected and an order is posted in the home of its key
+    Then the order with the key ran exactly once
 
   Scenario: A stopping entry does not say of a key that it did not run
     Given entries e1 in a, e2 in a
-    When a key runs through e2 and is posted to e1, which is stopping
-    Then the second caller hears that it ran: unknown
+    When an order runs through e2 and is posted again to e1, which is stopping
+    Then the second caller receives the execution status unknown
 
   Scenario: The caller goes away while its order runs
     Given entries e1 in a, e2 in a
-    And an order takes 2 seconds
-    When a key is posted, its caller goes away, and it is posted again
-    Then every caller that stayed has an answer
-    And the key ran exactly once
+    And each service executes an order in 2 seconds
+    When an order is posted, its caller disconnects, and the order is posted again
+    Then every caller that stayed connected has received an answer
+    And the order with the key ran exactly once
--- a/features/calls_test.py
+++ b/features/calls_test.py
@@ -1,47 +1,47 @@
-"""Calls that may not be repeated, and "not run": the stories."""
+"""Steps of the scenarios on unrepeatable calls and calls that are refused as not run."""
 
 import trio
 from pytest_bdd import parsers, scenarios, when
 
-from features.run import Run
+from features.run import ScenarioRun
 from standins.world import World
 
 scenarios("calls.feature")
 
 
 @when("an order is posted")
-def _(run: Run) -> None:
-    async def story(world: World) -> None:
+def _(run: ScenarioRun) -> None:
+    async def action(world: World) -> None:
         run.key = world.make_key()
         await world.call("e1", run.key)
 
-    run.play(story)
+    run.execute(action)
 
 
-@when(parsers.parse("one key is posted through {names} at once"))
-def _(run: Run, names: str) -> None:
-    async def story(world: World) -> None:
+@when(parsers.parse("orders with one key are posted through {names} at the same time"))
+def _(run: ScenarioRun, names: str) -> None:
+    async def action(world: World) -> None:
         run.key = world.make_key()
         async with trio.open_nursery() as nursery:
             for name in names.split(", "):
                 nursery.start_soon(world.call, name, run.key)
 
-    run.play(story)
+    run.execute(action)
 
 
-@when("one key is posted with two different bodies")
-def _(run: Run) -> None:
-    async def story(world: World) -> None:
+@when("two orders with one key and different bodies are posted")
+def _(run: ScenarioRun) -> None:
+    async def action(world: World) -> None:
         run.key = world.make_key()
         await world.call("e1", run.key, b"one")
         await world.call("e2", run.key, b"two")
 
-    run.play(story)
+    run.execute(action)
 
 
-@when("a key is posted, its owner dies, and it is posted again")
-def _(run: Run) -> None:
-    async def story(world: World) -> None:
+@when("an order is posted, the owner of its key dies, and the order is posted again")
+def _(run: ScenarioRun) -> None:
+    async def action(world: World) -> None:
         run.key = world.make_key("a")
         members = world.entries["e1"].entry.peers.members
         owner = members.owner(run.key, "a", trio.current_time())
@@ -54,12 +54,12 @@
         await trio.sleep(20)
         await world.call(others[1], run.key)
 
-    run.play(story)
+    run.execute(action)
 
 
-@when("a key is posted, all entries are replaced, and it is posted again")
-def _(run: Run) -> None:
-    async def story(world: World) -> None:
+@when("an order is posted, all entries are replaced, and the order is posted again")
+def _(run: ScenarioRun) -> None:
+    async def action(world: World) -> None:
         run.key = world.make_key()
         await world.call("e1", run.key)
         for name in list(world.entries):
@@ -71,70 +71,70 @@
         await trio.sleep(20)
         await world.call("e5", run.key)
 
-    run.play(story)
+    run.execute(action)
 
 
-def cut_data_centres(world: World) -> None:
-    links = {name: item.link.address for name, item in world.entries.items()}
-    world.network.cut([links["e1"], links["e2"]], [links["e3"], links["e4"]])
+def disconnect_data_centres(world: World) -> None:
+    addresses = {name: item.link.address for name, item in world.entries.items()}
+    world.network.cut([addresses["e1"], addresses["e2"]], [addresses["e3"], addresses["e4"]])
 
 
-@when("the data centres are cut from each other and one key is posted on both sides")
-def _(run: Run) -> None:
-    async def story(world: World) -> None:
-        cut_data_centres(world)
+@when("the data centres are disconnected and orders with one key are posted in both")
+def _(run: ScenarioRun) -> None:
+    async def action(world: World) -> None:
+        disconnect_data_centres(world)
         await trio.sleep(20)
         run.key = world.make_key()
         await world.call("e1", run.key)
         await world.call("e3", run.key)
 
-    run.play(story)
+    run.execute(action)
 
 
-@when("e1 and e2 are cut from each other and one key is posted on both sides")
-def _(run: Run) -> None:
-    async def story(world: World) -> None:
-        links = {name: item.link.address for name, item in world.entries.items()}
-        world.network.cut([links["e1"]], [links["e2"]])
+@when("entries e1 and e2 are disconnected and orders with one key are posted to both")
+def _(run: ScenarioRun) -> None:
+    async def action(world: World) -> None:
+        addresses = {name: item.link.address for name, item in world.entries.items()}
+        world.network.cut([addresses["e1"]], [addresses["e2"]])
         await trio.sleep(20)
         run.key = world.make_key("a")
         await world.call("e1", run.key)
         await world.call("e2", run.key)
 
-    run.play(story)
+    run.execute(action)
 
 
-@when("the data centres are cut from each other and a key of this home is posted")
-def _(run: Run) -> None:
-    async def story(world: World) -> None:
-        cut_data_centres(world)
+@when("the data centres are disconnected and an order is posted in the home of its key")
+def _(run: ScenarioRun) -> None:
+    async def action(world: World) -> None:
+        disconnect_data_centres(world)
         await trio.sleep(20)
         run.key = world.make_key("b")
         await world.call("e3", run.key)
 
-    run.play(story)
+    run.execute(action)
 
 
-@when("a key runs through e2 and is posted to e1, which is stopping")
-def _(run: Run) -> None:
-    async def story(world: World) -> None:
+@when("an order runs through e2 and is posted again to e1, which is stopping")
+def _(run: ScenarioRun) -> None:
+    async def action(world: World) -> None:
         run.key = world.make_key()
         await world.call("e2", run.key)
         world.nursery.start_soon(world.entries["e1"].entry.stop)
         await trio.sleep(0.01)
         await world.call("e1", run.key)
 
-    run.play(story)
+    run.execute(action)
 
 
-@when("a key is posted, its caller goes away, and it is posted again")
-def _(run: Run) -> None:
-    async def story(world: World) -> None:
+@when("an order is posted, its caller disconnects, and the order is posted again")
+def _(run: ScenarioRun) -> None:
+    async def action(world: World) -> None:
         run.key = world.make_key()
         world.nursery.start_soon(world.call, "e1", run.key)
         await trio.sleep(0.5)
         world.answers[0].go_away()
-        run.checks["gone"] = 1
+        run.observed["disconnected_callers"] = 1
         await world.call("e2", run.key)
 
-    run.play(story)
+    run.execute(action)
--- a/features/run.py
+++ b/features/run.py
@@ -1,4 +1,4 @@
-"""One scenario's run: its world, and what its story leaves to be checked."""
+"""State of one scenario: its simulated fleet and the observations that its steps check."""
 
 import math
 from collections.abc import Awaitable, Callable
@@ -9,33 +9,42 @@
 from standins.fakes import Caller
 from standins.world import World, wait_tokens
 
-Story = Callable[[World], Awaitable[None]]
+Action = Callable[[World], Awaitable[None]]
 
 
-class Run:
-    """The world of one scenario and what its story left to be checked."""
+class ScenarioRun:
+    """The simulated fleet of one scenario and the observations that its steps check.
+
+    Attributes:
+        world: The fleet; ``Given`` steps change it before the action.
+        entries: Entries to start, each as name and data centre; empty for ``e1`` in ``a``.
+        tokens: Number of tokens that the first caller requests.
+        key: Idempotency key of the order.
+        observed: Observations of the action by name, for the ``Then`` steps.
+    """
 
     def __init__(self) -> None:
         self.world = World()
         self.entries: list[str] = []
         self.tokens = 20
         self.key = ""
-        self.checks: dict[str, Any] = {}
+        self.observed: dict[str, Any] = {}
 
-    def play(self, story: Story) -> None:
-        self.world.run(story, *self.entries)
+    def execute(self, action: Action) -> None:
+        """Start the fleet, apply the changes of the ``Given`` steps and run the action."""
+        self.world.run(action, *self.entries)
 
     @property
-    def first(self) -> Caller:
+    def first_caller(self) -> Caller:
         return self.world.answers[0]
 
     @property
-    def second(self) -> Caller:
+    def second_caller(self) -> Caller:
         return self.world.answers[1]
 
 
-async def reach_phase(world: World, caller: Caller, phase: str) -> None:
-    """Wait until a request is in a phase, judged by the engines' own ledgers."""
+async def wait_for_phase(world: World, caller: Caller, phase: str) -> None:
+    """Wait until a request is in a phase according to the memory that engines hold for it."""
     if phase == "streaming":
         await wait_tokens(caller, 5)
         return
@@ -46,9 +55,9 @@
         await trio.sleep(0.0005)
 
 
-async def note_memory(run: Run, world: World) -> None:
-    """Note for how long memory stays held, and that some was held before."""
-    started = trio.current_time()
+async def record_memory_release(run: ScenarioRun, world: World) -> None:
+    """Record how many seconds engines go on to hold memory; infinite if more than 60."""
+    started_at = trio.current_time()
     await world.wait_memory_free(60)
     held = any(world.fleet.memory().values())
-    run.checks["held_s"] = math.inf if held else trio.current_time() - started
+    run.observed["held_s"] = math.inf if held else trio.current_time() - started_at
