--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -27,7 +27,7 @@
     reserve_request,
 )
 
-__all__ = ["FleetSample", "make_sample", "measure_decisions"]
+__all__ = ["FleetSample", "make_fleet_sample", "measure_decisions"]
 
 _MODEL_COUNT = 23
 _DATA_CENTRE_COUNT = 11
@@ -50,7 +50,7 @@
     requests: list[Request]
 
 
-def make_sample(endpoint_count: int, request_count: int, seed: int) -> FleetSample:
+def make_fleet_sample(endpoint_count: int, request_count: int, seed: int) -> FleetSample:
     """Generate a fleet, and requests for its models.
 
     The configuration has 23 models and 11 data centres. A small fleet serves only some of the
@@ -87,9 +87,9 @@
         One row: median microseconds of one placement, their ratio, and the shares of requests
         that were placed.
     """
-    cleatlink = _measure(make_sample(endpoint_count, request_count, seed), _place, seed)
+    cleatlink = _measure(make_fleet_sample(endpoint_count, request_count, seed), _place, seed)
     naive = _measure(
-        make_sample(endpoint_count, max(20, request_count // 20), seed), _place_naively, seed
+        make_fleet_sample(endpoint_count, max(20, request_count // 20), seed), _place_naively, seed
     )
     return {
         "endpoints": endpoint_count,
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -118,7 +118,7 @@
         One row for each class of the workload.
     """
     world = World()
-    world.place = POLICIES[cell.policy]()
+    world.placement_function = POLICIES[cell.policy]()
     world.pools = _POOLS
     world.configuration = _write_configuration(WORKLOADS[cell.workload])
     world.engine_settings = {
@@ -171,7 +171,9 @@
     prompt = (prompt + f" {rng.random()} ").ljust(prompt_bytes, "y")[:prompt_bytes]
     tokens = rng.randint(*workload_class.output_tokens)
     entry = rng.choice(_entry_names(cell))
-    caller = world.start_ask(entry, tokens, prompt, {"x-request-class": workload_class.name})
+    caller = world.start_model_request(
+        entry, tokens, prompt, {"x-request-class": workload_class.name}
+    )
     cancelled = cell.faults == "cancels" and rng.random() < _CANCEL_SHARE
     if cancelled:
         world.nursery.start_soon(_cancel, caller, rng.uniform(0.0, 0.1))
@@ -180,7 +182,7 @@
 
 async def _cancel(caller: Caller, after_s: float) -> None:
     await trio.sleep(after_s)
-    caller.go_away()
+    caller.disconnect()
 
 
 def _capacity_per_s(classes: tuple[WorkloadClass, ...]) -> float:
@@ -206,12 +208,12 @@
     callers = [
         item.caller for item in sent if item.workload_class is workload_class and not item.cancelled
     ]
-    completed = [caller for caller in callers if caller.ended]
+    completed = [caller for caller in callers if caller.end_mark_count]
     rejections = Counter(caller.error["code"] for caller in callers if caller.status >= 400)
-    ttfts_s = sorted(caller.token_times[0] - caller.asked_at for caller in completed)
+    ttfts_s = sorted(caller.token_times[0] - caller.sent_at for caller in completed)
     token_times_s = sorted(_mean_token_time_s(caller) for caller in completed)
     within_targets = sum(
-        caller.token_times[0] - caller.asked_at <= workload_class.ttft_target_s
+        caller.token_times[0] - caller.sent_at <= workload_class.ttft_target_s
         and _mean_token_time_s(caller) <= workload_class.token_target_s
         for caller in completed
     )
--- a/cleatlink/routing/placement_test.py
+++ b/cleatlink/routing/placement_test.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from bench.decisions import make_sample
+from bench.decisions import make_fleet_sample
 from bench.naive import place_naively
 from cleatlink.config import load_configuration
 from cleatlink.core.data import (
@@ -153,7 +153,7 @@
     seed: int, endpoints: int, in_flight: int, large_prompts: bool
 ) -> None:
     """The placement examines a few endpoints; the naive version examines all of them."""
-    made = make_sample(endpoints, in_flight + 10, seed)
+    made = make_fleet_sample(endpoints, in_flight + 10, seed)
     rng = random.Random(seed)
     names = [endpoint.name for endpoint in made.view.fleet.endpoints]
     for name in rng.sample(names, len(names) // 3):
--- a/cleatlink/routing/role_planner_test.py
+++ b/cleatlink/routing/role_planner_test.py
@@ -24,7 +24,7 @@
     plan_role_change,
     plan_role_changes,
 )
-from tools.kinds.catalogue import KINDS, Kind
+from tools.kinds.catalogue import ENGINE_PROFILES, Kind
 
 CHANGE_S = 6.0
 PROMISE = LatencyTargets(0.9, 0.3)
@@ -192,7 +192,7 @@
     change = plan(2, 3, not_shared)
     assert change is not None
     assert change.role is Role.PREFILL
-    kind = next(kind for kind in KINDS if kind.name == "slow prompts")
+    kind = next(kind for kind in ENGINE_PROFILES if kind.name == "slow prompts")
     capacity, traits = measured(kind, 5.0, 20)
     demand = capacity.demand("s", traits, PROMISE, 20.0)
     assert demand is not None
@@ -247,9 +247,9 @@
     """Return the measurements of a kind of engine after some seconds of streams."""
     traits = EngineProperties(kind.slots or 64, kind.memory_tokens or 40_000, 0.5, CHANGE_S)
     capacity = Capacity()
-    prompt, output = int(kind.prompt or 3000), 9 * int(kind.output or 71)
-    step_s = (kind.step_ms or 5.0) / 1000
-    prompt_s = prompt / (kind.prompt_tokens_ms or 33.0) / 1000
+    prompt, output = int(kind.mean_prompt_tokens or 3000), 9 * int(kind.mean_output_events or 71)
+    step_s = (kind.decode_step_ms or 5.0) / 1000
+    prompt_s = prompt / (kind.prompt_tokens_per_ms or 33.0) / 1000
     for number, role in enumerate([Role.PREFILL] * 2 + [Role.DECODE] * 3):
         capacity.set_endpoint(RoutedEndpoint(f"e{number}", "127.0.0.1:1", "a", "s", role, 64))
     times = capacity.service_times("s")
@@ -262,20 +262,20 @@
     return capacity, traits
 
 
-@pytest.mark.parametrize("kind", KINDS, ids=lambda kind: kind.name)
+@pytest.mark.parametrize("kind", ENGINE_PROFILES, ids=lambda kind: kind.name)
 def test_demand_matches_the_measurements_of_each_kind_of_engine(kind: Kind) -> None:
     capacity, traits = measured(kind, 5.0, 20)
     demand = capacity.demand("s", traits, PROMISE, 20.0)
     assert demand is not None
     assert demand.rate == pytest.approx(5.0, rel=0.1)
-    prompt, output = int(kind.prompt or 3000), 9 * int(kind.output or 71)
-    assert demand.prompt_s == pytest.approx(prompt / (kind.prompt_tokens_ms or 33.0) / 1000)
-    assert demand.stream_s > output * (kind.step_ms or 5.0) / 1000
+    prompt, output = int(kind.mean_prompt_tokens or 3000), 9 * int(kind.mean_output_events or 71)
+    assert demand.prompt_s == pytest.approx(prompt / (kind.prompt_tokens_per_ms or 33.0) / 1000)
+    assert demand.stream_s > output * (kind.decode_step_ms or 5.0) / 1000
     assert demand.slots_per_decode <= traits.slots
     assert demand.slots_per_decode * (prompt + output / 2) <= traits.memory_tokens * 1.01
 
 
-@pytest.mark.parametrize("kind", KINDS, ids=lambda kind: kind.name)
+@pytest.mark.parametrize("kind", ENGINE_PROFILES, ids=lambda kind: kind.name)
 def test_plan_lowers_the_late_share_for_each_kind_of_engine(kind: Kind) -> None:
     capacity, traits = measured(kind, 5.0, 20)
     demand = capacity.demand("s", traits, PROMISE, 20.0)
@@ -288,12 +288,12 @@
 
 def test_nearly_busy_prefill_does_not_change_at_a_calm_start() -> None:
     """Fast engines with little memory: prompts need 0.9 of an engine, and paces are unknown."""
-    kind = next(kind for kind in KINDS if kind.name.startswith("quick, memory"))
-    capacity, traits = measured(kind._replace(prompt_tokens_ms=16.0), 5.0, 2)
+    kind = next(kind for kind in ENGINE_PROFILES if kind.name.startswith("quick, memory"))
+    capacity, traits = measured(kind._replace(prompt_tokens_per_ms=16.0), 5.0, 2)
     assert plan(2, 3, capacity.demand("s", traits, PROMISE, 1.7)) is None
     fresh = Capacity()
     assert fresh.demand("s", traits, PROMISE, 1.7) is None
-    capacity, traits = measured(kind._replace(prompt_tokens_ms=16.0), 5.0, 20)
+    capacity, traits = measured(kind._replace(prompt_tokens_per_ms=16.0), 5.0, 20)
     assert plan(2, 3, capacity.demand("s", traits, PROMISE, 20.0)) is None
 
 
--- a/cleatlink/serving/callers.py
+++ b/cleatlink/serving/callers.py
@@ -31,8 +31,8 @@
 from cleatlink.serving.endpoints import PlainAnswer
 from cleatlink.serving.flight import (
     AnswerEvents,
+    DriverComponents,
     Finished,
-    FlightParts,
     ModelRequestDriver,
     Refused,
     join_text,
@@ -40,7 +40,7 @@
 from cleatlink.serving.metrics import Metrics
 from cleatlink.serving.peers import Peers
 
-__all__ = ["CallerApp", "CallerParts", "build_caller_app"]
+__all__ = ["CallerApp", "CallerComponents", "build_caller_app"]
 
 _BASE_BODY_TIMEOUT_S = 10.0
 # Each received byte extends the timeout, so a body of any size that arrives at this rate is read.
@@ -61,15 +61,15 @@
 _DONE_EVENT = b"data: [DONE]\n\n"
 
 
-class CallerParts(NamedTuple):
+class CallerComponents(NamedTuple):
     """Components of the instance that serving callers needs.
 
     Attributes:
         configuration: Returns the active configuration; None before the first one.
-        admit: Returns a refusal while this instance accepts no new requests.
-        enter: Counts a new request in progress and returns its name.
-        leave: Counts the end of a request in progress.
-        flight_parts: Returns the components that request drivers share.
+        get_admission_refusal: Returns a refusal while this instance accepts no new requests.
+        begin_request: Counts a new request in progress and returns its name.
+        end_request: Counts the end of a request in progress.
+        get_driver_components: Returns the components that request drivers share.
         peers: Connection to the other instances.
         metrics: Metrics of the instance.
         nursery: Runs calls that must complete even if their caller disconnects.
@@ -77,10 +77,10 @@
     """
 
     configuration: Callable[[], Configuration | None]
-    admit: Callable[[], Refusal | None]
-    enter: Callable[[], str]
-    leave: Callable[[], None]
-    flight_parts: Callable[[], FlightParts]
+    get_admission_refusal: Callable[[], Refusal | None]
+    begin_request: Callable[[], str]
+    end_request: Callable[[], None]
+    get_driver_components: Callable[[], DriverComponents]
     peers: Peers
     metrics: Metrics
     nursery: trio.Nursery
@@ -109,10 +109,10 @@
         self._leave: Callable[[], None] | None = None
         self._driver: ModelRequestDriver | None = None
 
-    def begin(self, components: CallerParts) -> str:
+    def begin(self, components: CallerComponents) -> str:
         """Count the request as in progress, and return its name."""
-        self._leave = components.leave
-        return components.enter()
+        self._leave = components.end_request
+        return components.begin_request()
 
     def attach_driver(self, driver: ModelRequestDriver) -> None:
         """Set the driver that is closed at the end of the request."""
@@ -135,7 +135,7 @@
     return lifetime
 
 
-def build_caller_app(components: CallerParts) -> CallerApp:
+def build_caller_app(components: CallerComponents) -> CallerApp:
     """Build the HTTP app that serves callers."""
     app = CallerApp("cleatlink")
     app.config["MAX_CONTENT_LENGTH"] = _MAX_BODY_BYTES
@@ -147,7 +147,7 @@
     return app
 
 
-def _add_model_routes(app: CallerApp, components: CallerParts) -> None:
+def _add_model_routes(app: CallerApp, components: CallerComponents) -> None:
     @app.post("/v1/chat/completions")
     async def chat() -> Response:
         return await _serve_model(components, chat=True)
@@ -169,21 +169,21 @@
         return _json_response({"object": "list", "data": data})
 
 
-def _add_service_routes(app: CallerApp, components: CallerParts) -> None:
+def _add_service_routes(app: CallerApp, components: CallerComponents) -> None:
     @app.route("/services/<name>/", defaults={"path": ""}, methods=_METHODS)
     @app.route("/services/<name>/<path:path>", methods=_METHODS)
     async def call(name: str, path: str) -> Response:
         return await _serve_plain_call(components, name, f"/{path}")
 
 
-def _add_status_routes(app: CallerApp, components: CallerParts) -> None:
+def _add_status_routes(app: CallerApp, components: CallerComponents) -> None:
     @app.get("/healthz")
     async def health() -> Response:
         return _json_response({"healthy": True})
 
     @app.get("/readyz")
     async def ready() -> Response:
-        refusal = components.admit()
+        refusal = components.get_admission_refusal()
         body = {"ready": refusal is None, "reason": refusal.kind.value if refusal else None}
         return _json_response(body, 200 if refusal is None else 503)
 
@@ -197,7 +197,7 @@
         return _json_response(components.describe())
 
 
-def _add_error_handlers(app: CallerApp, components: CallerParts) -> None:
+def _add_error_handlers(app: CallerApp, components: CallerComponents) -> None:
     @app.errorhandler(RequestError)
     async def request_error(error: RequestError) -> Response:
         return _build_error_response(components, _make_refusal(components, error))
@@ -217,7 +217,7 @@
         return _build_error_response(components, Refusal(ErrorKind.INTERNAL, "internal error"))
 
 
-async def _serve_model(components: CallerParts, chat: bool) -> Response:
+async def _serve_model(components: CallerComponents, chat: bool) -> Response:
     """Serve a model request."""
     arrived_at = trio.current_time()
     configuration = _admit(components)
@@ -227,7 +227,7 @@
     classified = classify_model(
         body, chat, IncomingRequest(name, _read_headers(), arrived_at), configuration
     )
-    driver = ModelRequestDriver(classified, components.flight_parts())
+    driver = ModelRequestDriver(classified, components.get_driver_components())
     lifetime.attach_driver(driver)
     components.metrics.count_request(classified.request.request_class)
     with eliot.start_action(action_type="request: model", request=name):
@@ -244,7 +244,7 @@
         self,
         driver: ModelRequestDriver,
         classified: ClassifiedRequest,
-        components: CallerParts,
+        components: CallerComponents,
         arrived_at: float,
     ) -> None:
         self._driver = driver
@@ -316,7 +316,7 @@
         self._components.metrics.count_answer(request_class.name, tokens, met_targets)
 
 
-async def _serve_plain_call(components: CallerParts, service_name: str, path: str) -> Response:
+async def _serve_plain_call(components: CallerComponents, service_name: str, path: str) -> Response:
     """Serve a call to a plain service."""
     arrived_at = trio.current_time()
     configuration = _admit_call(components)
@@ -344,18 +344,18 @@
 
 
 async def _run_plain_call(
-    components: CallerParts, classified: ClassifiedCall, configuration: Configuration
+    components: CallerComponents, classified: ClassifiedCall, configuration: Configuration
 ) -> PlainAnswer | Refusal:
     """Run a call; if it is unrepeatable and has a key, claim the key from its owner first."""
     key = classified.headers.get(KEY_HEADER)
-    driver_components = components.flight_parts()
+    driver_components = components.get_driver_components()
     if key is None or classified.repeatable:
         return await PlainCallDriver(classified, driver_components).run()
     home_data_centre = find_home_data_centre(key, configuration.data_centres)
     if parse_key_time(key) is None or home_data_centre is None:
         detail = f"{KEY_HEADER} must be a UUIDv7, or data-centre:UUIDv7"
         return Refusal(ErrorKind.BAD_REQUEST, detail)
-    return await _run_to_the_end(
+    return await _run_despite_disconnect(
         components,
         lambda: run_keyed_call(
             classified, key, home_data_centre, driver_components, components.peers
@@ -363,8 +363,8 @@
     )
 
 
-async def _run_to_the_end(
-    components: CallerParts, run: Callable[[], Awaitable[PlainAnswer | Refusal]]
+async def _run_despite_disconnect(
+    components: CallerComponents, run: Callable[[], Awaitable[PlainAnswer | Refusal]]
 ) -> PlainAnswer | Refusal:
     """Complete a call with a key even if its caller disconnects, so that its outcome is known."""
     results: list[PlainAnswer | Refusal] = []
@@ -375,21 +375,21 @@
             results.append(await run())
         finally:
             done.set()
-            components.leave()
+            components.end_request()
 
-    components.enter()
+    components.begin_request()
     components.nursery.start_soon(run_and_signal)
     await done.wait()
     return results[0]
 
 
-def _admit(components: CallerParts) -> Configuration:
+def _admit(components: CallerComponents) -> Configuration:
     """Return the active configuration, or refuse the request before any work is done for it.
 
     Raises:
         RequestError: This instance accepts no new requests.
     """
-    refusal = components.admit()
+    refusal = components.get_admission_refusal()
     if refusal is not None:
         raise RequestError(refusal.kind, refusal.detail)
     configuration = components.configuration()
@@ -397,7 +397,7 @@
     return configuration
 
 
-def _make_refusal(components: CallerParts, error: RequestError) -> Refusal:
+def _make_refusal(components: CallerComponents, error: RequestError) -> Refusal:
     """Convert an error to a refusal, which is retryable if a newer configuration may allow it."""
     if (
         error.kind not in _CONFIGURATION_DEPENDENT_KINDS
@@ -408,7 +408,7 @@
     return Refusal(kind, f"{error.detail}; a newer configuration is on its way")
 
 
-def _admit_call(components: CallerParts) -> Configuration:
+def _admit_call(components: CallerComponents) -> Configuration:
     """Admit a call to a plain service, like ``_admit``.
 
     A refusal of a call with a key must not state that the call did not run, because the
@@ -448,7 +448,7 @@
     return {name.lower(): value for name, value in request.headers.items()}
 
 
-def _build_error_response(components: CallerParts, refusal: Refusal) -> Response:
+def _build_error_response(components: CallerComponents, refusal: Refusal) -> Response:
     """Count a refusal, and build its response as ``ERROR_RESPONSES`` defines it."""
     error_response = ERROR_RESPONSES[refusal.kind]
     response = _json_response(_build_error_body(components, refusal), error_response.status)
@@ -460,7 +460,7 @@
     return response
 
 
-def _build_error_body(components: CallerParts, refusal: Refusal) -> dict[str, Any]:
+def _build_error_body(components: CallerComponents, refusal: Refusal) -> dict[str, Any]:
     components.metrics.count_refusal(refusal.kind)
     error_response = ERROR_RESPONSES[refusal.kind]
     return {
--- a/cleatlink/serving/calls.py
+++ b/cleatlink/serving/calls.py
@@ -31,8 +31,8 @@
 )
 from cleatlink.routing import Context, place_plain_call
 from cleatlink.serving.endpoints import PlainAnswer
-from cleatlink.serving.flight import PLACEMENT_MAX_AGE_S, FlightParts, classify_failure
-from cleatlink.serving.peers import ClaimOrder, Peers, Settlement
+from cleatlink.serving.flight import PLACEMENT_MAX_AGE_S, DriverComponents, classify_failure
+from cleatlink.serving.peers import ClaimRequest, KeyOutcome, Peers
 
 __all__ = ["ClassifiedCall", "PlainCallDriver", "run_keyed_call"]
 
@@ -66,7 +66,7 @@
 class PlainCallDriver:
     """Drives one call to a plain service."""
 
-    def __init__(self, classified: ClassifiedCall, components: FlightParts) -> None:
+    def __init__(self, classified: ClassifiedCall, components: DriverComponents) -> None:
         self._classified = classified
         self._components = components
         self._machine = CallMachine(
@@ -141,7 +141,7 @@
     classified: ClassifiedCall,
     key: str,
     home_data_centre: str,
-    components: FlightParts,
+    components: DriverComponents,
     peers: Peers,
 ) -> PlainAnswer | Refusal:
     """Run a call if the instance that owns its idempotency key grants the key.
@@ -161,9 +161,9 @@
     if isinstance(result, PlainAnswer):
         content_type = result.headers.get("content-type", "application/octet-stream")
         answer = StoredAnswer(result.status, content_type, result.body)
-        await peers.settle(Settlement(key, answer), home_data_centre)
+        await peers.report_outcome(KeyOutcome(key, answer), home_data_centre)
     elif driver.certainly_did_not_run:
-        await peers.settle(Settlement(key, None), home_data_centre)
+        await peers.report_outcome(KeyOutcome(key, None), home_data_centre)
     return result
 
 
@@ -174,7 +174,7 @@
     claim = ClaimResult(ClaimState.RUNNING)
     with trio.move_on_at(classified.request.deadline):
         while claim.state is ClaimState.RUNNING:
-            claim = await peers.claim(ClaimOrder(key, classified.fingerprint), home_data_centre)
+            claim = await peers.claim(ClaimRequest(key, classified.fingerprint), home_data_centre)
     return claim
 
 
--- a/cleatlink/serving/cancels.py
+++ b/cleatlink/serving/cancels.py
@@ -56,7 +56,7 @@
         backoff_s = _MIN_BACKOFF_S
         try:
             while trio.current_time() < retry_deadline:
-                if await self._try(address, request, attempt):
+                if await self._send_once(address, request, attempt):
                     self._metrics.count_cancel("acknowledged")
                     return
                 self._metrics.count_cancel("retried")
@@ -71,7 +71,7 @@
         finally:
             self._pending -= 1
 
-    async def _try(self, address: str, request: str, attempt: int) -> bool:
+    async def _send_once(self, address: str, request: str, attempt: int) -> bool:
         with trio.move_on_after(_RESPONSE_TIMEOUT_S):
             try:
                 await self._client.cancel(address, request, attempt)
--- a/cleatlink/serving/daemon.py
+++ b/cleatlink/serving/daemon.py
@@ -7,7 +7,7 @@
 
 from cleatlink.clock import unix_s
 from cleatlink.serving.endpoints import HttpEndpointClient
-from cleatlink.serving.entry import Entry, Outside
+from cleatlink.serving.entry import Entry, EntryDependencies
 from cleatlink.serving.http import serve_app
 from cleatlink.serving.logs import Log
 from cleatlink.serving.peer_app import build_peer_app
@@ -38,7 +38,7 @@
             peer_app = build_peer_app(forwarder.forward)
             peers = await serve_app(nursery, peer_app, settings.peer_listen, stopped.wait)
             link = HttpPeerLink(peers)
-            entry = Entry(settings, Outside(client, platform, link, unix_s))
+            entry = Entry(settings, EntryDependencies(client, platform, link, unix_s))
             forwarder.entry = entry
             app = entry.start(nursery)
             timeout_s = settings.caller_timeout_s
@@ -65,7 +65,7 @@
         """Return the entry's answer to a request of a peer."""
         while self.entry is None:
             await trio.sleep(0.01)
-        return await self.entry.peers.answer(path, body)
+        return await self.entry.peers.handle_request(path, body)
 
 
 async def _wait_for_signal(signals: AsyncIterator[int]) -> None:
--- a/cleatlink/serving/documents.py
+++ b/cleatlink/serving/documents.py
@@ -12,7 +12,7 @@
 from cleatlink.core.errors import PlatformError
 from cleatlink.serving.logs import Log
 from cleatlink.serving.metrics import Metrics
-from cleatlink.serving.platform import Document, DocumentKind, Platform, read_fleet
+from cleatlink.serving.platform import Document, DocumentKind, Platform, parse_fleet
 
 __all__ = ["DocumentStore", "watch_platform"]
 
@@ -44,17 +44,17 @@
         self._log = Log("config")
 
     @property
-    def adopter(self) -> ActiveConfiguration:
+    def active_configuration(self) -> ActiveConfiguration:
         """The active configuration, with its revision and text."""
         return self._active_configuration
 
     @property
-    def fleet(self) -> Document | None:
+    def fleet_document(self) -> Document | None:
         """The active instance list, as published."""
         return self._fleet_document
 
     @property
-    def complete(self) -> bool:
+    def has_both_documents(self) -> bool:
         """Whether the store has both documents."""
         return (
             self._active_configuration.configuration is not None
@@ -105,7 +105,7 @@
         if self._fleet_document is not None and document.revision <= self._fleet_document.revision:
             return False
         try:
-            fleet = read_fleet(document)
+            fleet = parse_fleet(document)
         except PlatformError as error:
             self._log.say("instance list is invalid, keeps the current one", reason=str(error))
             return False
--- a/cleatlink/serving/endpoints.py
+++ b/cleatlink/serving/endpoints.py
@@ -34,8 +34,8 @@
     "Order",
     "PlainAnswer",
     "StreamEvent",
-    "read_cache_news",
-    "read_report",
+    "parse_cache_update",
+    "parse_load_report",
 ]
 
 # Connections per endpoint, and the idle ones among them that are kept open.
@@ -79,18 +79,18 @@
         request: Name of the request.
         attempt: Number of the attempt.
         body: The caller's request body.
-        chat: Whether the request uses the chat API.
+        is_chat: Whether the request uses the chat API.
         position: Position from which the answer continues; 0 for a new answer.
-        text: Text of the answer before that position.
+        generated_text: Text of the answer before that position.
     """
 
     endpoint: Endpoint
     request: str
     attempt: int
     body: Mapping[str, Any]
-    chat: bool
+    is_chat: bool
     position: int
-    text: str
+    generated_text: str
 
 
 class StreamEvent(NamedTuple):
@@ -128,7 +128,7 @@
     """The open event stream of a decode."""
 
     @abstractmethod
-    def take_waiting(self) -> StreamEvent | None:
+    def take_buffered(self) -> StreamEvent | None:
         """Return the next event if it has already been received, else None; never blocks."""
 
     @abstractmethod
@@ -164,11 +164,11 @@
         """Have an endpoint cancel all attempts of a request up to the given one."""
 
     @abstractmethod
-    async def report(self, endpoint: Endpoint, role: Role, after: int) -> EndpointReport:
+    async def fetch_report(self, endpoint: Endpoint, role: Role, after: int) -> EndpointReport:
         """Request an endpoint's load, and its cache events with numbers above ``after``."""
 
     @abstractmethod
-    async def give_order(self, endpoint: Endpoint, order: FencedCommand) -> None:
+    async def send_command(self, endpoint: Endpoint, order: FencedCommand) -> None:
         """Order an endpoint to change to a desired state.
 
         Raises:
@@ -198,7 +198,7 @@
         self._buffer = b""
         self._events: deque[StreamEvent] = deque()
 
-    def take_waiting(self) -> StreamEvent | None:
+    def take_buffered(self) -> StreamEvent | None:
         """Return the next event if it has already been received, else None."""
         return self._events.popleft() if self._events else None
 
@@ -322,7 +322,7 @@
             "request": order.request,
             "attempt": order.attempt,
             "position": order.position,
-            "chat": order.chat,
+            "chat": order.is_chat,
             "model": order.body.get("model"),
         }
         return HttpEventStream(await self._send(order.endpoint.address, "/v1/resume", body, {}))
@@ -333,18 +333,20 @@
         response = await self._send(address, "/v1/cancel", body, {})
         await response.aclose()
 
-    async def report(self, endpoint: Endpoint, role: Role, after: int) -> EndpointReport:
+    async def fetch_report(self, endpoint: Endpoint, role: Role, after: int) -> EndpointReport:
         """Request an endpoint's load, and its cache events with numbers above ``after``."""
         try:
             response = await self._get_client(endpoint.address).get(
                 f"http://{endpoint.address}/load?events_after={after}", timeout=_REPORT_TIMEOUT_S
             )
             data = msgspec.json.decode(response.content)
-            return EndpointReport(read_report(endpoint, role, data), read_cache_news(data, after))
+            return EndpointReport(
+                parse_load_report(endpoint, role, data), parse_cache_update(data, after)
+            )
         except (httpx.HTTPError, msgspec.MsgspecError, TypeError, ValueError) as error:
             raise EndpointError(f"failed to read the load report: {error!r}") from error
 
-    async def give_order(self, endpoint: Endpoint, order: FencedCommand) -> None:
+    async def send_command(self, endpoint: Endpoint, order: FencedCommand) -> None:
         """Order an endpoint to change to a desired state."""
         try:
             response = await self._send(endpoint.address, "/v1/orders", order._asdict(), {})
@@ -384,9 +386,9 @@
     ) -> httpx.Response:
         body = {**order.body, **changes, "kv_transfer_params": transfer}
         if order.position:
-            body["resume"] = {"position": order.position, "text": order.text}
+            body["resume"] = {"position": order.position, "text": order.generated_text}
         headers = {"X-Request-Id": order.request, "X-Attempt": str(order.attempt)}
-        path = "/v1/chat/completions" if order.chat else "/v1/completions"
+        path = "/v1/chat/completions" if order.is_chat else "/v1/completions"
         return await self._send(order.endpoint.address, path, body, headers)
 
     async def _send(
@@ -409,12 +411,12 @@
         if response.status_code == httpx.codes.OK:
             return response
         try:
-            raise await _read_refusal(response)
+            raise await _parse_error_response(response)
         finally:
             await response.aclose()
 
 
-async def _read_refusal(response: httpx.Response) -> EndpointError:
+async def _parse_error_response(response: httpx.Response) -> EndpointError:
     """Return the exception for an error response: a refusal, or an unknown outcome."""
     try:
         error = msgspec.json.decode(await response.aread())["error"]
@@ -427,7 +429,7 @@
     return OutcomeUnknownError(f"endpoint responded with status {response.status_code}")
 
 
-def read_report(endpoint: Endpoint, role: Role, data: Mapping[str, Any]) -> LoadReport:
+def parse_load_report(endpoint: Endpoint, role: Role, data: Mapping[str, Any]) -> LoadReport:
     """Parse a load report; a plain service may report only whether it is leaving."""
     return LoadReport(
         endpoint.name,
@@ -444,7 +446,7 @@
     )
 
 
-def read_cache_news(data: Mapping[str, Any], after: int) -> CacheUpdate:
+def parse_cache_update(data: Mapping[str, Any], after: int) -> CacheUpdate:
     """Parse the cache events of a load report; an endpoint may report none.
 
     Consecutive numbers show that no event was lost. If the last number is lower than
--- a/cleatlink/serving/entry.py
+++ b/cleatlink/serving/entry.py
@@ -16,20 +16,20 @@
 from cleatlink.members import MembershipView, ReportedState
 from cleatlink.request import RetryBudget
 from cleatlink.routing import FleetView, WaitQueue, place_request
-from cleatlink.serving.callers import CallerApp, CallerParts, build_caller_app
+from cleatlink.serving.callers import CallerApp, CallerComponents, build_caller_app
 from cleatlink.serving.cancels import Canceller
 from cleatlink.serving.documents import DocumentStore, watch_platform
 from cleatlink.serving.endpoints import EndpointClient
-from cleatlink.serving.flight import FlightParts, PlaceRequest
+from cleatlink.serving.flight import DriverComponents, PlaceRequest
 from cleatlink.serving.logs import Log
 from cleatlink.serving.metrics import Metrics
-from cleatlink.serving.news import News
+from cleatlink.serving.news import ChangeNotifier
 from cleatlink.serving.peer_link import PeerLink
 from cleatlink.serving.peers import PeerParts, Peers
 from cleatlink.serving.platform import DocumentKind, Platform
 from cleatlink.serving.settings import Settings
 
-__all__ = ["Entry", "Outside"]
+__all__ = ["Entry", "EntryDependencies"]
 
 # Maximum retries as a fraction of all requests until a configuration is in force.
 _DEFAULT_RETRY_SHARE = 0.1
@@ -39,7 +39,7 @@
 _STATE_POLL_INTERVAL_S = 0.05
 
 
-class Outside(NamedTuple):
+class EntryDependencies(NamedTuple):
     """Objects through which an instance communicates with other processes, and its policy.
 
     Attributes:
@@ -60,14 +60,14 @@
 class Entry:
     """One entry instance."""
 
-    def __init__(self, settings: Settings, outside: Outside) -> None:
+    def __init__(self, settings: Settings, outside: EntryDependencies) -> None:
         self._settings = settings
         self._client = outside.client
         self._platform = outside.platform
         self._place_request = outside.place
         self._metrics = Metrics()
         self._view = FleetView()
-        self._view_changed = News()
+        self._view_changed = ChangeNotifier()
         self._wait_queue = WaitQueue()
         self._rng = random.Random(settings.seed)
         self._retry_budget = RetryBudget(_DEFAULT_RETRY_SHARE)
@@ -86,7 +86,7 @@
             outside.unix_time_s,
         )
         self._peers = Peers(parts, self._members)
-        self._flight_parts: FlightParts | None = None
+        self._flight_parts: DriverComponents | None = None
         self._in_flight = 0
         self._request_count = 0
         self._ready = False
@@ -107,7 +107,7 @@
     @property
     def revision(self) -> int:
         """Revision of the configuration in force."""
-        return self._document_store.adopter.revision
+        return self._document_store.active_configuration.revision
 
     @property
     def view(self) -> FleetView:
@@ -142,7 +142,7 @@
     def _use_configuration(self, configuration: Configuration) -> None:
         self._view.set_configuration(configuration)
         self._retry_budget.set_share(configuration.limits.retry_share)
-        self._flight_parts = FlightParts(
+        self._flight_parts = DriverComponents(
             self._settings.data_centre,
             self._client,
             self._canceller,
@@ -172,20 +172,20 @@
         self._members.set_instances(fleet.instances, trio.current_time())
         self._retry_waiting_requests()
 
-    def _make_caller_parts(self, nursery: trio.Nursery) -> CallerParts:
-        return CallerParts(
-            configuration=lambda: self._document_store.adopter.configuration,
-            admit=self._check_admission,
-            enter=self._begin_request,
-            leave=self._end_request,
-            flight_parts=self._get_flight_parts,
+    def _make_caller_parts(self, nursery: trio.Nursery) -> CallerComponents:
+        return CallerComponents(
+            configuration=lambda: self._document_store.active_configuration.configuration,
+            get_admission_refusal=self._check_admission,
+            begin_request=self._begin_request,
+            end_request=self._end_request,
+            get_driver_components=self._get_flight_parts,
             peers=self._peers,
             metrics=self._metrics,
             nursery=nursery,
             describe=self._describe,
         )
 
-    def _get_flight_parts(self) -> FlightParts:
+    def _get_flight_parts(self) -> DriverComponents:
         assert self._flight_parts is not None, "requests are admitted only when ready"
         return self._flight_parts
 
@@ -218,15 +218,17 @@
         while the peers have the configuration in force.
         """
         await self._watch_documents(nursery)
-        await self._ask_peers(nursery)
-        while not self._document_store.complete:
+        await self._request_peer_documents(nursery)
+        while not self._document_store.has_both_documents:
             await trio.sleep(_STATE_POLL_INTERVAL_S)
-            if not self._document_store.complete:
-                await self._ask_peers(nursery)
+            if not self._document_store.has_both_documents:
+                await self._request_peer_documents(nursery)
         await self._poll_endpoints()
         self._ready = True
         self._peers.set_state(ReportedState.READY)
-        self._log.say("accepts new requests", revision=self._document_store.adopter.revision)
+        self._log.say(
+            "accepts new requests", revision=self._document_store.active_configuration.revision
+        )
 
     async def _watch_documents(self, nursery: trio.Nursery) -> None:
         if self._platform is None:
@@ -238,7 +240,7 @@
             )
             await first_read_done.wait()
 
-    async def _ask_peers(self, nursery: trio.Nursery) -> None:
+    async def _request_peer_documents(self, nursery: trio.Nursery) -> None:
         """Request the documents of all known peers concurrently.
 
         Answers that take longer than the wait, such as large documents, are used on arrival.
@@ -262,7 +264,7 @@
 
     async def _poll_endpoints(self) -> None:
         """Request a load report from each endpoint that has no such request in progress."""
-        configuration = self._document_store.adopter.configuration
+        configuration = self._document_store.active_configuration.configuration
         if configuration is None:
             return
         async with trio.open_nursery() as nursery:
@@ -277,7 +279,7 @@
             endpoint = self._view.endpoint(name)
             if endpoint is not None:
                 last_event = self._view.last_event_number(name)
-                report = await self._client.report(endpoint, role, last_event)
+                report = await self._client.fetch_report(endpoint, role, last_event)
                 self._view.add_report(report.load, trio.current_time())
                 self._view.apply_cache_events(name, report.cache)
                 self._retry_waiting_requests()
@@ -289,7 +291,7 @@
 
     def _describe(self) -> dict[str, object]:
         now = trio.current_time()
-        published = self._document_store.adopter.published
+        published = self._document_store.active_configuration.published
         return {
             **self._peers.describe(),
             "ready": self.ready,
@@ -301,5 +303,5 @@
                 endpoint.name: "usable" if self._view.is_usable(endpoint, now) else "not usable"
                 for endpoint in self._view.fleet.endpoints
             },
-            "refusals": self._metrics.refusals(),
+            "refusals": self._metrics.refusal_counts(),
         }
--- a/cleatlink/serving/flight.py
+++ b/cleatlink/serving/flight.py
@@ -71,13 +71,13 @@
 from cleatlink.serving.endpoints import EndpointClient, EventStream, Order
 from cleatlink.serving.logs import Log
 from cleatlink.serving.metrics import Metrics
-from cleatlink.serving.news import News
+from cleatlink.serving.news import ChangeNotifier
 
 __all__ = [
     "PLACEMENT_MAX_AGE_S",
     "AnswerEvents",
     "Finished",
-    "FlightParts",
+    "DriverComponents",
     "ModelRequestDriver",
     "Output",
     "Refused",
@@ -112,7 +112,7 @@
 SendNote = Callable[[str, int, tuple[str, ...], float], None]
 
 
-class FlightParts(NamedTuple):
+class DriverComponents(NamedTuple):
     """Components of an instance that the drivers of all its requests share.
 
     Attributes:
@@ -138,7 +138,7 @@
     client: EndpointClient
     canceller: Canceller
     view: FleetView
-    view_changed: News
+    view_changed: ChangeNotifier
     wait_queue: WaitQueue
     on_capacity_change: Callable[[], None]
     metrics: Metrics
@@ -155,7 +155,7 @@
 class ModelRequestDriver:
     """Drives one model request from its placement to the last event of its answer."""
 
-    def __init__(self, classified: ClassifiedRequest, components: FlightParts) -> None:
+    def __init__(self, classified: ClassifiedRequest, components: DriverComponents) -> None:
         self._classified = classified
         self._request = classified.request
         self._components = components
@@ -230,7 +230,7 @@
 
     def _take_buffered_event(self, attempt: int) -> StreamEventReceived | None:
         """Return an event that has already arrived, or None."""
-        event = self._stream.take_waiting() if self._stream is not None else None
+        event = self._stream.take_buffered() if self._stream is not None else None
         return None if event is None else StreamEventReceived(attempt, *event)
 
     async def _execute_action(self, action: Action) -> None:
--- a/cleatlink/serving/logs_test.py
+++ b/cleatlink/serving/logs_test.py
@@ -4,7 +4,7 @@
 import eliot.testing
 import trio
 
-from standins.world import World, wait_tokens
+from standins.world import World, wait_for_tokens
 
 
 def test_log_lines_of_one_request_share_a_task_and_name_the_request() -> None:
@@ -13,8 +13,8 @@
     async def scenario(world: World) -> None:
         world.fleet.dead.add("d1")
         world.fleet.dead.add("d2")
-        caller = world.start_ask("e1", 5)
-        await wait_tokens(caller, 6)
+        caller = world.start_model_request("e1", 5)
+        await wait_for_tokens(caller, 6)
         while not caller.status:
             await trio.sleep(0.01)
 
--- a/cleatlink/serving/metrics.py
+++ b/cleatlink/serving/metrics.py
@@ -96,7 +96,7 @@
         """Set the number of requests in progress."""
         self._in_flight.set({}, count)
 
-    def refusals(self) -> dict[str, int]:
+    def refusal_counts(self) -> dict[str, int]:
         """Return the number of refused requests, by kind."""
         return {kind.value: int(self._refusals.get({"kind": kind.value})) for kind in ErrorKind}
 
--- a/cleatlink/serving/news.py
+++ b/cleatlink/serving/news.py
@@ -2,10 +2,10 @@
 
 import trio
 
-__all__ = ["News"]
+__all__ = ["ChangeNotifier"]
 
 
-class News:
+class ChangeNotifier:
     """An event that can be signalled repeatedly."""
 
     def __init__(self) -> None:
--- a/cleatlink/serving/older_configuration_test.py
+++ b/cleatlink/serving/older_configuration_test.py
@@ -44,7 +44,7 @@
     async def ask(self: FakeLink, address: str, path: str, body: bytes) -> bytes:
         raise PeerError("no answer")
 
-    monkeypatch.setattr(FakeLink, "ask", ask)
+    monkeypatch.setattr(FakeLink, "send_request", ask)
     world.entries["e2"].platform.cut = True
     world.platform.publish("config", _NEW_CONFIGURATION)
 
@@ -71,7 +71,7 @@
         ):
             assert (answer.status, answer.error["code"]) == (503, "not_ready")
             assert float(answer.headers["retry-after"]) > 0
-        keyed = await call_service(world, "e2", "new-plain", world.make_key())
+        keyed = await call_service(world, "e2", "new-plain", world.make_idempotency_key())
         assert (keyed.status, keyed.error["code"]) == (503, "key_unavailable")
         assert (await request_model(world, "e1", "newest")).status == 404
 
@@ -80,14 +80,14 @@
 
 def test_newer_configuration_is_fetched_over_a_slow_link(monkeypatch: pytest.MonkeyPatch) -> None:
     """With a timeout of two seconds in total, large documents never arrive on a slow link."""
-    ask_without_delay = FakeLink.ask
+    ask_without_delay = FakeLink.send_request
 
     async def ask_slowly(self: FakeLink, address: str, path: str, body: bytes) -> bytes:
         await trio.sleep(6.0)
         return await ask_without_delay(self, address, path, body)
 
     async def scenario(world: World) -> None:
-        monkeypatch.setattr(FakeLink, "ask", ask_slowly)
+        monkeypatch.setattr(FakeLink, "send_request", ask_slowly)
         world.entries["e2"].platform.cut = True
         world.platform.publish("config", _NEW_CONFIGURATION)
         await trio.sleep(12.0)
@@ -101,14 +101,14 @@
 
     It would request them again and again, and never become ready.
     """
-    ask_without_delay = FakeLink.ask
+    ask_without_delay = FakeLink.send_request
 
     async def ask_slowly(self: FakeLink, address: str, path: str, body: bytes) -> bytes:
         await trio.sleep(6.0)
         return await ask_without_delay(self, address, path, body)
 
     async def scenario(world: World) -> None:
-        monkeypatch.setattr(FakeLink, "ask", ask_slowly)
+        monkeypatch.setattr(FakeLink, "send_request", ask_slowly)
         world.settings["peers"] = (world.entries["e1"].link.address,)
         await world.start_entry("e3", "a")
         world.entries["e3"].platform.cut = True
--- a/cleatlink/serving/parsers_test.py
+++ b/cleatlink/serving/parsers_test.py
@@ -10,10 +10,15 @@
 from cleatlink.core.errors import ConfigurationError, PlatformError, StreamBrokenError
 from cleatlink.members import Heartbeat, ReportedState
 from cleatlink.request import InFlightNote
-from cleatlink.serving.endpoints import StreamEvent, parse_event, read_cache_news, read_report
+from cleatlink.serving.endpoints import (
+    StreamEvent,
+    parse_cache_update,
+    parse_event,
+    parse_load_report,
+)
 from cleatlink.serving.flight import join_text
 from cleatlink.serving.peer_link import Message, decode_message, encode_message
-from cleatlink.serving.platform import Document, read_fleet
+from cleatlink.serving.platform import Document, parse_fleet
 from cleatlink.serving.settings import Address, Settings, check_settings, parse_address
 
 HEARTBEAT = Heartbeat("e1", 1, "a", "127.0.0.1:1", ReportedState.READY, 3, ("d1",), 7)
@@ -59,18 +64,18 @@
 
 def test_read_fleet_rejects_invalid_instance_lists() -> None:
     item = {"name": "d1", "address": "x", "data_centre": "a", "pool": "p", "state": "leaving"}
-    fleet = read_fleet(Document(3, {"endpoints": [item], "instances": []}))
+    fleet = parse_fleet(Document(3, {"endpoints": [item], "instances": []}))
     assert fleet.endpoints == (Endpoint("d1", "x", "a", "p", True),)
     for value in (None, [], {}, {"endpoints": [{}], "instances": []}, {"endpoints": 3}):
         with pytest.raises(PlatformError):
-            read_fleet(Document(1, value))
+            parse_fleet(Document(1, value))
 
 
 def test_report_of_a_plain_service_needs_no_load_fields() -> None:
     endpoint = Endpoint("s1", "x", "a", "p")
-    assert read_report(endpoint, Role.PLAIN, {"leaving": True}).leaving
+    assert parse_load_report(endpoint, Role.PLAIN, {"leaving": True}).leaving
     with pytest.raises(ValueError, match="could not convert"):
-        read_report(endpoint, Role.PLAIN, {"prefill_tokens_per_s": "fast"})
+        parse_load_report(endpoint, Role.PLAIN, {"prefill_tokens_per_s": "fast"})
 
 
 def test_gaps_in_the_numbers_of_cache_events_are_detected() -> None:
@@ -78,11 +83,11 @@
         return {"number": number, "prefix": 10 + number, "stored": number % 2 == 1}
 
     complete = {"cache_events": [event(4), event(5)], "last_event": 5}
-    assert read_cache_news(complete, 3) == CacheUpdate((15,), (14,), 5, False)
-    assert read_cache_news(complete, 2).gap
-    assert read_cache_news({"cache_events": [event(5)], "last_event": 5}, 3).gap
-    assert read_cache_news({"cache_events": [], "last_event": 1}, 3).gap
-    assert read_cache_news({}, 3) == CacheUpdate((), (), 3, False)
+    assert parse_cache_update(complete, 3) == CacheUpdate((15,), (14,), 5, False)
+    assert parse_cache_update(complete, 2).gap
+    assert parse_cache_update({"cache_events": [event(5)], "last_event": 5}, 3).gap
+    assert parse_cache_update({"cache_events": [], "last_event": 1}, 3).gap
+    assert parse_cache_update({}, 3) == CacheUpdate((), (), 3, False)
 
 
 @given(st.lists(st.binary(max_size=30)), st.booleans())
--- a/cleatlink/serving/peer_link.py
+++ b/cleatlink/serving/peer_link.py
@@ -50,7 +50,7 @@
         """Receive a message and its sender's address; the message is None if it is invalid."""
 
     @abstractmethod
-    async def ask(self, address: str, path: str, body: bytes) -> bytes:
+    async def send_request(self, address: str, path: str, body: bytes) -> bytes:
         """Send a request to a peer and return its answer.
 
         Raises:
@@ -108,7 +108,7 @@
                 continue
             return decode_message(data), f"{sender[0]}:{sender[1]}"
 
-    async def ask(self, address: str, path: str, body: bytes) -> bytes:
+    async def send_request(self, address: str, path: str, body: bytes) -> bytes:
         """Send a request to a peer and return its answer."""
         try:
             response = await self._client.post(f"http://{address}/peer/{path}", content=body)
--- a/cleatlink/serving/peers.py
+++ b/cleatlink/serving/peers.py
@@ -27,12 +27,12 @@
 from cleatlink.serving.documents import DocumentStore
 from cleatlink.serving.logs import Log
 from cleatlink.serving.metrics import Metrics
-from cleatlink.serving.news import News
+from cleatlink.serving.news import ChangeNotifier
 from cleatlink.serving.peer_link import Message, PeerLink, encode_message
 from cleatlink.serving.platform import Document, DocumentKind
 from cleatlink.serving.settings import Settings
 
-__all__ = ["ClaimOrder", "PeerParts", "Peers", "Settlement"]
+__all__ = ["ClaimRequest", "PeerParts", "Peers", "KeyOutcome"]
 
 _REQUEST_TIMEOUT_S = 2.0
 # Documents can be large and links slow. The timeout of the link itself detects a peer that stops
@@ -48,14 +48,14 @@
 _PROCESS_PAUSE_S = 2.0
 
 
-class ClaimOrder(NamedTuple):
+class ClaimRequest(NamedTuple):
     """A request for permission to run a call under an idempotency key."""
 
     key: str
     fingerprint: str
 
 
-class Settlement(NamedTuple):
+class KeyOutcome(NamedTuple):
     """Outcome of a granted key; ``answer`` is None if the call certainly did not run."""
 
     key: str
@@ -107,7 +107,7 @@
         self._fetching: set[str] = set()
         # Addresses of the peers for which the last fetch of documents failed.
         self._failed_fetches: set[str] = set()
-        self._outcome_recorded = News()
+        self._outcome_recorded = ChangeNotifier()
         self._last_check_at = trio.current_time()
         self._log = Log("peers")
 
@@ -124,7 +124,10 @@
     @property
     def knows_newer_configuration(self) -> bool:
         """Whether a peer reported a configuration that this instance has not received yet."""
-        return self._highest_peer_revision > self._parts.store.adopter.highest_validated_revision
+        return (
+            self._highest_peer_revision
+            > self._parts.store.active_configuration.highest_validated_revision
+        )
 
     def start(self, nursery: trio.Nursery) -> None:
         """Start the tasks that send heartbeats, receive messages and check the peers."""
@@ -159,7 +162,7 @@
             self._unacknowledged_notes.pop((peer.address, name), None)
             self._send(peer.address, "drop", name)
 
-    async def claim(self, order: ClaimOrder, home_data_centre: str) -> ClaimResult:
+    async def claim(self, order: ClaimRequest, home_data_centre: str) -> ClaimResult:
         """Ask the owner of a key for permission to run a call under it."""
         owner = self._members.owner(order.key, home_data_centre, trio.current_time())
         if owner is None:
@@ -175,7 +178,7 @@
             # The owner may have granted the key to this claim, and its answer may be lost.
             return ClaimResult(ClaimState.UNKNOWN)
 
-    async def settle(self, settlement: Settlement, home_data_centre: str) -> None:
+    async def report_outcome(self, settlement: KeyOutcome, home_data_centre: str) -> None:
         """Report the outcome of a call to the owner of its key; if that fails, it stays unknown."""
         owner = self._members.owner(settlement.key, home_data_centre, trio.current_time())
         if owner is None:
@@ -224,7 +227,7 @@
                 "failed to fetch the documents of a peer", peer=address, reason=repr(error)
             )
 
-    async def answer(self, path: str, body: bytes) -> bytes:
+    async def handle_request(self, path: str, body: bytes) -> bytes:
         """Process a request of a peer and return the encoded answer.
 
         Raises:
@@ -241,13 +244,13 @@
         if path == _DOCUMENTS_PATH:
             return self._make_documents()
         if path == _CLAIM_PATH:
-            return await self._claim_locally(msgspec.msgpack.decode(body, type=ClaimOrder))
+            return await self._claim_locally(msgspec.msgpack.decode(body, type=ClaimRequest))
         if path == _SETTLE_PATH:
-            self._settle_locally(msgspec.msgpack.decode(body, type=Settlement))
+            self._settle_locally(msgspec.msgpack.decode(body, type=KeyOutcome))
             return None
         raise PeerError(f"unknown path of a peer request: {path}")
 
-    async def _claim_locally(self, order: ClaimOrder) -> ClaimResult:
+    async def _claim_locally(self, order: ClaimRequest) -> ClaimResult:
         """Evaluate a claim; while a call with the key is running, wait briefly for its outcome."""
         claim = self._evaluate_claim(order)
         with trio.move_on_after(_RUNNING_CLAIM_WAIT_S):
@@ -256,11 +259,11 @@
                 claim = self._evaluate_claim(order)
         return claim
 
-    def _settle_locally(self, settlement: Settlement) -> None:
+    def _settle_locally(self, settlement: KeyOutcome) -> None:
         self._keys.record_outcome(settlement.key, settlement.answer)
         self._outcome_recorded.notify_all()
 
-    def _evaluate_claim(self, order: ClaimOrder) -> ClaimResult:
+    def _evaluate_claim(self, order: ClaimRequest) -> ClaimResult:
         now = trio.current_time()
         confirmed_at = self._members.owner_since(now)
         # Keys contain wall-clock times of callers; ownership uses the monotonic clock.
@@ -275,9 +278,9 @@
         )
 
     def _make_documents(self) -> PeerDocuments:
-        published = self._parts.store.adopter.published
+        published = self._parts.store.active_configuration.published
         configuration = Document(*published) if published is not None else None
-        return PeerDocuments(configuration, self._parts.store.fleet)
+        return PeerDocuments(configuration, self._parts.store.fleet_document)
 
     async def _send_request(
         self, address: str, path: str, content: object, timeout_s: float = _REQUEST_TIMEOUT_S
@@ -285,7 +288,7 @@
         body = msgspec.msgpack.encode(content)
         self._parts.metrics.count_peer_bytes("question", len(body))
         with trio.move_on_after(timeout_s):
-            return await self._parts.link.ask(address, path, body)
+            return await self._parts.link.send_request(address, path, body)
         raise PeerError("the peer did not answer within the timeout")
 
     def _send(self, address: str, kind: str, value: object) -> None:
@@ -303,7 +306,7 @@
             settings.data_centre,
             self._parts.link.address,
             self._state,
-            self._parts.store.adopter.revision,
+            self._parts.store.active_configuration.revision,
             self._parts.view.leaving_endpoints(now),
             self._members.members_hash(now),
         )
@@ -315,7 +318,7 @@
         known_addresses = {peer.address for peer in self._members.peers(now)}
         return known_addresses | {str(address) for address in self._parts.settings.peers}
 
-    def _repeat_notes(self) -> None:
+    def _resend_notes(self) -> None:
         """Send the notes that peers have not acknowledged again."""
         for (address, _), note in self._unacknowledged_notes.items():
             self._send(address, "note", note)
@@ -323,7 +326,7 @@
     async def _send_heartbeats_periodically(self) -> None:
         while True:
             self._send_heartbeats()
-            self._repeat_notes()
+            self._resend_notes()
             await trio.sleep(HEARTBEAT_INTERVAL_S)
 
     async def _receive_messages(self, nursery: trio.Nursery) -> None:
@@ -355,7 +358,7 @@
         for name in heartbeat.leaving_endpoints:
             self._parts.view.note_peer_leaving(name, now)
         self._highest_peer_revision = max(self._highest_peer_revision, heartbeat.revision)
-        if heartbeat.revision > self._parts.store.adopter.highest_validated_revision:
+        if heartbeat.revision > self._parts.store.active_configuration.highest_validated_revision:
             nursery.start_soon(self.fetch_documents, heartbeat.peer_address)
 
     async def _check_peers_periodically(self) -> None:
--- a/cleatlink/serving/platform.py
+++ b/cleatlink/serving/platform.py
@@ -11,7 +11,7 @@
 from cleatlink.core.errors import PlatformError
 from cleatlink.serving.settings import Address
 
-__all__ = ["Document", "DocumentKind", "HttpPlatform", "Platform", "read_fleet"]
+__all__ = ["Document", "DocumentKind", "HttpPlatform", "Platform", "parse_fleet"]
 
 # How long the platform may delay its answer to a watch request.
 WATCH_TIMEOUT_S = 10.0
@@ -90,7 +90,7 @@
             ) from error
 
 
-def read_fleet(document: Document) -> Fleet:
+def parse_fleet(document: Document) -> Fleet:
     """Parse an instance list.
 
     Raises:
--- a/cleatlink/serving/refusals_test.py
+++ b/cleatlink/serving/refusals_test.py
@@ -4,7 +4,7 @@
 import pytest
 
 from cleatlink.core.errors import EndpointRefusedError, OutcomeUnknownError
-from cleatlink.serving.endpoints import _read_refusal
+from cleatlink.serving.endpoints import _parse_error_response
 
 BODY = {"error": {"code": "no_room", "ran": "no"}}
 
@@ -23,11 +23,11 @@
 async def test_refusal_has_the_backoff_of_its_retry_after_header(
     headers: dict[str, str], backoff_s: float
 ) -> None:
-    refusal = await _read_refusal(httpx.Response(503, headers=headers, json=BODY))
+    refusal = await _parse_error_response(httpx.Response(503, headers=headers, json=BODY))
     assert isinstance(refusal, EndpointRefusedError)
     assert (refusal.rest_s, refusal.leaving) == (backoff_s, False)
 
 
 async def test_answer_of_a_call_that_may_have_run_is_not_a_refusal() -> None:
     response = httpx.Response(503, headers={"Retry-After": "3"}, json={"error": {"ran": "yes"}})
-    assert isinstance(await _read_refusal(response), OutcomeUnknownError)
+    assert isinstance(await _parse_error_response(response), OutcomeUnknownError)
--- a/demo/cluster_test.py
+++ b/demo/cluster_test.py
@@ -92,18 +92,20 @@
     async def check_commands_and_cache_events(
         cluster: Cluster, caller: Caller, client: HttpEndpointClient, endpoint: Endpoint
     ) -> None:
-        await client.give_order(endpoint, FencedCommand("role", "decode", 1, 7))
+        await client.send_command(endpoint, FencedCommand("role", "decode", 1, 7))
         with pytest.raises(StaleFenceError):
-            await client.give_order(endpoint, FencedCommand("role", "prefill", 1, 7))
+            await client.send_command(endpoint, FencedCommand("role", "prefill", 1, 7))
         assert (await cluster.ledger("p1"))["state"] == {"role": "decode"}
-        while (await client.report(endpoint, Role.BOTH, 0)).load.fence != 7:
+        while (await client.fetch_report(endpoint, Role.BOTH, 0)).load.fence != 7:
             await trio.sleep(0.05)
         await caller.send_model_request("e1", cluster.entries["e1"].address, REQUEST)
         update = CacheUpdate((), (), 0, False)
         while not update.added:
-            update = (await client.report(endpoint, Role.BOTH, 0)).cache
+            update = (await client.fetch_report(endpoint, Role.BOTH, 0)).cache
         assert update == CacheUpdate((hash_prefix(REQUEST.prompt.encode()),), (), 1, False)
-        assert (await client.report(endpoint, Role.BOTH, 1)).cache == CacheUpdate((), (), 1, False)
+        assert (await client.fetch_report(endpoint, Role.BOTH, 1)).cache == CacheUpdate(
+            (), (), 1, False
+        )
 
     run_with_cluster(scenario)
 
--- a/features/ablation_test.py
+++ b/features/ablation_test.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from standins.ablate import ABLATIONS, VARIABLE
+from standins.ablate import ABLATION_VARIABLE, ABLATIONS
 
 _MAX_PARALLEL_RUNS = 4
 _SCENARIO_FILES = [f"features/{name}_test.py" for name in ("memory", "answers", "calls", "fleet")]
@@ -20,7 +20,7 @@
     command += ["--tb=no", "-p", "no:cacheprovider", "-k", ABLATIONS[name].scenarios]
     completed = subprocess.run(
         [*command, *_SCENARIO_FILES],
-        env={**os.environ, VARIABLE: name},
+        env={**os.environ, ABLATION_VARIABLE: name},
         capture_output=True,
         text=True,
         check=False,
--- a/features/answers_test.py
+++ b/features/answers_test.py
@@ -3,7 +3,7 @@
 from pytest_bdd import parsers, scenarios, when
 
 from features.run import ScenarioRun, record_memory_release, wait_for_phase
-from standins.world import World, wait_tokens
+from standins.world import World, wait_for_tokens
 
 scenarios("answers.feature")
 
@@ -11,7 +11,7 @@
 @when(parsers.parse("a caller requests {tokens:d} tokens"))
 def _(run: ScenarioRun, tokens: int) -> None:
     async def action(world: World) -> None:
-        await wait_tokens(world.start_ask("e1", tokens), tokens + 1)
+        await wait_for_tokens(world.start_model_request("e1", tokens), tokens + 1)
         await record_memory_release(run, world)
 
     run.tokens = tokens
@@ -25,13 +25,13 @@
 )
 def _(run: ScenarioRun, work: str, tokens: int, phase: str) -> None:
     async def action(world: World) -> None:
-        caller = world.start_ask("e1", tokens)
+        caller = world.start_model_request("e1", tokens)
         await wait_for_phase(world, caller, phase)
         reserved = world.entries["e1"].entry.view.reservations
         role = "prefill" if work == "the prefill" else "decode"
         engine = next(item.endpoint for key, item in reserved.items() if key.endswith(role))
         world.fleet.kill(engine)
-        await wait_tokens(caller, tokens + 1)
+        await wait_for_tokens(caller, tokens + 1)
         await record_memory_release(run, world)
 
     run.tokens = tokens
@@ -41,11 +41,11 @@
 @when(parsers.parse("all decode engines die while a request for {tokens:d} tokens is streaming"))
 def _(run: ScenarioRun, tokens: int) -> None:
     async def action(world: World) -> None:
-        caller = world.start_ask("e1", tokens)
+        caller = world.start_model_request("e1", tokens)
         await wait_for_phase(world, caller, "streaming")
         world.fleet.kill("d1")
         world.fleet.kill("d2")
-        await wait_tokens(caller, tokens + 1)
+        await wait_for_tokens(caller, tokens + 1)
 
     run.tokens = tokens
     run.execute(action)
--- a/features/cache_test.py
+++ b/features/cache_test.py
@@ -8,7 +8,7 @@
 import trio
 
 from cleatlink.routing import FleetView
-from standins.world import World, wait_tokens
+from standins.world import World, wait_for_tokens
 
 PREFIXES = 24
 
@@ -24,8 +24,8 @@
 
     async def request_all_prefixes() -> None:
         for number in range(prefixes):
-            caller = world.start_ask("e1", 2, prompt=f"prefix {number} " * 200)
-            await wait_tokens(caller, 3)
+            caller = world.start_model_request("e1", 2, prompt=f"prefix {number} " * 200)
+            await wait_for_tokens(caller, 3)
             await trio.sleep(0.1)
 
     def count_computed_tokens() -> int:
--- a/features/conftest.py
+++ b/features/conftest.py
@@ -5,7 +5,7 @@
 from pytest_bdd import given, parsers, then
 
 from features.run import ScenarioRun
-from standins.world import World, expected_text, wait_tokens
+from standins.world import World, expected_text, wait_for_tokens
 
 
 @pytest.fixture
@@ -27,20 +27,20 @@
         for engine in world.fleet.engines.values():
             engine.faults["lose_cancels"] = count
 
-    run.world.plan.append(change)
+    run.world.preparations.append(change)
 
 
 @given("in-flight notes to peers are lost for one second")
 def _(run: ScenarioRun) -> None:
     async def recover(world: World) -> None:
         await trio.sleep(1.0)
-        world.network.lose_kinds.clear()
+        world.network.lost_message_kinds.clear()
 
     def change(world: World) -> None:
-        world.network.lose_kinds.add("note")
+        world.network.lost_message_kinds.add("note")
         world.nursery.start_soon(recover, world)
 
-    run.world.plan.append(change)
+    run.world.preparations.append(change)
 
 
 @given(parsers.parse("the decode engines have the fault {fault} at token {position:d}"))
@@ -49,7 +49,7 @@
         for name in ("d1", "d2"):
             world.fleet.engines[name].faults[fault] = position  # type: ignore[literal-required]
 
-    run.world.plan.append(change)
+    run.world.preparations.append(change)
 
 
 @given(parsers.parse("engine {name} has the fault {fault} at token {position:d}"))
@@ -57,22 +57,22 @@
     def change(world: World) -> None:
         world.fleet.engines[name].faults[fault] = position  # type: ignore[literal-required]
 
-    run.world.plan.append(change)
+    run.world.preparations.append(change)
 
 
 @given(parsers.parse("engine {name} is unreachable until the caller has received {count:d} tokens"))
 def _(run: ScenarioRun, name: str, count: int) -> None:
     async def recover(world: World) -> None:
-        while not world.answers:
+        while not world.callers:
             await trio.sleep(0.001)
-        await wait_tokens(world.answers[0], count)
+        await wait_for_tokens(world.callers[0], count)
         world.fleet.dead.discard(name)
 
     def change(world: World) -> None:
         world.fleet.dead.add(name)
         world.nursery.start_soon(recover, world)
 
-    run.world.plan.append(change)
+    run.world.preparations.append(change)
 
 
 @given(parsers.parse("engine {name} delays each prefill by {seconds:g} seconds"))
@@ -80,7 +80,7 @@
     def change(world: World) -> None:
         world.fleet.engines[name].faults["slow_prefill_s"] = seconds
 
-    run.world.plan.append(change)
+    run.world.preparations.append(change)
 
 
 @given(parsers.parse("the prefill timeout is {seconds:g} seconds"))
@@ -99,12 +99,14 @@
         for name in ("d1", "d2"):
             world.fleet.engines[name].faults["slow_decode_s"] = seconds
 
-    run.world.plan.append(change)
+    run.world.preparations.append(change)
 
 
 @given(parsers.parse("the connection to each service fails {moment} sending"))
 def _(run: ScenarioRun, moment: str) -> None:
-    run.world.plan.append(lambda world: world.fleet.cut_calls.update(s1=moment, s2=moment))
+    run.world.preparations.append(
+        lambda world: world.fleet.call_failures.update(s1=moment, s2=moment)
+    )
 
 
 @given(parsers.parse("each service executes an order in {seconds:g} seconds"))
@@ -113,22 +115,22 @@
         for service in world.fleet.services.values():
             service.delay_s = seconds
 
-    run.world.plan.append(change)
+    run.world.preparations.append(change)
 
 
 @given(parsers.parse("callers read each part of an answer after a delay of {seconds:g} seconds"))
 def _(run: ScenarioRun, seconds: float) -> None:
-    run.world.callers_slow_s = seconds
+    run.world.caller_receive_delay_s = seconds
 
 
 @given("entry e1 receives requests continuously")
 def _(run: ScenarioRun) -> None:
     async def send_continuously(world: World) -> None:
         while True:
-            world.start_ask("e1", 5)
+            world.start_model_request("e1", 5)
             await trio.sleep(0.05)
 
-    run.world.plan.append(lambda world: world.nursery.start_soon(send_continuously, world))
+    run.world.preparations.append(lambda world: world.nursery.start_soon(send_continuously, world))
 
 
 # Then steps.
@@ -141,16 +143,16 @@
 
 @then("the caller has received the complete answer exactly once")
 def _(run: ScenarioRun) -> None:
-    assert run.first_caller.ended, run.first_caller.body[-500:]
+    assert run.first_caller.end_mark_count, run.first_caller.body[-500:]
     assert run.first_caller.text == expected_text(run.tokens)
-    assert run.first_caller.ids == list(range(run.tokens))
-    assert run.first_caller.ended == 1
+    assert run.first_caller.event_ids == list(range(run.tokens))
+    assert run.first_caller.end_mark_count == 1
 
 
 @then("the caller has received a part of the answer and the error stream_broken")
 def _(run: ScenarioRun) -> None:
     assert b"stream_broken" in run.first_caller.body
-    assert run.first_caller.ended == 0
+    assert run.first_caller.end_mark_count == 0
     assert expected_text(run.tokens).startswith(run.first_caller.text)
 
 
@@ -184,18 +186,18 @@
 @then("the order with the key ran at most once")
 def _(run: ScenarioRun) -> None:
     assert run.world.executions().get(run.key, 0) <= 1
-    assert len(run.world.answers) == 2
+    assert len(run.world.callers) == 2
 
 
 @then("every caller has received the same answer with status 200")
 def _(run: ScenarioRun) -> None:
-    assert {answer.status for answer in run.world.answers} == {200}
-    assert len({answer.body for answer in run.world.answers}) == 1
+    assert {answer.status for answer in run.world.callers} == {200}
+    assert len({answer.body for answer in run.world.callers}) == 1
 
 
 @then("every caller that stayed connected has received an answer")
 def _(run: ScenarioRun) -> None:
-    connected = run.world.answers[int(bool(run.observed.get("disconnected_callers"))) :]
+    connected = run.world.callers[int(bool(run.observed.get("disconnected_callers"))) :]
     assert connected
     assert {answer.status for answer in connected} == {200}
 
@@ -220,7 +222,7 @@
 @then("the planned stop has completed only after the caller received the complete answer")
 def _(run: ScenarioRun) -> None:
     assert run.first_caller.status == 200
-    assert run.observed["stopped_at"] >= run.first_caller.finished_at
+    assert run.observed["stopped_at"] >= run.first_caller.response_ended_at
 
 
 @then(parsers.parse("the new configuration is in force on all entries after {seconds:g} seconds"))
--- a/features/fleet_test.py
+++ b/features/fleet_test.py
@@ -6,7 +6,7 @@
 from pytest_bdd import parsers, scenarios, when
 
 from features.run import ScenarioRun, wait_for_phase
-from standins.world import CONFIGURATION, World, wait_tokens
+from standins.world import CONFIGURATION, World, wait_for_tokens
 
 scenarios("fleet.feature")
 
@@ -34,7 +34,9 @@
 @when("the load reports of engine d1 stop")
 def _(run: ScenarioRun) -> None:
     run.execute(
-        lambda world: count_late_orders(run, world, lambda w: w.fleet.no_reports.add("d1"), 6.0)
+        lambda world: count_late_orders(
+            run, world, lambda w: w.fleet.unreported_addresses.add("d1"), 6.0
+        )
     )
 
 
@@ -54,12 +56,12 @@
 @when(parsers.parse("a planned stop of entry e1 begins while it streams {tokens:d} tokens"))
 def _(run: ScenarioRun, tokens: int) -> None:
     async def action(world: World) -> None:
-        caller = world.start_ask("e1", tokens)
+        caller = world.start_model_request("e1", tokens)
         await wait_for_phase(world, caller, "streaming")
         world.nursery.start_soon(stop_entry, run, world)
         await trio.sleep(0.5)
-        refused = world.start_ask("e1", 5)
-        await wait_tokens(caller, tokens + 1)
+        refused = world.start_model_request("e1", 5)
+        await wait_for_tokens(caller, tokens + 1)
         await trio.sleep(1)
         run.observed["error_code"] = refused.error["code"]
 
@@ -70,7 +72,7 @@
 @when("a planned stop of entry e1 begins while an order runs")
 def _(run: ScenarioRun) -> None:
     async def action(world: World) -> None:
-        run.key = world.make_key()
+        run.key = world.make_idempotency_key()
         world.nursery.start_soon(world.call, "e1", run.key)
         await trio.sleep(0.5)
         await stop_entry(run, world)
@@ -82,8 +84,8 @@
 @when("a planned stop of entry e1 begins after the last token of an answer")
 def _(run: ScenarioRun) -> None:
     async def action(world: World) -> None:
-        caller = world.start_ask("e1", 3)
-        while len(caller.ids) < 3:
+        caller = world.start_model_request("e1", 3)
+        while len(caller.event_ids) < 3:
             await trio.sleep(0.01)
         await stop_entry(run, world)
 
--- a/features/openai_test.py
+++ b/features/openai_test.py
@@ -190,13 +190,13 @@
         caller = Caller(world.entries["e1"].app)
         caller.withhold_body = True
         await caller.request("POST", "/v1/completions", b"{}", {})
-        world.answers.append(caller)
+        world.callers.append(caller)
 
     world = World()
     world.run(action)
-    assert world.answers[0].status == 408
-    assert world.answers[0].error["code"] == "slow_sender"
-    assert "Retry-After".lower() in world.answers[0].headers
+    assert world.callers[0].status == 408
+    assert world.callers[0].error["code"] == "slow_sender"
+    assert "Retry-After".lower() in world.callers[0].headers
 
 
 def test_full_instance_refuses_with_retry_after() -> None:
@@ -205,12 +205,12 @@
         world.platform.publish("config", limited)
         await trio.sleep(2)
         for _ in range(4):
-            world.start_ask("e1", 500)
+            world.start_model_request("e1", 500)
             await trio.sleep(0.05)
 
     world = World()
     world.run(action)
-    refused = world.answers[3]
+    refused = world.callers[3]
     assert (refused.status, refused.error["code"], refused.error["ran"]) == (503, "busy", "no")
     assert refused.error["retry_after_s"] > 0
     assert json.loads(refused.body)["error"]["type"] == "server_error"
--- a/features/run.py
+++ b/features/run.py
@@ -7,7 +7,7 @@
 import trio
 
 from standins.fakes import Caller
-from standins.world import World, wait_tokens
+from standins.world import World, wait_for_tokens
 
 Action = Callable[[World], Awaitable[None]]
 
@@ -36,17 +36,17 @@
 
     @property
     def first_caller(self) -> Caller:
-        return self.world.answers[0]
+        return self.world.callers[0]
 
     @property
     def second_caller(self) -> Caller:
-        return self.world.answers[1]
+        return self.world.callers[1]
 
 
 async def wait_for_phase(world: World, caller: Caller, phase: str) -> None:
     """Wait until a request is in a phase according to the memory that engines hold for it."""
     if phase == "streaming":
-        await wait_tokens(caller, 5)
+        await wait_for_tokens(caller, 5)
         return
     kind = {"prefilling": "prefill", "decoding": "decode"}[phase]
     while not any(
@@ -58,6 +58,6 @@
 async def record_memory_release(run: ScenarioRun, world: World) -> None:
     """Record how many seconds engines go on to hold memory; infinite if more than 60."""
     started_at = trio.current_time()
-    await world.wait_memory_free(60)
+    await world.wait_for_free_memory(60)
     held = any(world.fleet.memory().values())
     run.observed["held_s"] = math.inf if held else trio.current_time() - started_at
--- a/standins/ablate.py
+++ b/standins/ablate.py
@@ -22,7 +22,7 @@
 from cleatlink.serving.cancels import Canceller
 from cleatlink.serving.entry import Entry
 
-VARIABLE = "CLEATLINK_ABLATE"
+ABLATION_VARIABLE = "CLEATLINK_ABLATE"
 
 
 class Ablation(NamedTuple):
@@ -99,7 +99,7 @@
 
 
 async def _cancel_once(self: Canceller, *arguments: Any) -> bool:
-    await _original_try(self, *arguments)
+    await _original_send_once(self, *arguments)
     return True
 
 
@@ -115,7 +115,7 @@
 _original_owner = MembershipView.owner
 _original_fail = CallMachine._fail
 _original_offer = ActiveConfiguration.offer
-_original_try = Canceller._try
+_original_send_once = Canceller._send_once
 
 ABLATIONS = {
     "cancel": Ablation(
@@ -124,7 +124,7 @@
         "no memory stays reserved",
     ),
     "cancel-retry": Ablation(
-        _replace_attribute(Canceller, "_try", _cancel_once),
+        _replace_attribute(Canceller, "_send_once", _cancel_once),
         "cancels_are_lost",
         "no memory stays reserved",
     ),
@@ -134,7 +134,7 @@
         "no memory stays reserved",
     ),
     "note-repeat": Ablation(
-        _replace_attribute(peers.Peers, "_repeat_notes", _do_nothing),
+        _replace_attribute(peers.Peers, "_resend_notes", _do_nothing),
         "first_notes",
         "no memory stays reserved",
     ),
@@ -181,7 +181,7 @@
         "'not run' is never reported for a call that may have run",
     ),
     "run-to-end": Ablation(
-        _replace_attribute(callers, "_run_to_the_end", _run_in_caller_task),
+        _replace_attribute(callers, "_run_despite_disconnect", _run_in_caller_task),
         "caller_goes_away_while_its_order",
         "at most one execution",
     ),
@@ -206,11 +206,11 @@
         "configuration",
     ),
     "ask-peers": Ablation(
-        _replace_attribute(Entry, "_ask_peers", _skip_peers),
+        _replace_attribute(Entry, "_request_peer_documents", _skip_peers),
         "starts_beside_a_stale",
         "configuration",
     ),
 }
 
-if os.environ.get(VARIABLE):
-    ABLATIONS[os.environ[VARIABLE]].switch_off()
+if os.environ.get(ABLATION_VARIABLE):
+    ABLATIONS[os.environ[ABLATION_VARIABLE]].switch_off()
--- a/standins/fakes.py
+++ b/standins/fakes.py
@@ -30,8 +30,8 @@
     Order,
     PlainAnswer,
     StreamEvent,
-    read_cache_news,
-    read_report,
+    parse_cache_update,
+    parse_load_report,
 )
 from cleatlink.serving.peer_link import Message, PeerLink, decode_message
 from cleatlink.serving.peers import Peers
@@ -52,9 +52,9 @@
         engines: Model engines by address.
         services: Plain services by address.
         dead: Addresses of the endpoints that are dead.
-        cut_calls: When calls to a service fail, by its address: ``before``, ``during`` or
+        call_failures: When calls to a service fail, by its address: ``before``, ``during`` or
             ``after`` sending.
-        no_reports: Addresses of the endpoints that send no load reports.
+        unreported_addresses: Addresses of the endpoints that send no load reports.
         death_events: Events that are set at an endpoint's death, by its address.
         orders: Numbers of prefill and decode orders received, by address.
     """
@@ -63,8 +63,8 @@
         self.engines: dict[str, engines.Engine] = {}
         self.services: dict[str, PlainService] = {}
         self.dead: set[str] = set()
-        self.cut_calls: dict[str, str] = {}
-        self.no_reports: set[str] = set()
+        self.call_failures: dict[str, str] = {}
+        self.unreported_addresses: set[str] = set()
         self.death_events: dict[str, trio.Event] = {}
         self.orders: Counter[str] = Counter()
 
@@ -147,14 +147,14 @@
         except engines.OrderRefusedError as error:
             raise EndpointError("engine did not accept the cancel") from error
 
-    async def give_order(self, endpoint: Endpoint, order: FencedCommand) -> None:
+    async def send_command(self, endpoint: Endpoint, order: FencedCommand) -> None:
         """Raise an error, since no scenario sends commands to endpoints."""
         raise NotImplementedError("FakeClient does not support commands to endpoints")
 
-    async def report(self, endpoint: Endpoint, role: Role, after: int) -> EndpointReport:
+    async def fetch_report(self, endpoint: Endpoint, role: Role, after: int) -> EndpointReport:
         """Return the load and the cache events of an endpoint."""
         address = endpoint.address
-        if self.dead or address in self.fleet.dead or address in self.fleet.no_reports:
+        if self.dead or address in self.fleet.dead or address in self.fleet.unreported_addresses:
             raise EndpointError("endpoint sends no load report")
         await trio.sleep(LATENCY_S)
         if address in self.fleet.services:
@@ -162,10 +162,10 @@
         else:
             engine = self.fleet.engine(address)
             data = engine.report() | engine.cache_events(after)
-        report = read_report(endpoint, role, data)
+        report = parse_load_report(endpoint, role, data)
         if self.stale_reports:
             report = report._replace(leaving=False)
-        return EndpointReport(report, read_cache_news(data, after))
+        return EndpointReport(report, parse_cache_update(data, after))
 
     async def call(
         self, endpoint: Endpoint, method: str, path: str, headers: Mapping[str, str], body: bytes
@@ -174,7 +174,7 @@
         address = endpoint.address
         if self.dead:
             await trio.sleep_forever()
-        failure_moment = self.fleet.cut_calls.get(address, "")
+        failure_moment = self.fleet.call_failures.get(address, "")
         if failure_moment == "before" or address in self.fleet.dead:
             raise EndpointUnreachableError("endpoint is unreachable")
         if failure_moment == "during":
@@ -220,7 +220,7 @@
         self._fleet = fleet
         self._end_event: StreamEvent | None = None
 
-    def take_waiting(self) -> StreamEvent | None:
+    def take_buffered(self) -> StreamEvent | None:
         """Return the end event if the last chunk has been read."""
         return self._end_event
 
@@ -235,7 +235,7 @@
             raise StreamBrokenError("died")
         if chunk.last:
             self._end_event = StreamEvent(chunk.owner, chunk.position + 1, b"[DONE]", True)
-        data = encode_event_data(chunk, self._order.chat, str(self._order.body["model"]))
+        data = encode_event_data(chunk, self._order.is_chat, str(self._order.body["model"]))
         return StreamEvent(chunk.owner, chunk.position, data, False)
 
     async def close(self) -> None:
@@ -244,10 +244,10 @@
 
 
 def _to_engine_order(order: Order) -> engines.Order:
-    prompt = extract_prompt(order.body, order.chat).decode()
+    prompt = extract_prompt(order.body, order.is_chat).decode()
     max_tokens = order.body["max_tokens"]
     return engines.Order(
-        order.request, order.attempt, prompt, max_tokens, order.position, order.text
+        order.request, order.attempt, prompt, max_tokens, order.position, order.generated_text
     )
 
 
@@ -291,13 +291,13 @@
     Attributes:
         links: Links by address.
         cuts: Pairs of addresses that cannot reach each other.
-        lose_kinds: Kinds of messages that are lost.
+        lost_message_kinds: Kinds of messages that are lost.
     """
 
     def __init__(self) -> None:
         self.links: dict[str, FakeLink] = {}
         self.cuts: set[frozenset[str]] = set()
-        self.lose_kinds: set[str] = set()
+        self.lost_message_kinds: set[str] = set()
 
     def cut(self, left: list[str], right: list[str]) -> None:
         """Disconnect each address of one side from each address of the other."""
@@ -335,7 +335,7 @@
         """Send a message to a peer; it may be lost."""
         message = decode_message(data)
         assert message is not None
-        lost = message.kind in self._network.lose_kinds
+        lost = message.kind in self._network.lost_message_kinds
         if not lost and self._network.is_connected(self._address, address):
             link = self._network.links[address]
             link._inbox_sender.send_nowait((data, self._address))
@@ -345,7 +345,7 @@
         data, sender = await self._inbox_receiver.receive()
         return decode_message(data), sender
 
-    async def ask(self, address: str, path: str, body: bytes) -> bytes:
+    async def send_request(self, address: str, path: str, body: bytes) -> bytes:
         """Send a request to a peer and wait for the response.
 
         Raises:
@@ -356,7 +356,7 @@
             raise PeerUnreachableError("peer is unreachable")
         peers = self._network.links[address].peers
         assert peers is not None
-        return await peers.answer(path, body)
+        return await peers.handle_request(path, body)
 
 
 class Caller:
@@ -365,8 +365,8 @@
     Attributes:
         withhold_body: Whether the request's body is never sent.
         receive_delay_s: Delay before each message of the response is received, in seconds.
-        finished_at: Time at which the response ended; infinite before that.
-        asked_at: Time at which the request was sent; infinite before that.
+        response_ended_at: Time at which the response ended; infinite before that.
+        sent_at: Time at which the request was sent; infinite before that.
         token_times: Times at which tokens were received.
         status: Status of the response; 0 before it arrives.
         headers: Headers of the response, with names in lower case.
@@ -380,15 +380,15 @@
         self._body_sent = False
         self.withhold_body = False
         self.receive_delay_s = 0.0
-        self.finished_at = math.inf
-        self.asked_at = math.inf
+        self.response_ended_at = math.inf
+        self.sent_at = math.inf
         self.token_times: list[float] = []
         self.status = 0
         self.headers: dict[str, str] = {}
         self.body = b""
         self.changed = trio.Event()
 
-    def go_away(self) -> None:
+    def disconnect(self) -> None:
         """Disconnect."""
         self._disconnected.set()
 
@@ -423,14 +423,14 @@
             await self._disconnected.wait()
             return {"type": "http.disconnect"}
 
-        self.asked_at = trio.current_time()
+        self.sent_at = trio.current_time()
         await self._app(scope, receive, self._handle_message)
         return self
 
     async def _handle_message(self, message: dict[str, Any]) -> None:
         await trio.sleep(self.receive_delay_s)
         if message["type"] == "http.response.body" and not message.get("more_body", False):
-            self.finished_at = trio.current_time()
+            self.response_ended_at = trio.current_time()
         if message["type"] == "http.response.start":
             self.status = message["status"]
             self.headers = {k.decode().lower(): v.decode() for k, v in message["headers"]}
@@ -441,13 +441,13 @@
         self.changed = trio.Event()
 
     @property
-    def ids(self) -> list[int]:
+    def event_ids(self) -> list[int]:
         """Ids of the events received."""
         lines = self.body.decode().splitlines()
         return [int(line[4:]) for line in lines if line.startswith("id: ")]
 
     @property
-    def ended(self) -> int:
+    def end_mark_count(self) -> int:
         """Number of ``[DONE]`` events received."""
         return self.body.count(b"data: [DONE]")
 
--- a/standins/world.py
+++ b/standins/world.py
@@ -12,7 +12,7 @@
 
 from cleatlink.routing import place_request
 from cleatlink.serving.callers import CallerApp
-from cleatlink.serving.entry import Entry, Outside
+from cleatlink.serving.entry import Entry, EntryDependencies
 from cleatlink.serving.flight import PlaceRequest
 from cleatlink.serving.settings import Address, Settings
 from standins.engine import Engine, EngineSettings, KvReference, expected_tokens
@@ -80,13 +80,13 @@
         network: Connections between entries.
         platform: Platform stand-in.
         entries: Entry instances by name, including killed entries.
-        listed: Data centres of the entries in the platform's instance list, by name.
-        plan: Setup steps that run before the scenario, after the warm-up.
-        answers: Callers of all requests, in the order of the requests.
+        listed_data_centres: Data centres of the entries in the platform's instance list, by name.
+        preparations: Setup steps that run before the scenario, after the warm-up.
+        callers: Callers of all requests, in the order of the requests.
         settings: Additional settings of the entries.
         engine_settings: Settings of the engines.
-        callers_slow_s: Delay before a caller receives each message, in seconds.
-        place: Placement function of the entries.
+        caller_receive_delay_s: Delay before a caller receives each message, in seconds.
+        placement_function: Placement function of the entries.
         configuration: Configuration published at the start.
         pools: Pool of each endpoint by name.
     """
@@ -96,13 +96,13 @@
         self.network = Network()
         self.platform = Platform()
         self.entries: dict[str, RunningEntry] = {}
-        self.listed: dict[str, str] = {}
-        self.plan: list[Callable[[World], None]] = []
-        self.answers: list[Caller] = []
+        self.listed_data_centres: dict[str, str] = {}
+        self.preparations: list[Callable[[World], None]] = []
+        self.callers: list[Caller] = []
         self.settings: dict[str, Any] = {}
         self.engine_settings: dict[str, Any] = {}
-        self.callers_slow_s = 0.0
-        self.place: PlaceRequest = place_request
+        self.caller_receive_delay_s = 0.0
+        self.placement_function: PlaceRequest = place_request
         self.configuration = CONFIGURATION
         self.pools = dict(POOL_BY_ENDPOINT)
         self._nursery: trio.Nursery | None = None
@@ -133,7 +133,7 @@
                 for name in self.entries:
                     await self.wait_ready(name)
                 await trio.sleep(WARM_UP_S)
-                for setup_step in self.plan:
+                for setup_step in self.preparations:
                     setup_step(self)
                 with trio.fail_after(600):
                     await scenario(self)
@@ -173,7 +173,10 @@
                 incarnation=self._incarnation,
                 **self.settings,
             )
-            entry = Entry(settings, Outside(client, platform, link, self.wall_time, self.place))
+            entry = Entry(
+                settings,
+                EntryDependencies(client, platform, link, self.wall_time, self.placement_function),
+            )
             link.peers = entry.peers
             async with trio.open_nursery() as nursery:
                 app = entry.start(nursery)
@@ -183,7 +186,7 @@
 
         self.nursery.start_soon(run_entry)
         await started.wait()
-        self.listed[name] = data_centre
+        self.listed_data_centres[name] = data_centre
 
     def publish_fleet(self, *leaving: str) -> None:
         """Publish the instance list.
@@ -207,7 +210,7 @@
                 "peer_address": self.entries[name].link.address,
                 "data_centre": data_centre,
             }
-            for name, data_centre in self.listed.items()
+            for name, data_centre in self.listed_data_centres.items()
         ]
         self.platform.publish("instances", {"endpoints": endpoints, "instances": instances})
 
@@ -226,7 +229,7 @@
         """Return the time in seconds since 1970, which advances with the virtual clock."""
         return UNIX_TIME_AT_CLOCK_ZERO_S + trio.current_time()
 
-    def make_key(self, home_data_centre: str = "") -> str:
+    def make_idempotency_key(self, home_data_centre: str = "") -> str:
         """Return an idempotency key: a UUIDv7 of the current time.
 
         Args:
@@ -237,7 +240,7 @@
         key = str(uuid.UUID(int=value))
         return f"{home_data_centre}:{key}" if home_data_centre else key
 
-    def start_ask(
+    def start_model_request(
         self,
         name: str = "e1",
         tokens: int = 20,
@@ -246,20 +249,20 @@
     ) -> Caller:
         """Start a streamed model request in the background and return its caller."""
         caller = Caller(self.entries[name].app)
-        caller.receive_delay_s = self.callers_slow_s
+        caller.receive_delay_s = self.caller_receive_delay_s
         body = {"model": "m", "prompt": prompt, "max_tokens": tokens, "stream": True}
         self.entries[name].nursery.start_soon(
             caller.request, "POST", "/v1/completions", msgspec.json.encode(body), headers or {}
         )
-        self.answers.append(caller)
+        self.callers.append(caller)
         return caller
 
     async def call(self, name: str, key: str = "", body: bytes = b"{}") -> Caller:
         """Post to the ``orders`` service, whose calls must not be repeated; return the caller."""
         caller = Caller(self.entries[name].app)
-        caller.receive_delay_s = self.callers_slow_s
+        caller.receive_delay_s = self.caller_receive_delay_s
         headers = {"idempotency-key": key} if key else {}
-        self.answers.append(caller)
+        self.callers.append(caller)
         return await caller.request("POST", "/services/orders/orders", body, headers)
 
     def executions(self) -> dict[str, int]:
@@ -269,16 +272,20 @@
             total.update(service.executions)
         return dict(total)
 
-    async def wait_memory_free(self, timeout_s: float) -> None:
+    async def wait_for_free_memory(self, timeout_s: float) -> None:
         """Wait until no engine has reserved memory, for at most ``timeout_s`` seconds."""
         with trio.move_on_after(timeout_s):
             while any(self.fleet.memory().values()):
                 await trio.sleep(0.05)
 
 
-async def wait_tokens(caller: Caller, count: int) -> None:
+async def wait_for_tokens(caller: Caller, count: int) -> None:
     """Wait until a caller has received ``count`` tokens, or its answer has ended or failed."""
-    while len(caller.ids) < count and not caller.ended and b'"error"' not in caller.body:
+    while (
+        len(caller.event_ids) < count
+        and not caller.end_mark_count
+        and b'"error"' not in caller.body
+    ):
         await caller.changed.wait()
 
 
--- a/tools/kinds/catalogue.py
+++ b/tools/kinds/catalogue.py
@@ -8,7 +8,7 @@
 
 from typing import NamedTuple
 
-__all__ = ["KINDS", "Kind"]
+__all__ = ["ENGINE_PROFILES", "Kind"]
 
 
 class Kind(NamedTuple):
@@ -16,37 +16,44 @@
 
     Attributes:
         name: Name in tables and on the command line.
-        step_ms: Duration of a decode step with a single stream.
-        prompt_tokens_ms: Prompt tokens that a prefill computes per millisecond.
+        decode_step_ms: Duration of a decode step with a single stream.
+        prompt_tokens_per_ms: Prompt tokens that a prefill computes per millisecond.
         memory_tokens: Size of an engine's KV cache, in tokens.
         slots: Maximum number of concurrent streams of an engine.
         transfer_setup_ms: Time to start the transfer of a prompt's KV cache.
         role_switch_s: Duration of a role change.
         engine_count_factor: Factor for the number of engines.
-        prompt: Mean number of prompt tokens.
-        output: Mean number of events in an answer.
+        mean_prompt_tokens: Mean number of prompt tokens.
+        mean_output_events: Mean number of events in an answer.
     """
 
     name: str
-    step_ms: float | None = None
-    prompt_tokens_ms: float | None = None
+    decode_step_ms: float | None = None
+    prompt_tokens_per_ms: float | None = None
     memory_tokens: int | None = None
     slots: int | None = None
     transfer_setup_ms: float | None = None
     role_switch_s: float | None = None
     engine_count_factor: float = 1.0
-    prompt: float | None = None
-    output: float | None = None
+    mean_prompt_tokens: float | None = None
+    mean_output_events: float | None = None
 
 
-KINDS = (
+ENGINE_PROFILES = (
     Kind("own"),
     Kind("quick, memory of 3 streams", 0.6, 30.0, 12_000),
     Kind("quickest, memory of 200", 0.2, 60.0, 780_000, slots=256),
     Kind("middling", 10.0, 20.0, 80_000),
     Kind("slow", 16.0, 12.0, 120_000),
-    Kind("slowest, short answers", 20.0, 8.0, 160_000, prompt=1_500.0, output=30.0),
-    Kind("slow prompts", 2.0, 5.0, 100_000, prompt=1_200.0),
+    Kind(
+        "slowest, short answers",
+        20.0,
+        8.0,
+        160_000,
+        mean_prompt_tokens=1_500.0,
+        mean_output_events=30.0,
+    ),
+    Kind("slow prompts", 2.0, 5.0, 100_000, mean_prompt_tokens=1_200.0),
     Kind("few slots", 3.0, 33.0, 200_000, slots=4),
     Kind("slow hand-over", 5.0, 33.0, 60_000, transfer_setup_ms=200.0),
     Kind("slow change of role", 5.0, 33.0, 41_000, role_switch_s=15.0),
--- a/tools/kinds/kinds_test.py
+++ b/tools/kinds/kinds_test.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from tools.kinds.catalogue import KINDS, Kind
+from tools.kinds.catalogue import ENGINE_PROFILES, Kind
 from tools.kinds.main import MAX_WORTH_LOSS, render, write_variants
 from tools.kinds.play import BenchRun, RunResult, WorkTree, copy_without_mechanism
 from tools.kinds.site_file import SiteFileError, make_variant
@@ -29,7 +29,16 @@
 drain_ms = 5
 """
 SLOW = Kind(
-    "slow", 16.0, 5.5, 900, 8, 100.0, 12.0, engine_count_factor=2.0, prompt=11.0, output=3.0
+    "slow",
+    16.0,
+    5.5,
+    900,
+    8,
+    100.0,
+    12.0,
+    engine_count_factor=2.0,
+    mean_prompt_tokens=11.0,
+    mean_output_events=3.0,
 )
 
 
@@ -124,8 +133,10 @@
 
 
 def test_kinds_cover_the_range_of_engines() -> None:
-    assert len({kind.name for kind in KINDS}) == len(KINDS) >= 8
-    steps = [kind.step_ms for kind in KINDS if kind.step_ms]
+    assert len({kind.name for kind in ENGINE_PROFILES}) == len(ENGINE_PROFILES) >= 8
+    steps = [kind.decode_step_ms for kind in ENGINE_PROFILES if kind.decode_step_ms]
     assert (min(steps), max(steps)) == (0.2, 20.0)
-    prompt_rates = [kind.prompt_tokens_ms for kind in KINDS if kind.prompt_tokens_ms]
+    prompt_rates = [
+        kind.prompt_tokens_per_ms for kind in ENGINE_PROFILES if kind.prompt_tokens_per_ms
+    ]
     assert (min(prompt_rates), max(prompt_rates)) == (5.0, 60.0)
--- a/tools/kinds/main.py
+++ b/tools/kinds/main.py
@@ -14,7 +14,7 @@
 
 import click
 
-from tools.kinds.catalogue import KINDS, Kind
+from tools.kinds.catalogue import ENGINE_PROFILES, Kind
 from tools.kinds.play import BenchRun, RunResult, WorkTree, copy_without_mechanism, run_all
 from tools.kinds.site_file import SiteFileError, make_variant
 
@@ -61,7 +61,7 @@
         scratch = Path(name)
         trees = [WorkTree("before", before.resolve()), WorkTree("now", now.resolve())]
         trees += [copy_without_mechanism(trees[1], item, scratch / item) for item in without]
-        kinds = [kind for kind in KINDS if not names or kind.name in names]
+        kinds = [kind for kind in ENGINE_PROFILES if not names or kind.name in names]
         try:
             sites = write_variants(site, kinds, settings, scratch)
         except SiteFileError as error:
--- a/tools/kinds/site_file.py
+++ b/tools/kinds/site_file.py
@@ -46,8 +46,8 @@
 
 def _change_service(line: str, kind: Kind) -> str:
     fields = {
-        "step_ms": kind.step_ms,
-        "prefill_tokens_per_ms": kind.prompt_tokens_ms,
+        "step_ms": kind.decode_step_ms,
+        "prefill_tokens_per_ms": kind.prompt_tokens_per_ms,
         "kv_tokens": kind.memory_tokens,
         "slots": kind.slots,
         "batch": kind.slots,
@@ -66,8 +66,8 @@
 
 
 def _change_requests(line: str, kind: Kind) -> str:
-    line = _replace_number(line, r"(\bpieces = \{ mean = )[0-9.]+", kind.output)
-    return _replace_number(line, r"(\bprompt_tokens = \{ mean = )[0-9.]+", kind.prompt)
+    line = _replace_number(line, r"(\bpieces = \{ mean = )[0-9.]+", kind.mean_output_events)
+    return _replace_number(line, r"(\bprompt_tokens = \{ mean = )[0-9.]+", kind.mean_prompt_tokens)
 
 
 def _replace_number(line: str, pattern: str, value: float | None) -> str:
