--- a/cleatlink/routing/buffered_bytes.py
+++ b/cleatlink/routing/buffered_bytes.py
@@ -35,7 +35,7 @@
             limit_bytes: Limit of the buffered bytes of all kinds.
         """
         self._limit_bytes = limit_bytes
-        self._held = dict.fromkeys(BufferKind, 0)
+        self._bytes_by_kind = dict.fromkeys(BufferKind, 0)
 
     @property
     def limit_bytes(self) -> int:
@@ -45,25 +45,25 @@
     @property
     def total(self) -> int:
         """Number of bytes that are buffered now."""
-        return sum(self._held.values())
+        return sum(self._bytes_by_kind.values())
 
     def buffered(self, kind: BufferKind) -> int:
         """Return the number of buffered bytes of a kind."""
-        return self._held[kind]
+        return self._bytes_by_kind[kind]
 
     def add(self, kind: BufferKind, count: int) -> None:
         """Count bytes that are buffered from now on."""
-        self._held[kind] += count
+        self._bytes_by_kind[kind] += count
 
     def remove(self, kind: BufferKind, count: int) -> None:
         """Subtract bytes that are no longer buffered."""
-        self._held[kind] -= count
+        self._bytes_by_kind[kind] -= count
 
     def may_buffer_body(self, count: int) -> bool:
         """Check whether ``count`` more bytes of a request body may be read now."""
         if self.total + count > self._limit_bytes:
             return False
-        bodies = self._held[BufferKind.REQUEST_BODIES] + count
+        bodies = self._bytes_by_kind[BufferKind.REQUEST_BODIES] + count
         return bodies <= _BODIES_SHARE * self._limit_bytes
 
     def may_buffer_answer(self, buffered: int, count: int) -> bool:
--- a/cleatlink/routing/capacity.py
+++ b/cleatlink/routing/capacity.py
@@ -61,12 +61,12 @@
         # Newest incarnation by registered name.
         self._incarnations: dict[str, str] = {}
         self._outcomes = EndpointOutcomes()
-        self._shed_limits = RejectionBounds()
+        self._rejection_bounds = RejectionBounds()
         # Registrations refuted by an answer of another endpoint at their address.
         self._refuted: dict[str, RoutedEndpoint] = {}
         # Time at which the role change of an endpoint ends.
         self._role_change_ends: dict[str, float] = {}
-        self._meters: dict[str, DemandMeter] = {}
+        self._demand_meters: dict[str, DemandMeter] = {}
         self._service_times: dict[str, ServiceTimes] = {}
 
     def service_times(self, service: str) -> ServiceTimes:
@@ -78,7 +78,7 @@
 
     def relative_speed(self, name: str, now: float) -> float:
         """Return an endpoint's speed relative to its service's usual speed; 1.0 if unknown."""
-        if not self.switches.is_enabled(Mechanism.ENDPOINT_PACE):
+        if not self.switches.is_enabled(Mechanism.ENDPOINT_SPEEDS):
             return 1.0
         return self.endpoint_speeds.speed(name, now)
 
@@ -120,22 +120,22 @@
         """Count a stream that was assigned to a decode as demand on its service."""
         endpoint = self._endpoints.get(work.endpoint)
         if endpoint is not None and work.role is Role.DECODE:
-            self._meter(endpoint.service).count_stream(
+            self._demand_meter(endpoint.service).count_stream(
                 work.tokens - work.growth_tokens, work.growth_tokens, now
             )
 
     def demand(
-        self, service: str, traits: EngineProperties, promise: LatencyTargets, now: float
+        self, service: str, traits: EngineProperties, targets: LatencyTargets, now: float
     ) -> RoleDemand | None:
         """Return the demand on a service's engines; None while their times are unknown.
 
         Args:
             service: Name of the service.
             traits: Properties that its engines share.
-            promise: Latency targets of the service's routes.
+            targets: Latency targets of the service's routes.
             now: The current time, in seconds.
         """
-        times, meter = self.service_times(service), self._meter(service)
+        times, meter = self.service_times(service), self._demand_meter(service)
         if not times.is_known:
             return None
         prompt, output = meter.mean_prompt_tokens, meter.mean_output_tokens
@@ -146,11 +146,11 @@
         stream_s = prompt_s + times.stream_duration_s(int(output))
         rates, mean_rates = meter.rates(now), meter.rates(now, stream_s)
         slack_s = (
-            times.achievable_limit_s(promise.target_s, prompt_s) - prompt_s - times.first_event_s
+            times.achievable_limit_s(targets.target_s, prompt_s) - prompt_s - times.first_event_s
         )
-        pause_s = times.prompt_event_gap_s(prompt_s, traits.event_tokens)
+        prompt_gap_s = times.prompt_event_gap_s(prompt_s, traits.event_tokens)
         # Whether decodes may compute prompts without pausing their streams for too long.
-        decodes_compute = pause_s <= promise.event_gap_s
+        decodes_compute_prompts = prompt_gap_s <= targets.event_gap_s
         return RoleDemand(
             rates,
             mean_rates,
@@ -158,12 +158,12 @@
             stream_s,
             streams_per_decode,
             slack_s,
-            decodes_compute,
+            decodes_compute_prompts,
             meter.requests,
         )
 
-    def _meter(self, service: str) -> DemandMeter:
-        return self._meters.setdefault(service, DemandMeter())
+    def _demand_meter(self, service: str) -> DemandMeter:
+        return self._demand_meters.setdefault(service, DemandMeter())
 
     def note_role_change(self, name: str, until: float) -> None:
         """Record that an endpoint changes its role and takes no work until a given time."""
@@ -245,7 +245,7 @@
         self._outcomes.remove(name)
         self.endpoint_speeds.forget(name)
         self.read_rates.forget(name)
-        self._shed_limits.remove(name)
+        self._rejection_bounds.remove(name)
         self._refuted.pop(name, None)
         self._role_change_ends.pop(name, None)
         self._rebuild_index()
@@ -272,8 +272,8 @@
 
     def note_unreachable_from_peers(self, name: str, now: float) -> None:
         """Record that peers that share this instance's links can't reach an endpoint."""
-        if self.switches.is_enabled(Mechanism.HINTS):
-            self._outcomes.note_unreachable_by_peers(name, now)
+        if self.switches.is_enabled(Mechanism.PEER_REPORTS):
+            self._outcomes.note_unreachable_from_peers(name, now)
 
     def note_failure(self, name: str, now: float) -> None:
         """Record that an endpoint failed; it is avoided for a while."""
@@ -281,7 +281,7 @@
 
     def note_reported_slow(self, name: str, now: float) -> None:
         """Record that several instances reported an endpoint as slow."""
-        if self.switches.is_enabled(Mechanism.HINTS):
+        if self.switches.is_enabled(Mechanism.PEER_REPORTS):
             self._outcomes.note_slow(name, now)
 
     def note_full(self, name: str, now: float) -> None:
@@ -301,21 +301,21 @@
         Returns:
             Whether the refusal is worth reporting to peers.
         """
-        if not self.switches.is_enabled(Mechanism.SHED_LIMITS):
+        if not self.switches.is_enabled(Mechanism.REJECTION_BOUNDS):
             return False
         held_tokens = self.usage(name, Role.DECODE).tokens
-        return self._shed_limits.note_rejected(name, held_tokens, tokens, now)
+        return self._rejection_bounds.note_rejected(name, held_tokens, tokens, now)
 
     def note_stream_accepted(self, name: str) -> None:
         """Record that a decode accepted a stream, which is counted among its reservations."""
-        self._shed_limits.note_accepted(name, self.usage(name, Role.DECODE).tokens)
+        self._rejection_bounds.note_accepted(name, self.usage(name, Role.DECODE).tokens)
 
     def free_memory_tokens(self, name: str, now: float) -> float:
-        """Return the free memory of a decode by its latest refusal, in tokens.
+        """Return an upper bound of a decode's free memory, in tokens.
 
-        It is infinite without a refusal.
+        It follows from the decode's latest refusal and is infinite without a recent one.
         """
-        return self._shed_limits.bound_tokens(name, now) - self.usage(name, Role.DECODE).tokens
+        return self._rejection_bounds.bound_tokens(name, now) - self.usage(name, Role.DECODE).tokens
 
     def note_free_capacity(self, name: str) -> None:
         """Record that an endpoint has free capacity again."""
--- a/cleatlink/routing/demand.py
+++ b/cleatlink/routing/demand.py
@@ -60,7 +60,7 @@
         stream_s: Mean seconds for which a stream occupies a slot of a decode engine.
         slots_per_decode: Number of streams of mean size that a decode engine runs at once.
         slack_s: Seconds by which a stream may be delayed and still meet its target.
-        shares_prompts: Whether decode engines may compute prompts besides prefill engines.
+        decodes_compute_prompts: Whether decode engines may compute prompts besides prefill engines.
         requests: Number of streams that were counted.
     """
 
@@ -70,7 +70,7 @@
     stream_s: float
     slots_per_decode: float
     slack_s: float
-    shares_prompts: bool
+    decodes_compute_prompts: bool
     requests: int
 
     @property
@@ -114,7 +114,7 @@
             self.slots_per_decode,
             self.slack_s - (prompt_s - self.prompt_s),
             self.slack_s,
-            self.shares_prompts,
+            self.decodes_compute_prompts,
             self.prompt_s,
         )
 
@@ -141,7 +141,7 @@
     slots_per_decode: float
     prompt_slack_s: float
     slack_s: float
-    shares_prompts: bool
+    decodes_compute_prompts: bool
     usual_prompt_s: float
 
     def prompts_in_time(
@@ -169,7 +169,7 @@
 # milliseconds to compute.
 @lru_cache(maxsize=64)
 def _late_share(demand: _SpeedDemand, prefills: int, decodes: int) -> float:
-    shares = _DECODE_PROMPT_SHARES if demand.shares_prompts else (0.0,)
+    shares = _DECODE_PROMPT_SHARES if demand.decodes_compute_prompts else (0.0,)
     if not prefills:
         shares = (1.0,)
     slots = max(1, round(demand.slots_per_decode * decodes))
@@ -194,8 +194,8 @@
 
     number: int
     streams: int
-    prompt: int
-    output: int
+    prompt_tokens: int
+    output_tokens: int
 
 
 class DemandMeter:
@@ -204,12 +204,12 @@
     def __init__(self) -> None:
         self._steps: deque[_Step] = deque()
 
-    def count_stream(self, prompt: int, output: int, now: float) -> None:
+    def count_stream(self, prompt_tokens: int, output_tokens: int, now: float) -> None:
         """Count a stream.
 
         Args:
-            prompt: Tokens of its prompt.
-            output: Estimated tokens of its output.
+            prompt_tokens: Tokens of its prompt.
+            output_tokens: Estimated tokens of its output.
             now: The time.
         """
         number = _step_number(now)
@@ -217,7 +217,12 @@
         if self._steps and self._steps[-1].number >= number:
             last = self._steps.pop()
         self._steps.append(
-            _Step(last.number, last.streams + 1, last.prompt + prompt, last.output + output)
+            _Step(
+                last.number,
+                last.streams + 1,
+                last.prompt_tokens + prompt_tokens,
+                last.output_tokens + output_tokens,
+            )
         )
         self._drop_old_steps(number)
 
@@ -229,12 +234,12 @@
     @property
     def mean_prompt_tokens(self) -> float:
         """Mean tokens of a prompt."""
-        return sum(item.prompt for item in self._steps) / max(1, self.requests)
+        return sum(item.prompt_tokens for item in self._steps) / max(1, self.requests)
 
     @property
     def mean_output_tokens(self) -> float:
         """Mean estimated tokens of an output."""
-        return sum(item.output for item in self._steps) / max(1, self.requests)
+        return sum(item.output_tokens for item in self._steps) / max(1, self.requests)
 
     def rates(self, now: float, window_s: float = 0.0) -> tuple[float, ...]:
         """Return the arrivals per second for each complete step of the window.
@@ -254,8 +259,8 @@
         # Cumulative arrivals by the end of each step.
         arrived = [0, *accumulate(counts)]
         return tuple(
-            (arrived[at] - arrived[max(0, at - window_steps)]) / window_s
-            for at in range(1, len(arrived))
+            (arrived[index] - arrived[max(0, index - window_steps)]) / window_s
+            for index in range(1, len(arrived))
         )
 
     def _drop_old_steps(self, number: int) -> None:
--- a/cleatlink/routing/endpoint_limits.py
+++ b/cleatlink/routing/endpoint_limits.py
@@ -117,14 +117,16 @@
                 return False
         return self._set(incarnation, _Announcement(rate_per_s or 0.0, now, is_direct=True), now)
 
-    def note_peer_announcement(self, report: AnnouncedLimit, now: float) -> bool:
+    def note_peer_announcement(self, announced: AnnouncedLimit, now: float) -> bool:
         """Apply a limit that an endpoint announced to a peer; return whether it changed."""
-        announced_at = now - max(0.0, report.age_s)
-        known = self._announced.get(report.incarnation)
+        announced_at = now - max(0.0, announced.age_s)
+        known = self._announced.get(announced.incarnation)
         if known is not None and known.announced_at >= announced_at:
             return False
         return self._set(
-            report.incarnation, _Announcement(report.rate_per_s, announced_at, is_direct=False), now
+            announced.incarnation,
+            _Announcement(announced.rate_per_s, announced_at, is_direct=False),
+            now,
         )
 
     def _set(self, incarnation: str, announced: _Announcement, now: float) -> bool:
@@ -233,7 +235,7 @@
             max_count: Maximum number to return.
             include_from_peers: Whether to include announcements that peers reported.
         """
-        found = [
+        newest = [
             AnnouncedLimit(
                 incarnation, announced.rate_per_s, round(now - announced.announced_at, 3)
             )
@@ -241,7 +243,7 @@
             if (include_from_peers or announced.is_direct)
             and now - announced.announced_at < _ANNOUNCEMENT_LIFETIME_S
         ]
-        return sorted(found, key=lambda report: report.age_s)[:max_count]
+        return sorted(newest, key=lambda limit: limit.age_s)[:max_count]
 
     def announcement(self, incarnation: str, now: float) -> AnnouncedLimit:
         """Return the newest announcement of one endpoint."""
--- a/cleatlink/routing/endpoint_limits_test.py
+++ b/cleatlink/routing/endpoint_limits_test.py
@@ -117,7 +117,8 @@
     limits.note_peer_announcement(AnnouncedLimit("i-2", 3.0, 1.0), 10.0)
     assert limits.announcements(10.5, 10) == [AnnouncedLimit(INCARNATION, 2.0, 0.5)]
     assert {
-        report.incarnation for report in limits.announcements(10.5, 10, include_from_peers=True)
+        announced.incarnation
+        for announced in limits.announcements(10.5, 10, include_from_peers=True)
     } == {
         INCARNATION,
         "i-2",
@@ -212,16 +213,16 @@
         sides = one < self.count / 2, other < self.count / 2
         return self.scenario.is_partitioned and 8 <= now < 14 and sides[0] != sides[1]
 
-    def report(self, number: int, now: float, *, whole: bool = False) -> None:
+    def report(self, number: int, now: float, *, include_unchanged: bool = False) -> None:
         """Send the report of an instance to all others."""
         limits = self.instances[number]
         totals = PeerTotals(
             str(number),
             self.incarnations[number],
-            limits.totals(now, include_unchanged=whole),
+            limits.totals(now, include_unchanged=include_unchanged),
             limits.used_name_count,
             now - self.started_at[number],
-            limits.returned(now, include_unchanged=whole),
+            limits.returned(now, include_unchanged=include_unchanged),
         )
         for other in range(self.count):
             if other == number or self.is_unreachable(number, other, now):
@@ -257,7 +258,7 @@
         self.report(number, now)
         for other in range(self.count):
             if other != number:
-                self.report(other, now, whole=True)
+                self.report(other, now, include_unchanged=True)
 
     def deliver(self, now: float) -> None:
         """Deliver datagrams that are due, and update the share of reachable instances."""
--- a/cleatlink/routing/endpoint_speeds.py
+++ b/cleatlink/routing/endpoint_speeds.py
@@ -224,17 +224,17 @@
     fresh = [item.log_ratio for item in pool if now - item.measured_at < _FRESH_S]
     recent = [item.log_ratio for item in pool if now - item.measured_at < _SAMPLE_MAX_AGE_S]
     log_ratios = fresh if len(fresh) >= _MIN_FRESH_SAMPLES else recent
-    slowness = median([*log_ratios, *[0.0] * _PRIOR_SAMPLES])
+    median_log_ratio = median([*log_ratios, *[0.0] * _PRIOR_SAMPLES])
     newest = log_ratios[-_STEP_SAMPLES:]
-    if len(newest) == _STEP_SAMPLES and _is_step(newest, slowness):
-        slowness = median(newest)
-    return 1.0 if abs(slowness) < _MIN_LOG_RATIO else math.exp(-slowness)
+    if len(newest) == _STEP_SAMPLES and _is_step(newest, median_log_ratio):
+        median_log_ratio = median(newest)
+    return 1.0 if abs(median_log_ratio) < _MIN_LOG_RATIO else math.exp(-median_log_ratio)
 
 
-def _is_step(log_ratios: Sequence[float], slowness: float) -> bool:
+def _is_step(log_ratios: Sequence[float], median_log_ratio: float) -> bool:
     """Check whether all samples are far above, or all far below, the median so far."""
     step = math.log(_STEP_FACTOR)
-    return min(log_ratios) - slowness > step or slowness - max(log_ratios) > step
+    return min(log_ratios) - median_log_ratio > step or median_log_ratio - max(log_ratios) > step
 
 
 def _bounded(log_ratio: float) -> float:
--- a/cleatlink/routing/endpoint_speeds_test.py
+++ b/cleatlink/routing/endpoint_speeds_test.py
@@ -109,7 +109,7 @@
 
 
 def test_all_endpoints_have_the_usual_speed_while_the_mechanism_is_switched_off() -> None:
-    capacity = Capacity(MechanismSwitches(frozenset({Mechanism.ENDPOINT_PACE})))
+    capacity = Capacity(MechanismSwitches(frozenset({Mechanism.ENDPOINT_SPEEDS})))
     for peer in range(8):
         capacity.endpoint_speeds.replace_peer_samples(f"i{peer}", "e", [sample(2.0, 1.0)])
     assert capacity.relative_speed("e", 2.0) == 1.0
--- a/cleatlink/routing/estimates.py
+++ b/cleatlink/routing/estimates.py
@@ -45,7 +45,7 @@
     def set_prior(self, prior: float) -> None:
         """Replace the prior; measurements take precedence, including those of peers."""
         # Without the check of adopted values, each new route table restored the prior, and peers
-        # adopted it as measured: streams of 14 s were begun with 4 s left until the stop.
+        # adopted it as measured: streams of 14 s were begun 4 s before the planned stop.
         if not self.count and not self._is_adopted:
             self.value = prior
 
--- a/cleatlink/routing/fleet_records.py
+++ b/cleatlink/routing/fleet_records.py
@@ -46,13 +46,14 @@
     def __init__(self) -> None:
         self._table: RouteTable | None = None
         self._records: dict[str, EndpointRecord] = {}
+        # Start of the newest incarnation by registered name, in ms of the endpoint's clock.
         self._born_at: dict[str, int] = {}
         # The incarnation that was last removed under each name.
         self._removed_incarnations: dict[str, str] = {}
-        self._revision = NO_REVISION
-        self._newest = NO_REVISION
+        self._complete_revision = NO_REVISION
+        self._newest_record_revision = NO_REVISION
         # Highest revision of any record, including records before which others may be missing.
-        self._newest_of_all = NO_REVISION
+        self._highest_record_revision = NO_REVISION
 
     @property
     def table(self) -> RouteTable | None:
@@ -67,7 +68,7 @@
     @property
     def complete_revision(self) -> StoreRevision:
         """Highest revision up to which all registrations and removals are known."""
-        return self._revision
+        return self._complete_revision
 
     @property
     def newest_record_revision(self) -> StoreRevision:
@@ -76,7 +77,7 @@
         Peers compare this value. If it included records beyond a gap, an instance that lacks the
         records of the gap would appear to be complete.
         """
-        return self._newest
+        return self._newest_record_revision
 
     @property
     def records(self) -> tuple[EndpointRecord, ...]:
@@ -108,7 +109,7 @@
         if known is None:
             # All records up to this revision are known, so a registration that is missing here has
             # been removed.
-            if record.endpoint is not None and record.revision <= self._revision:
+            if record.endpoint is not None and record.revision <= self._complete_revision:
                 return None
             known = EndpointRecord(record.name, NO_REVISION, None)
         elif record.revision <= known.revision:
@@ -121,7 +122,7 @@
         if known.endpoint is not None and record.endpoint is None:
             self._removed_incarnations[record.name] = known.endpoint.name
         self._records[record.name] = record
-        self._newest_of_all = max(self._newest_of_all, record.revision)
+        self._highest_record_revision = max(self._highest_record_revision, record.revision)
         return known
 
     def was_removed(self, endpoint: RoutedEndpoint) -> bool:
@@ -130,16 +131,16 @@
 
     def note_complete(self, revision: StoreRevision) -> None:
         """Record that every change up to a revision is known."""
-        self._revision = max(self._revision, revision)
-        self._newest = self._find_newest()
+        self._complete_revision = max(self._complete_revision, revision)
+        self._newest_record_revision = self._find_newest_record_revision()
 
-    def _find_newest(self) -> StoreRevision:
-        if self._newest_of_all <= self._revision:
-            return self._newest_of_all
+    def _find_newest_record_revision(self) -> StoreRevision:
+        if self._highest_record_revision <= self._complete_revision:
+            return self._highest_record_revision
         known = (record.revision for record in self._records.values())
-        complete = (revision for revision in known if revision <= self._revision)
+        complete = (revision for revision in known if revision <= self._complete_revision)
         # A record beyond the gap may have replaced the newest record before the gap.
-        return max(self._newest, max(complete, default=NO_REVISION))
+        return max(self._newest_record_revision, max(complete, default=NO_REVISION))
 
     def changes_in_full_list(
         self, records: list[EndpointRecord], revision: StoreRevision
@@ -157,7 +158,7 @@
         era, registrations that the copy lacks have no removal in that era. If the peer knows the
         new era, they are removed because they are missing from its records.
         """
-        if revision.era <= self._revision.era:
+        if revision.era <= self._complete_revision.era:
             return records
         return self.changes_in_full_list(
             [record for record in records if record.revision.era == revision.era], revision
--- a/cleatlink/routing/fleet_view.py
+++ b/cleatlink/routing/fleet_view.py
@@ -91,7 +91,7 @@
         self._leaving_until: dict[str, float] = {}
         self._peer_leaving_until: dict[str, float] = {}
         self._failed_at: dict[str, float] = {}
-        self._back_off_until: dict[str, float] = {}
+        self._backoff_until: dict[str, float] = {}
         self._reservations: dict[str, Reservation] = {}
         self._reservations_by_endpoint: dict[str, dict[str, Reservation]] = {}
         self._own_work: dict[str, WorkInProgress] = {}
@@ -134,7 +134,7 @@
             self._leaving_until,
             self._peer_leaving_until,
             self._failed_at,
-            self._back_off_until,
+            self._backoff_until,
         ]
         for state in state_by_endpoint:
             for name in state.keys() - names:
@@ -152,7 +152,7 @@
         known = self._reports.get(name)
         if known is not None and known[0].incarnation != report.incarnation:
             self._leaving_until.pop(name, None)
-            self._back_off_until.pop(name, None)
+            self._backoff_until.pop(name, None)
         self._reports[name] = (report, now)
         self._other_work[name] = self._subtract_own_work(report, now)
         if report.leaving:
@@ -196,18 +196,18 @@
         """Note that an endpoint refused work because it is leaving."""
         self._leaving_until[name] = now + LEAVING_REFUSAL_EXPIRY_S
 
-    def note_backoff(self, name: str, back_off_s: float, now: float) -> None:
+    def note_backoff(self, name: str, backoff_s: float, now: float) -> None:
         """Note that an endpoint refused work and accepts none for some time.
 
         Args:
             name: Name of the endpoint.
-            back_off_s: Time for which it accepts no work, in seconds.
+            backoff_s: Time for which it accepts no work, in seconds.
             now: The current time.
         """
-        self._back_off_until[name] = max(self._back_off_until.get(name, 0.0), now + back_off_s)
+        self._backoff_until[name] = max(self._backoff_until.get(name, 0.0), now + backoff_s)
 
     def note_failure(self, name: str, now: float) -> None:
-        """Note that an endpoint was unreachable or did not answer an order.
+        """Note that an endpoint was unreachable or did not answer a request.
 
         It gets no new work until its next report, which shows that it works again. An endpoint
         that is running sends one within a second.
@@ -294,7 +294,7 @@
         name = endpoint.name
         if endpoint.leaving or now < self._leaving_until.get(name, 0.0):
             return False
-        if now < max(self._peer_leaving_until.get(name, 0.0), self._back_off_until.get(name, 0.0)):
+        if now < max(self._peer_leaving_until.get(name, 0.0), self._backoff_until.get(name, 0.0)):
             return False
         report = self._reports.get(name)
         if report is None or now - report[1] > MAX_REPORT_AGE_S:
@@ -330,24 +330,24 @@
         name = endpoint.name
         report, other_work = self._reports[name][0], self._other_work[name]
         own_work = self._own_work.get(name, _NO_WORK)
-        rate = report.prefill_tokens_per_s
+        tokens_per_s = report.prefill_tokens_per_s
         waiting = other_work.waiting_tokens + own_work.waiting_tokens
         if own_work.waiting_tokens:
-            waiting -= self._computed_tokens(name, rate, now)
+            waiting -= self._computed_tokens(name, tokens_per_s, now)
         return EndpointLoad(
             endpoint,
             other_work.running + own_work.running,
             report.slots,
             waiting,
             report.memory_tokens - other_work.memory_tokens - own_work.memory_tokens,
-            rate,
+            tokens_per_s,
         )
 
-    def _computed_tokens(self, name: str, rate: float, now: float) -> int:
+    def _computed_tokens(self, name: str, tokens_per_s: float, now: float) -> int:
         """Estimate how many tokens of this instance's prefill in progress are computed."""
         sizes = (item.prefill_tokens for item in self._reservations_by_endpoint[name].values())
         oldest = next((size for size in sizes if size), 0)
-        return min(oldest, int((now - self._prefill_began_at[name]) * rate))
+        return min(oldest, int((now - self._prefill_began_at[name]) * tokens_per_s))
 
     def _select(self, request_class: str, role: Role, data_centre: str) -> tuple[Endpoint, ...]:
         configuration = self._configuration
--- a/cleatlink/routing/fleet_view_test.py
+++ b/cleatlink/routing/fleet_view_test.py
@@ -110,7 +110,7 @@
     assert view.is_usable(endpoint, 300.0 + LEAVING_EXPIRY_S)
 
 
-def test_back_off_ends_on_restart_but_not_on_a_report() -> None:
+def test_backoff_ends_on_restart_but_not_on_a_report() -> None:
     view, endpoint = make_view()
     view.add_report(make_report("d1"), 100.0)
     view.note_backoff("d1", 3.0, 100.0)
--- a/cleatlink/routing/forecast.py
+++ b/cleatlink/routing/forecast.py
@@ -1,8 +1,8 @@
 """Forecast of when a decode endpoint has capacity for a stream that fits nowhere now.
 
-Capacity is freed when running streams end. Streams that wait at this instance, and refused streams
-that were asked to retry at any instance, are served first. The forecast assigns each of them in
-turn to the endpoint that has capacity for it first, and then does the same for the given stream.
+Capacity is freed when running streams end. Streams that are queued ahead, at this instance or
+at others, are served first. The forecast assigns each of them in turn to the endpoint that has
+capacity for it first, and then does the same for the given stream.
 """
 
 import math
@@ -42,54 +42,54 @@
 
     def __init__(
         self,
-        tokens: float,
-        slots: int,
+        free_tokens: float,
+        free_slots: int,
         ends: list[tuple[float, int]],
         prompts_until: float,
         *,
         full_until: float,
-        pause_s: float,
+        call_interval_s: float,
         speed: float,
     ) -> None:
         """Start with the present state of the endpoint.
 
         Args:
-            tokens: Free memory, in tokens.
-            slots: Free slots.
+            free_tokens: Free memory, in tokens.
+            free_slots: Number of free slots.
             ends: Expected end of each running stream, and the tokens that it frees.
             prompts_until: When the endpoint will have computed the prompts assigned to it.
             full_until: Time before which it gets no new streams.
-            pause_s: Seconds between two calls under its rate limit; 0 without a limit.
+            call_interval_s: Seconds between two calls under its rate limit; 0 without a limit.
             speed: Speed relative to its service's usual one.
         """
         self._speed = speed
-        self._pause_s = pause_s
+        self._call_interval_s = call_interval_s
         self._prompts_until = prompts_until
         self._full_until = full_until
-        self._tokens = tokens
-        self._slots = slots
+        self._free_tokens = free_tokens
+        self._free_slots = free_slots
         self._ends = sorted(ends)
-        self._freed = [0, *accumulate(freed for _, freed in self._ends)]
+        self._freed_tokens = [0, *accumulate(freed for _, freed in self._ends)]
 
     def free_at(self, stream: StreamDemand, now: float) -> float:
         """Return when the endpoint has a free slot and memory for a stream.
 
         A stream that is larger than the memory is assigned to an idle endpoint.
         """
-        needed = bisect_left(self._freed, stream.tokens - self._tokens)
-        needed = min(max(needed, 1 - self._slots), len(self._ends))
+        needed = bisect_left(self._freed_tokens, stream.tokens - self._free_tokens)
+        needed = min(max(needed, 1 - self._free_slots), len(self._ends))
         free_at = self._ends[needed - 1][0] if needed > 0 else now
         free_at = max(free_at, self._full_until)
         return max(free_at, self._prompts_until) if stream.prompt_s else free_at
 
     def assign(self, stream: StreamDemand, at: float) -> None:
         """Assign a slot and memory to a stream until its end."""
-        if self._pause_s:
-            self._full_until = max(at, self._full_until) + self._pause_s
-        self._tokens -= stream.tokens
-        self._slots -= 1
+        if self._call_interval_s:
+            self._full_until = max(at, self._full_until) + self._call_interval_s
+        self._free_tokens -= stream.tokens
+        self._free_slots -= 1
         insort(self._ends, (at + stream.duration_s / self._speed, stream.tokens))
-        self._freed = [0, *accumulate(freed for _, freed in self._ends)]
+        self._freed_tokens = [0, *accumulate(freed for _, freed in self._ends)]
         if stream.prompt_s:
             self._prompts_until = at + stream.prompt_s / self._speed
 
@@ -157,14 +157,14 @@
     ends = [(item.expected_end(now), item.tokens) for item in placed]
     used = capacity.peak_memory(name, [], now, spread)
     prompts_until = capacity.free_at(name, Role.PREFILL, now)
-    tokens = min(traits.memory_tokens - used, capacity.free_memory_tokens(name, now) - 1)
-    slots = traits.slots - len(placed)
+    free_tokens = min(traits.memory_tokens - used, capacity.free_memory_tokens(name, now) - 1)
+    free_slots = traits.slots - len(placed)
     return _EndpointForecast(
-        tokens,
-        slots,
+        free_tokens,
+        free_slots,
         ends,
         prompts_until,
         full_until=capacity.accepts_work_at(name, now),
-        pause_s=capacity.endpoint_limits.call_interval_s(name),
+        call_interval_s=capacity.endpoint_limits.call_interval_s(name),
         speed=capacity.relative_speed(name, now),
     )
--- a/cleatlink/routing/forecast_test.py
+++ b/cleatlink/routing/forecast_test.py
@@ -57,8 +57,8 @@
     capacity.reserve("1/p", Reservation("x", Role.PREFILL, 100, 1.5, 0.5))
     forecast = CapacityForecast("s", TRAITS, capacity, 1.0)
     assert forecast.wait_s(StreamDemand(100, 10.0)) == 0.0
-    direct = StreamDemand(100, 10.0, prompt_s=0.2)
-    assert forecast.wait_s(direct, [direct]) == pytest.approx(0.7)
+    prompt_on_decode = StreamDemand(100, 10.0, prompt_s=0.2)
+    assert forecast.wait_s(prompt_on_decode, [prompt_on_decode]) == pytest.approx(0.7)
 
 
 def test_overdue_streams_are_expected_to_continue_for_a_while() -> None:
--- a/cleatlink/routing/hashing.py
+++ b/cleatlink/routing/hashing.py
@@ -1,7 +1,7 @@
 """Hashes that every instance computes alike, so that no shared table is needed.
 
 The hash of a prompt's prefix selects the endpoint where the prefix is cached; rendezvous hashing
-of instance names selects the owners of keys and the holders of notes.
+of instance names selects the owners of keys and the peers that store the notes of a request.
 """
 
 from collections.abc import Iterable
--- a/cleatlink/routing/mechanisms.py
+++ b/cleatlink/routing/mechanisms.py
@@ -14,14 +14,14 @@
     """A mechanism that can be switched off; the value is its name on the command line."""
 
     # Use measured service times and lengths of answers. Off: estimate them from the routes.
-    LEARNED_PACE = "learned-pace"
+    MEASURED_SERVICE_TIMES = "learned-pace"
     # Use the speed of each endpoint, as measured by all instances. Off: use its service's speed.
-    ENDPOINT_PACE = "endpoint-pace"
+    ENDPOINT_SPEEDS = "endpoint-pace"
     # Reserve memory at decodes for answers that become longer than estimated.
-    SPREAD_ROOM = "spread-room"
+    LONG_ANSWER_RESERVE = "spread-room"
     # Refuse a stream as soon as the forecast says that it would be late. Off: all streams wait.
     FORECAST = "forecast"
-    # Recognise the retries of refused callers, and reserve capacity for them.
+    # Recognise the retries of refused callers, and queue them by the time of the refusal.
     RETURNS = "returns"
     # Let decodes compute prompts when every prefill is too busy.
     SHARED_PROMPTS = "shared-prompts"
@@ -32,12 +32,12 @@
     # Reserve capacity at the decode before the prompt is computed.
     HOLDS = "holds"
     # Avoid endpoints that peers reported as slow or unreachable.
-    HINTS = "hints"
+    PEER_REPORTS = "hints"
     # Prefer decodes of the own data centre.
     LOCALITY = "locality"
     # After an engine refuses a stream for lack of capacity, send no stream of that size to it from
     # any instance until some work ends there.
-    SHED_LIMITS = "shed-limits"
+    REJECTION_BOUNDS = "shed-limits"
     # Let a few instances of a data centre watch the configuration service for all its instances.
     SHARED_WATCH = "shared-watch"
     # In large fleets, let some instances forward messages. Off: send messages to each instance.
--- a/cleatlink/routing/mechanisms_test.py
+++ b/cleatlink/routing/mechanisms_test.py
@@ -29,7 +29,7 @@
 from cleatlink.scripts.commands import main
 
 TRAITS = EngineProperties(64, 40_000, 0.5, 6.0, event_tokens=10)
-SEEKER = PlacementContext("a", frozenset(), 0.0, random.Random(1))
+CONTEXT = PlacementContext("a", frozenset(), 0.0, random.Random(1))
 
 
 def make_fleet(without: Set[Mechanism]) -> Capacity:
@@ -53,9 +53,9 @@
 @pytest.mark.parametrize("off", [False, True])
 def test_locality_prefers_the_local_decode(off: bool) -> None:
     capacity = make_fleet({Mechanism.LOCALITY} if off else set())
-    found = choose_decode("s", StreamSize(2_000, 500, 3.0), TRAITS, capacity, SEEKER)
-    assert found is not None
-    assert found.name == ("d2" if off else "d1")
+    chosen = choose_decode("s", StreamSize(2_000, 500, 3.0), TRAITS, capacity, CONTEXT)
+    assert chosen is not None
+    assert chosen.name == ("d2" if off else "d1")
 
 
 @pytest.mark.parametrize("off", [False, True])
@@ -63,13 +63,13 @@
     capacity = make_fleet({Mechanism.SHARED_PROMPTS} if off else set())
     route = Route("r", "h", "/", RouteKind.STREAMING, 14.0, 0.9, 1, (), event_gap_target_s=1.0)
     inbound = InboundRequest("r", b"POST", b"/", "h", (), b"", 0.0, prompt_tokens=2000)
-    plan = plan_prompt(inbound, route, RoutedService("s", 9, TRAITS), capacity, SEEKER)
+    plan = plan_prompt(inbound, route, RoutedService("s", 9, TRAITS), capacity, CONTEXT)
     assert plan.computed_by_decode is not off
 
 
 @pytest.mark.parametrize("off", [False, True])
-def test_pace_and_spread_of_answer_lengths_are_learned(off: bool) -> None:
-    without = {Mechanism.LEARNED_PACE, Mechanism.SPREAD_ROOM} if off else set()
+def test_service_times_and_spread_of_answer_lengths_are_measured(off: bool) -> None:
+    without = {Mechanism.MEASURED_SERVICE_TIMES, Mechanism.LONG_ANSWER_RESERVE} if off else set()
     times = Capacity(MechanismSwitches(without)).service_times("s")
     before_s = times.token_s
     times.note_segment(100, 5.0)
@@ -78,8 +78,8 @@
 
 
 @pytest.mark.parametrize("off", [False, True])
-def test_hints_of_peers_exclude_an_endpoint(off: bool) -> None:
-    capacity = make_fleet({Mechanism.HINTS} if off else set())
+def test_reports_of_peers_exclude_an_endpoint(off: bool) -> None:
+    capacity = make_fleet({Mechanism.PEER_REPORTS} if off else set())
     capacity.note_reported_slow("d1", 1.0)
     capacity.note_unreachable_from_peers("d1", 1.0)
     avoided = "d1" not in [item.name for item in capacity.candidates("s", Role.DECODE, 1.1)]
@@ -95,9 +95,9 @@
     for step in range(1, 6):
         totals = {"w1": EndpointTotals(20 * step, 0.9 * step, 0)}
         capacity.plain_load.update_peer(PeerCallTotals("p", 1, 0.1 * step, {}, totals), 0.1 * step)
-    context = SEEKER._replace(now=0.5)
-    found = [choose_plain("s", capacity, context) for _ in range(50)]
-    assert all(item is not None and item.name == "w1" for item in found) is off
+    context = CONTEXT._replace(now=0.5)
+    chosen = [choose_plain("s", capacity, context) for _ in range(50)]
+    assert all(item is not None and item.name == "w1" for item in chosen) is off
 
 
 def test_command_line_lists_the_mechanisms_and_rejects_unknown_names() -> None:
--- a/cleatlink/routing/notices.py
+++ b/cleatlink/routing/notices.py
@@ -46,11 +46,11 @@
 class _Backoff:
     """A back-off of an endpoint, and the limited calls after it."""
 
-    __slots__ = ("allowed", "calls", "until")
+    __slots__ = ("calls", "max_calls", "until")
 
     def __init__(self, until: float) -> None:
         self.until = until
-        self.allowed = _MIN_TRIAL_CALLS
+        self.max_calls = _MIN_TRIAL_CALLS
         self.calls: set[str] = set()
 
 
@@ -84,7 +84,7 @@
         if known is None:
             known = self._backoffs[incarnation] = _Backoff(now)
         known.until = max(known.until, now + backoff_s)
-        known.allowed = _MIN_TRIAL_CALLS
+        known.max_calls = _MIN_TRIAL_CALLS
         return begins
 
     def newest_leaving(self, limit: int) -> list[str]:
@@ -130,7 +130,7 @@
     def may_begin_call(self, incarnation: str, now: float) -> bool:
         """Check whether an endpoint may get another call: none in its back-off, few after it."""
         backoff = self._backoffs.get(incarnation)
-        return backoff is None or (now >= backoff.until and len(backoff.calls) < backoff.allowed)
+        return backoff is None or (now >= backoff.until and len(backoff.calls) < backoff.max_calls)
 
     def begin_work(self, incarnation: str, key: str) -> None:
         """Record that work begins at an endpoint."""
@@ -149,8 +149,8 @@
         backoff = self._backoffs.get(incarnation)
         if backoff is None or now < backoff.until:
             return
-        backoff.allowed *= 2
-        if backoff.allowed > _MAX_TRIAL_CALLS:
+        backoff.max_calls *= 2
+        if backoff.max_calls > _MAX_TRIAL_CALLS:
             del self._backoffs[incarnation]
 
     def drop_old(self, now: float) -> None:
--- a/cleatlink/routing/notices_test.py
+++ b/cleatlink/routing/notices_test.py
@@ -37,7 +37,7 @@
     assert capacity.accepts_work_in_s(SERVICE, Role.PLAIN, 1.0) is None
 
 
-def test_back_off_lasts_to_its_end_and_the_longest_request_counts() -> None:
+def test_backoff_lasts_to_its_end_and_the_longest_request_counts() -> None:
     capacity = Capacity()
     capacity.set_endpoint(endpoint("x"))
     capacity.set_endpoint(endpoint("y"))
@@ -48,7 +48,7 @@
     assert candidates(capacity, 3.0) == ["x", "y"]
 
 
-def test_endpoint_that_failed_is_preferred_to_one_in_a_back_off() -> None:
+def test_endpoint_that_failed_is_preferred_to_one_in_a_backoff() -> None:
     capacity = Capacity()
     capacity.set_endpoint(endpoint("x"))
     capacity.set_endpoint(endpoint("y"))
@@ -57,7 +57,7 @@
     assert candidates(capacity, 0.1) == ["y"]
 
 
-def test_first_end_is_returned_while_all_endpoints_are_in_a_back_off() -> None:
+def test_first_end_is_returned_while_all_endpoints_are_in_a_backoff() -> None:
     capacity = Capacity()
     capacity.set_endpoint(endpoint("x"))
     capacity.set_endpoint(endpoint("y"))
@@ -67,7 +67,7 @@
     assert capacity.accepts_work_in_s(SERVICE, Role.PLAIN, 0.5) == 1.5
 
 
-def test_calls_after_a_back_off_start_at_one_and_double_with_each_answer() -> None:
+def test_calls_after_a_backoff_start_at_one_and_double_with_each_answer() -> None:
     capacity = Capacity()
     capacity.set_endpoint(endpoint("x"))
     capacity.notices.note_backoff("x", 1.0, 0.0)
@@ -95,7 +95,7 @@
     assert fill() == 50
 
 
-def test_answer_within_a_back_off_does_not_end_it() -> None:
+def test_answer_within_a_backoff_does_not_end_it() -> None:
     notices = EndpointNotices()
     notices.note_backoff("x", 1.0, 0.0)
     for _ in range(9):
@@ -116,7 +116,7 @@
 
 
 @given(st.lists(st.tuples(st.floats(0, 50), st.floats(0.01, 20)), min_size=1, max_size=20))
-def test_no_call_begins_during_any_back_off(requests: list[tuple[float, float]]) -> None:
+def test_no_call_begins_during_any_backoff(requests: list[tuple[float, float]]) -> None:
     notices = EndpointNotices()
     for requested_at, backoff_s in sorted(requests):
         notices.note_backoff("x", backoff_s, requested_at)
--- a/cleatlink/routing/outcomes.py
+++ b/cleatlink/routing/outcomes.py
@@ -61,7 +61,7 @@
         outcomes.avoid_until = 0.0
         outcomes.succeeded_at = now
 
-    def note_unreachable_by_peers(self, name: str, now: float) -> None:
+    def note_unreachable_from_peers(self, name: str, now: float) -> None:
         """Record that peers with the same network links could not reach an endpoint."""
         outcomes = self._of(name)
         if now - outcomes.succeeded_at > _RECENT_SUCCESS_S:
--- a/cleatlink/routing/plain_admission.py
+++ b/cleatlink/routing/plain_admission.py
@@ -14,7 +14,7 @@
 from typing import NamedTuple
 
 from cleatlink.core.routes import RoutedEndpoint
-from cleatlink.routing.plain_load import EndpointLoad
+from cleatlink.routing.plain_load import PlainEndpointLoad
 
 __all__ = [
     "AdmissionQueue",
@@ -88,7 +88,7 @@
     return 2 * priority + (not retried_in_time)
 
 
-def sustainable_rate(endpoint: RoutedEndpoint, load: EndpointLoad, typical_s: float) -> float:
+def sustainable_rate(endpoint: RoutedEndpoint, load: PlainEndpointLoad, typical_s: float) -> float:
     """Return the calls per second that an endpoint can sustain without a queue.
 
     A full endpoint sustains the rate at which it completes calls. For an endpoint with free
@@ -116,7 +116,7 @@
 
 def measure_service_load(
     endpoints: Iterable[RoutedEndpoint],
-    loads: Mapping[str, EndpointLoad],
+    loads: Mapping[str, PlainEndpointLoad],
     typical_s: Mapping[str, float],
 ) -> ServiceLoad:
     """Return the load of a service.
--- a/cleatlink/routing/plain_load.py
+++ b/cleatlink/routing/plain_load.py
@@ -16,7 +16,7 @@
     "CallOutcome",
     "PeerCallTotals",
     "DemandKey",
-    "EndpointLoad",
+    "PlainEndpointLoad",
     "EndpointTotals",
     "PlainLoad",
 ]
@@ -98,7 +98,7 @@
     endpoints: Mapping[str, EndpointTotals]
 
 
-class EndpointLoad(NamedTuple):
+class PlainEndpointLoad(NamedTuple):
     """Recent load of one endpoint from all instances.
 
     Attributes:
@@ -154,8 +154,8 @@
         self._arrived: RecentSums[DemandKey] = RecentSums(_WINDOW_S, now)
         self._own_arrived: RecentSums[str] = RecentSums(_WINDOW_S, now)
         self._ended: RecentSums[str] = RecentSums(_WINDOW_S, now)
-        self._call_s: RecentSums[str] = RecentSums(_WINDOW_S, now)
-        self._own_call_s: RecentSums[str] = RecentSums(_WINDOW_S, now)
+        self._busy_s: RecentSums[str] = RecentSums(_WINDOW_S, now)
+        self._own_busy_s: RecentSums[str] = RecentSums(_WINDOW_S, now)
         self._refused: RecentSums[str] = RecentSums(_WINDOW_S, now)
         self._arrival_totals: dict[DemandKey, int] = {}
         self._own_calls: dict[str, _OwnCalls] = {}
@@ -208,8 +208,8 @@
         if busy_s:
             own.busy_s += busy_s
             recent_s = min(busy_s, own.running * _WINDOW_S)
-            self._call_s.add(endpoint_name, recent_s, now)
-            self._own_call_s.add(endpoint_name, recent_s, now)
+            self._busy_s.add(endpoint_name, recent_s, now)
+            self._own_busy_s.add(endpoint_name, recent_s, now)
 
     def endpoint_totals(self, now: float) -> dict[str, EndpointTotals]:
         """Return this instance's totals at endpoints since its start."""
@@ -261,17 +261,17 @@
         if now is None:
             return
         self._ended.add(endpoint_name, totals.ended - previous.ended, now)
-        self._call_s.add(endpoint_name, totals.busy_s - previous.busy_s, now)
+        self._busy_s.add(endpoint_name, totals.busy_s - previous.busy_s, now)
         if totals.refused > previous.refused:
             self._refused.add(endpoint_name, totals.refused - previous.refused, now)
 
-    def endpoint_load(self, endpoint_name: str, now: float) -> EndpointLoad:
+    def endpoint_load(self, endpoint_name: str, now: float) -> PlainEndpointLoad:
         """Return the recent load of an endpoint."""
         own = self._own_calls.get(endpoint_name)
         if own is not None and own.running:
             self._add_running_time(endpoint_name, own, now)
-        return EndpointLoad(
-            self._call_s.rate(endpoint_name, now),
+        return PlainEndpointLoad(
+            self._busy_s.rate(endpoint_name, now),
             self._ended.rate(endpoint_name, now),
             self._refused.sum(endpoint_name, now) > 0,
             self._ended.sum(endpoint_name, now) >= _MIN_ENDED_CALLS,
@@ -280,7 +280,7 @@
     def peers_running(self, endpoint_name: str, now: float) -> float:
         """Return the recent average number of peers' calls in progress at an endpoint."""
         return max(
-            0.0, self._call_s.rate(endpoint_name, now) - self._own_call_s.rate(endpoint_name, now)
+            0.0, self._busy_s.rate(endpoint_name, now) - self._own_busy_s.rate(endpoint_name, now)
         )
 
     def arrival_rates(self, service: str, now: float) -> dict[int, float]:
--- a/cleatlink/routing/plain_replay_test.py
+++ b/cleatlink/routing/plain_replay_test.py
@@ -41,19 +41,20 @@
     Attributes:
         rate: Returns the calls per second of all callers at a given time.
         workers: Returns the number of running workers at a given time.
-        urgent: Share of the calls with priority 0; the others have priority 1.
-        abusive: Share of the callers that retry up to three times, without the required delay.
+        urgent_share: Share of the calls with priority 0; the others have priority 1.
+        abusive_share: Share of the callers that retry up to three times, without the required
+            delay.
         flood: Returns the additional calls per second of one organisation at a given time; they
             have priority 2.
-        lasts_s: Time during which calls arrive, in seconds.
+        duration_s: Time during which calls arrive, in seconds.
     """
 
     rate: Callable[[float], float]
     workers: Callable[[float], int] = lambda _: WORKERS
-    urgent: float = 0.5
-    abusive: float = 0.0
+    urgent_share: float = 0.5
+    abusive_share: float = 0.0
     flood: Callable[[float], float] = lambda _: 0.0
-    lasts_s: float = 4.0
+    duration_s: float = 4.0
 
 
 class Caller(NamedTuple):
@@ -63,7 +64,7 @@
     priority: int
     arrived_at: float
     retries_left: int
-    abusive: bool
+    is_abusive: bool
     instance: int
 
 
@@ -144,13 +145,13 @@
         for number in itertools.count():
             base, flood = self.load.rate(now), self.load.flood(now)
             now += self.rng.expovariate(base + flood)
-            if now > self.load.lasts_s:
+            if now > self.load.duration_s:
                 return
             is_flood = self.rng.random() * (base + flood) < flood
-            priority = 2 if is_flood else int(self.rng.random() >= self.load.urgent)
-            abusive = self.rng.random() < self.load.abusive
+            priority = 2 if is_flood else int(self.rng.random() >= self.load.urgent_share)
+            is_abusive = self.rng.random() < self.load.abusive_share
             instance = self.rng.randrange(len(self.nodes))
-            yield Caller(number, priority, now, 3 if abusive else 1, abusive, instance)
+            yield Caller(number, priority, now, 3 if is_abusive else 1, is_abusive, instance)
 
     def announce(self, node: Node, now: float) -> None:
         plain = node.capacity.plain_load
@@ -164,7 +165,7 @@
             self.schedule(
                 now + MESSAGE_DELAY_S, lambda later: self.receive(node, message, refusals, later)
             )
-        if now < self.load.lasts_s:
+        if now < self.load.duration_s:
             self.schedule(now + MESSAGE_INTERVAL_S, lambda later: self.announce(node, later))
 
     def receive(
@@ -251,7 +252,7 @@
             node.capacity.expected_plain_retries.note_own_refusal(
                 b"%d" % caller.number, now + wait_s
             )
-        retry_at = now + (0.01 if caller.abusive else wait_s)
+        retry_at = now + (0.01 if caller.is_abusive else wait_s)
         instance = self.rng.randrange(len(self.nodes))
         retried = caller._replace(
             arrived_at=retry_at, retries_left=caller.retries_left - 1, instance=instance
@@ -283,7 +284,7 @@
     "one organisation at eight times its usual rate": Load(
         lambda _: 0.5 * SUSTAINABLE_PER_S, flood=eightfold_flood
     ),
-    "callers that retry at once": Load(burst, abusive=1 / 3),
+    "callers that retry at once": Load(burst, abusive_share=1 / 3),
     "overload from the start": Load(lambda _: 1.2 * SUSTAINABLE_PER_S),
     "calm": Load(lambda _: 0.45 * SUSTAINABLE_PER_S),
 }
@@ -325,7 +326,7 @@
 
 
 def test_360_instances_that_start_during_an_overload() -> None:
-    load = LOADS["overload from the start"]._replace(lasts_s=2.5)
+    load = LOADS["overload from the start"]._replace(duration_s=2.5)
     without_admission = Replay(load, 360, has_admission=False).run()
     with_admission = Replay(load, 360, has_admission=True).run()
     print_shares("overload from the start", 360, without_admission, with_admission)
--- a/cleatlink/routing/plain_retries.py
+++ b/cleatlink/routing/plain_retries.py
@@ -40,12 +40,12 @@
     """An expected retry of a refused call.
 
     Attributes:
-        due: Time at which the caller may retry.
-        early: Number of calls with the same request that arrived before that time.
+        due_at: Time at which the caller may retry.
+        early_count: Number of calls with the same request that arrived before that time.
     """
 
-    due: float
-    early: int = 0
+    due_at: float
+    early_count: int = 0
 
 
 class ExpectedPlainRetries:
@@ -58,18 +58,18 @@
     def __len__(self) -> int:
         return len(self._expected)
 
-    def note_own_refusal(self, identity: bytes, due: float) -> None:
+    def note_own_refusal(self, identity: bytes, due_at: float) -> None:
         """Record a call that this instance refused, to announce it to peers."""
-        self.note_refusal(identity, due)
-        self._unannounced[identity] = due
+        self.note_refusal(identity, due_at)
+        self._unannounced[identity] = due_at
         if len(self._unannounced) > _MAX_UNANNOUNCED:
             del self._unannounced[next(iter(self._unannounced))]
 
-    def note_refusal(self, identity: bytes, due: float) -> None:
+    def note_refusal(self, identity: bytes, due_at: float) -> None:
         """Record a call that this instance or a peer refused."""
         previous = self._expected.pop(identity, None)
         self._expected[identity] = _ExpectedRetry(
-            due, previous.early if previous is not None else 0
+            due_at, previous.early_count if previous is not None else 0
         )
         if len(self._expected) > _MAX_REMEMBERED:
             del self._expected[next(iter(self._expected))]
@@ -77,26 +77,34 @@
     def match_arrival(self, identity: bytes, now: float) -> RetryTiming:
         """Match an arriving call with an earlier refusal; one refusal matches one retry on time."""
         expected = self._expected.get(identity)
-        if expected is None or now > expected.due + _LATE_TOLERANCE_S:
+        if expected is None or now > expected.due_at + _LATE_TOLERANCE_S:
             return RetryTiming.NEW_CALL
-        if now < expected.due - _EARLY_TOLERANCE_S:
-            self._expected[identity] = expected._replace(early=expected.early + 1)
+        if now < expected.due_at - _EARLY_TOLERANCE_S:
+            self._expected[identity] = expected._replace(early_count=expected.early_count + 1)
             return (
-                RetryTiming.EARLY if expected.early < _MAX_EARLY_RETRIES else RetryTiming.NEW_CALL
+                RetryTiming.EARLY
+                if expected.early_count < _MAX_EARLY_RETRIES
+                else RetryTiming.NEW_CALL
             )
         del self._expected[identity]
-        return RetryTiming.NEW_CALL if expected.early else RetryTiming.ON_TIME
+        return RetryTiming.NEW_CALL if expected.early_count else RetryTiming.ON_TIME
 
     def take_unannounced(self, max_count: int, now: float) -> list[tuple[bytes, float]]:
         """Remove and return refused calls to announce, with seconds until retries are due."""
-        announced = [(name, due - now) for name, due in self._unannounced.items() if due > now]
+        announced = [
+            (identity, due_at - now)
+            for identity, due_at in self._unannounced.items()
+            if due_at > now
+        ]
         self._unannounced = dict(list(self._unannounced.items())[max_count:])
         return announced[:max_count]
 
     def remove_expired(self, now: float) -> None:
         """Remove refused calls that were not retried in time."""
         expired = [
-            name for name, item in self._expected.items() if item.due + _LATE_TOLERANCE_S < now
+            identity
+            for identity, item in self._expected.items()
+            if item.due_at + _LATE_TOLERANCE_S < now
         ]
-        for name in expired:
-            del self._expected[name]
+        for identity in expired:
+            del self._expected[identity]
--- a/cleatlink/routing/prompt_plan.py
+++ b/cleatlink/routing/prompt_plan.py
@@ -78,11 +78,17 @@
         - age_s
     )
 
-    def plan(direct: bool, queue_s: float, prompt_s: float, start_s: float) -> PromptPlan:
+    def plan(
+        computed_by_decode: bool, queue_s: float, prompt_s: float, start_s: float
+    ) -> PromptPlan:
         ready_s = queue_s + prompt_s
         first_token_s = ready_s + start_s
         return PromptPlan(
-            direct, ready_s, queue_s, target_slack_s - first_token_s, caller_slack_s - first_token_s
+            computed_by_decode,
+            ready_s,
+            queue_s,
+            target_slack_s - first_token_s,
+            caller_slack_s - first_token_s,
         )
 
     decode_prompt_s = DECODE_PROMPT_FACTOR * idle_prompt_s
@@ -91,9 +97,9 @@
     if earliest is None:
         return on_decode
     on_prefill = plan(False, earliest.queue_s, earliest.prompt_s, times.first_event_s)
-    pause_s = times.prompt_event_gap_s(idle_prompt_s, service.engine.event_tokens)
+    event_gap_s = times.prompt_event_gap_s(idle_prompt_s, service.engine.event_tokens)
     may_use_decode = capacity.switches.is_enabled(Mechanism.SHARED_PROMPTS)
-    if not on_prefill.is_late or pause_s > route.event_gap_target_s or not may_use_decode:
+    if not on_prefill.is_late or event_gap_s > route.event_gap_target_s or not may_use_decode:
         return on_prefill
     return on_prefill if on_decode.is_late else on_decode
 
@@ -106,7 +112,7 @@
     Args:
         service: Name of the service.
         capacity: Known state of its endpoints.
-        context: The request for an endpoint.
+        context: Data centre, time and call of the decision.
         idle_prompt_s: Seconds that an idle endpoint of the usual speed needs for the prompt.
     """
     names = (item.name for item in capacity.candidates(service, Role.PREFILL, context.now))
--- a/cleatlink/routing/rejection_bounds_test.py
+++ b/cleatlink/routing/rejection_bounds_test.py
@@ -58,7 +58,7 @@
                     )
         return count
 
-    assert count_attempts(frozenset({Mechanism.SHED_LIMITS})) == 82
+    assert count_attempts(frozenset({Mechanism.REJECTION_BOUNDS})) == 82
     assert count_attempts(frozenset()) == 1
 
 
@@ -108,12 +108,12 @@
     )
 )
 def test_bound_lasts_one_second_and_is_at_most_the_rejected_size(
-    refusals: list[tuple[int, int, float]],
+    rejections: list[tuple[int, int, float]],
 ) -> None:
-    limits = RejectionBounds()
+    bounds = RejectionBounds()
     now = 0.0
-    for held, tokens, pause_s in refusals:
+    for held, tokens, pause_s in rejections:
         now += pause_s
-        limits.note_rejected("e", held, tokens, now)
-        assert limits.bound_tokens("e", now) <= held + tokens
-    assert limits.bound_tokens("e", now + 1.0) > 40_000 + 10_000
+        bounds.note_rejected("e", held, tokens, now)
+        assert bounds.bound_tokens("e", now) <= held + tokens
+    assert bounds.bound_tokens("e", now + 1.0) > 40_000 + 10_000
--- a/cleatlink/routing/rejection_plan_test.py
+++ b/cleatlink/routing/rejection_plan_test.py
@@ -40,16 +40,16 @@
 
 @given(st.integers(1, 10), st.booleans(), st.floats(0.0, 2.0), st.floats(-1.0, 20.0))
 def test_plan_respects_retry_limit_caller_deadline_and_handle(
-    rejections: int, room_elsewhere: bool, handle_left_s: float, left_s: float
+    rejections: int, has_capacity_elsewhere: bool, handle_left_s: float, left_s: float
 ) -> None:
     plan = plan_after_rejection(
         rejections,
-        has_capacity_elsewhere=room_elsewhere,
+        has_capacity_elsewhere=has_capacity_elsewhere,
         handle_left_s=handle_left_s,
         left_s=left_s,
     )
     assert plan.action is RejectionAction.GIVE_UP or rejections <= 3
-    assert plan.action is not RejectionAction.OTHER_ENDPOINT or room_elsewhere
+    assert plan.action is not RejectionAction.OTHER_ENDPOINT or has_capacity_elsewhere
     if plan.action is RejectionAction.SAME_ENDPOINT:
         assert plan.delay_s < left_s
         assert not plan.keeps_handle or plan.delay_s < handle_left_s
--- a/cleatlink/routing/relay_placement.py
+++ b/cleatlink/routing/relay_placement.py
@@ -222,7 +222,7 @@
     # Cost of the least loaded endpoint of each side, not weighted by speed.
     least_cost = {False: math.inf, True: math.inf}
     candidates = capacity.candidates(service, Role.DECODE, context.now)
-    slowest = min((_speed(item, capacity, context) for item in candidates), default=1.0)
+    slowest = min((_weighting_speed(item, capacity, context) for item in candidates), default=1.0)
     for endpoint in candidates:
         if endpoint.name in context.excluded or capacity.is_full(endpoint.name, context.now):
             continue
@@ -239,7 +239,7 @@
         if load is None:
             continue
         # At the same load, a faster endpoint frees its memory sooner.
-        weighted_load = load * slowest / _speed(endpoint, capacity, context)
+        weighted_load = load * slowest / _weighting_speed(endpoint, capacity, context)
         extra_cost = prompt_wait_shares.get(endpoint.data_centre, 0.0)
         if due_in_s > send_time.prompt_ready_in_s:
             extra_cost += _RATE_LIMIT_WAIT_COST + due_in_s
@@ -278,7 +278,9 @@
     return min(rng.sample(similar, 2), key=_cost).endpoint
 
 
-def _speed(endpoint: RoutedEndpoint, capacity: Capacity, context: PlacementContext) -> float:
+def _weighting_speed(
+    endpoint: RoutedEndpoint, capacity: Capacity, context: PlacementContext
+) -> float:
     """Return the speed by which an endpoint's load is weighted."""
     return max(_MIN_SPEED, capacity.relative_speed(endpoint.name, context.now))
 
--- a/cleatlink/routing/relay_routing_test.py
+++ b/cleatlink/routing/relay_routing_test.py
@@ -55,7 +55,7 @@
     return StreamSize(prompt, output, duration_s)
 
 
-def make_seeker(now: float = 0.0, excluded: frozenset[str] = frozenset()) -> PlacementContext:
+def make_context(now: float = 0.0, excluded: frozenset[str] = frozenset()) -> PlacementContext:
     return PlacementContext("a", excluded, now, random.Random(1))
 
 
@@ -120,15 +120,15 @@
     capacity.set_endpoint(make_endpoint("y"))
     capacity.reserve("1", Reservation("x", Role.DECODE, 700, 5.0))
     capacity.peer_reserve("p", "2", Reservation("y", Role.DECODE, 400, 6.0))
-    found = choose_decode("s", make_size(400), TRAITS, capacity, make_seeker())
-    assert found is not None
-    assert found.name == "y"
+    chosen = choose_decode("s", make_size(400), TRAITS, capacity, make_context())
+    assert chosen is not None
+    assert chosen.name == "y"
     capacity.peer_reserve("p", "3", Reservation("y", Role.DECODE, 400, 7.0))
-    assert choose_decode("s", make_size(600), TRAITS, capacity, make_seeker()) is None
+    assert choose_decode("s", make_size(600), TRAITS, capacity, make_context()) is None
     capacity.remove_peer("p")
-    found = choose_decode("s", make_size(600), TRAITS, capacity, make_seeker())
-    assert found is not None
-    assert found.name == "y"
+    chosen = choose_decode("s", make_size(600), TRAITS, capacity, make_context())
+    assert chosen is not None
+    assert chosen.name == "y"
 
 
 def test_decode_is_not_placed_without_a_free_slot() -> None:
@@ -136,20 +136,20 @@
     capacity.set_endpoint(make_endpoint("x"))
     for number in range(4):
         capacity.reserve(str(number), Reservation("x", Role.DECODE, 1, 5.0))
-    assert choose_decode("s", make_size(1), TRAITS, capacity, make_seeker()) is None
+    assert choose_decode("s", make_size(1), TRAITS, capacity, make_context()) is None
 
 
 def test_prefill_is_placed_at_the_shortest_queue_and_nearby_among_equals() -> None:
     capacity = Capacity()
     capacity.set_endpoint(make_endpoint("far", Role.PREFILL, "b"))
     capacity.set_endpoint(make_endpoint("near", Role.PREFILL, "a"))
-    found = choose_prefill("s", capacity, make_seeker(), "a")
-    assert found is not None
-    assert found.name == "near"
+    chosen = choose_prefill("s", capacity, make_context(), "a")
+    assert chosen is not None
+    assert chosen.name == "near"
     capacity.reserve("1", Reservation("near", Role.PREFILL, 5000, 1.0))
-    found = choose_prefill("s", capacity, make_seeker(), "a")
-    assert found is not None
-    assert found.name == "far"
+    chosen = choose_prefill("s", capacity, make_context(), "a")
+    assert chosen is not None
+    assert chosen.name == "far"
 
 
 def test_overdue_prompts_do_not_lengthen_the_estimated_queue_of_a_prefill() -> None:
@@ -176,7 +176,7 @@
     for name in ("x", "y"):
         capacity.set_endpoint(make_endpoint(name, Role.PLAIN))
     capacity.note_failure("x", 0.0)
-    assert {choose_plain("s", capacity, make_seeker(0.1)) for _ in range(9)} == {
+    assert {choose_plain("s", capacity, make_context(0.1)) for _ in range(9)} == {
         make_endpoint("y", Role.PLAIN)
     }
     assert len(capacity.candidates("s", Role.PLAIN, 0.6)) == 2
@@ -186,7 +186,7 @@
     assert [item.name for item in capacity.candidates("s", Role.PLAIN, 1.5)] == ["x"]
     capacity.note_success("x", 2.0)
     capacity.remove_endpoint("x")
-    assert choose_plain("s", capacity, make_seeker(9.0)) is None
+    assert choose_plain("s", capacity, make_context(9.0)) is None
 
 
 @given(
@@ -224,7 +224,7 @@
     )
 
 
-def test_longest_stream_is_infinite_without_a_measured_pace_and_then_above_the_estimate() -> None:
+def test_longest_stream_is_infinite_without_measured_times_and_then_above_the_estimate() -> None:
     times = ServiceTimes()
     inbound = InboundRequest("r", b"POST", b"/", "h", (), b"", 0.0, 9.0, 1000, 500, 100)
     assert estimate_longest_stream_s(inbound, times) == math.inf
@@ -257,7 +257,7 @@
         capacity.peak_memory("x", [make_size(100, 400, 10.0).make_reservation("x", 0.0)], 0.0) < 760
     )
     assert (
-        choose_decode("s", make_size(100, 400, 10.0), TRAITS, capacity, make_seeker()) is not None
+        choose_decode("s", make_size(100, 400, 10.0), TRAITS, capacity, make_context()) is not None
     )
     # If both begin together, they are.
     capacity.reserve("1", Reservation("x", Role.DECODE, 600, 10.0, 10.0, 400))
@@ -265,10 +265,10 @@
         capacity.peak_memory("x", [make_size(100, 400, 10.0).make_reservation("x", 0.0)], 0.0)
         == 1100
     )
-    assert choose_decode("s", make_size(100, 400, 10.0), TRAITS, capacity, make_seeker()) is None
+    assert choose_decode("s", make_size(100, 400, 10.0), TRAITS, capacity, make_context()) is None
     # An overdue stream still holds its memory.
     capacity.reserve("1", Reservation("x", Role.DECODE, 950, -1.0, 10.0, 400))
-    assert choose_decode("s", make_size(100, 0, 1.0), TRAITS, capacity, make_seeker()) is None
+    assert choose_decode("s", make_size(100, 0, 1.0), TRAITS, capacity, make_context()) is None
 
 
 STREAMS = st.lists(
--- a/cleatlink/routing/report_quorum_test.py
+++ b/cleatlink/routing/report_quorum_test.py
@@ -18,12 +18,12 @@
 
 
 def test_two_peers_have_to_agree_within_the_window() -> None:
-    hints = ReportQuorum(1.0)
-    assert not hints.add_report("e1", "n1", 0.0)
-    assert not hints.add_report("e1", "n1", 0.5)
-    assert not hints.add_report("e1", "n2", 1.8)
-    assert hints.add_report("e1", "n3", 2.0)
-    assert not hints.add_report("e2", "n2", 2.0)
+    quorum = ReportQuorum(1.0)
+    assert not quorum.add_report("e1", "n1", 0.0)
+    assert not quorum.add_report("e1", "n1", 0.5)
+    assert not quorum.add_report("e1", "n2", 1.8)
+    assert quorum.add_report("e1", "n3", 2.0)
+    assert not quorum.add_report("e2", "n2", 2.0)
 
 
 def test_unreachable_endpoint_is_avoided_unless_it_has_just_answered() -> None:
--- a/cleatlink/routing/reservation.py
+++ b/cleatlink/routing/reservation.py
@@ -89,7 +89,7 @@
             work: The reservations.
             now: The current time, in seconds.
         """
-        self._made_at = now
+        self._computed_at = now
         self._ends = [(item.expected_end(now), item) for item in work]
         self._peaks = [(time, self._held_at(time)) for time, _ in self._ends]
         self._squared_growth = sum(item.uncertain_growth(now) ** 2 for item in work)
@@ -97,7 +97,7 @@
     @property
     def computed_at(self) -> float:
         """Time at which the profile was computed."""
-        return self._made_at
+        return self._computed_at
 
     def peak_with_added(self, added: Sequence[Reservation], now: float, spread: float) -> float:
         """Return the peak memory with some reservations added, in tokens.
--- a/cleatlink/routing/role_planner.py
+++ b/cleatlink/routing/role_planner.py
@@ -12,8 +12,8 @@
 it has been away for as long as a change takes. Waiting for that time before paying the cost of
 a change loses at most twice what the best choice would have cost.
 
-Each data centre keeps at least one decode where possible, because a network cut may isolate it:
-a decode can serve without a prefill, but a prefill cannot serve without a decode.
+Each data centre keeps at least one decode where possible, because a network partition may isolate
+it: a decode can serve without a prefill, but a prefill cannot serve without a decode.
 """
 
 import math
@@ -333,7 +333,7 @@
 def _best_endpoint(
     endpoints: list[RoutedEndpoint],
     role: Role,
-    decodes: Mapping[str, int],
+    decode_counts: Mapping[str, int],
     remaining_work_s: Mapping[str, float],
     speeds: Mapping[str, float],
 ) -> RoutedEndpoint:
@@ -342,19 +342,20 @@
     Args:
         endpoints: Endpoints that may change.
         role: The new role.
-        decodes: Number of decodes by data centre.
+        decode_counts: Number of decodes by data centre.
         remaining_work_s: Seconds until an endpoint has finished its current work, by endpoint name.
         speeds: Speeds of endpoints relative to the usual speed of the service, where known.
     """
 
     def sort_key(endpoint: RoutedEndpoint) -> tuple[bool, float, float, str]:
-        local_decodes = decodes.get(endpoint.data_centre, 0)
+        local_decodes = decode_counts.get(endpoint.data_centre, 0)
         # A new decode is preferred in a data centre without one; the last decode of a data
         # centre is the last choice for a change to prefill.
         is_unfavourable = local_decodes > 0 if role is Role.DECODE else local_decodes < 2
         left_s = remaining_work_s.get(endpoint.name, 0.0)
-        # Work that the endpoint would do in the new role within the payback time.
-        capacity = speeds.get(endpoint.name, 1.0) * (_PAYBACK_S - left_s)
-        return is_unfavourable, -capacity, left_s, endpoint.name
+        # Work that the endpoint would do in the new role within the payback time, in seconds at the
+        # usual speed.
+        new_work_s = speeds.get(endpoint.name, 1.0) * (_PAYBACK_S - left_s)
+        return is_unfavourable, -new_work_s, left_s, endpoint.name
 
     return min(endpoints, key=sort_key)
--- a/cleatlink/routing/role_planner_test.py
+++ b/cleatlink/routing/role_planner_test.py
@@ -27,7 +27,7 @@
 from tools.kinds.catalogue import KINDS, Kind
 
 CHANGE_S = 6.0
-PROMISE = LatencyTargets(0.9, 0.3)
+TARGETS = LatencyTargets(0.9, 0.3)
 
 
 def endpoints(role: Role, count: int) -> list[RoutedEndpoint]:
@@ -90,17 +90,17 @@
 
 
 def test_planning_waits_after_a_loss_but_not_after_an_announced_shutdown() -> None:
-    watch = EndpointLossTracker()
-    watch.update({"a", "b", "c"}, set(), 0.0)
-    assert watch.is_stable(6.0, 0.0)
-    watch.update({"a", "b"}, {"c"}, 1.0)
-    assert watch.is_stable(6.0, 1.0)
-    watch.update({"a"}, {"c"}, 2.0)
-    watch.update({"a"}, {"c"}, 7.9)
-    assert not watch.is_stable(6.0, 7.9)
-    assert watch.is_stable(6.0, 8.0)
-    watch.update({"a", "b"}, {"c"}, 9.0)
-    assert watch.is_stable(6.0, 9.0)
+    tracker = EndpointLossTracker()
+    tracker.update({"a", "b", "c"}, set(), 0.0)
+    assert tracker.is_stable(6.0, 0.0)
+    tracker.update({"a", "b"}, {"c"}, 1.0)
+    assert tracker.is_stable(6.0, 1.0)
+    tracker.update({"a"}, {"c"}, 2.0)
+    tracker.update({"a"}, {"c"}, 7.9)
+    assert not tracker.is_stable(6.0, 7.9)
+    assert tracker.is_stable(6.0, 8.0)
+    tracker.update({"a", "b"}, {"c"}, 9.0)
+    assert tracker.is_stable(6.0, 9.0)
 
 
 def test_each_data_centre_keeps_a_decode() -> None:
@@ -133,7 +133,7 @@
     assert plan(3, 2, make_demand(0.3, 0.9)) is None
 
 
-def test_nothing_is_planned_while_paces_are_not_known() -> None:
+def test_only_missing_roles_are_filled_while_service_times_are_unknown() -> None:
     assert plan(2, 2, None) is None
     assert plan(0, 2, None) is not None
     assert plan(2, 0, None) is not None
@@ -166,7 +166,7 @@
 
 
 def test_small_benefit_does_not_justify_a_change_with_a_cost() -> None:
-    demand = make_demand(0.5, 2.25, rate=8.0)._replace(shares_prompts=False)
+    demand = make_demand(0.5, 2.25, rate=8.0)._replace(decodes_compute_prompts=False)
     prefills, decodes = endpoints(Role.PREFILL, 2), endpoints(Role.DECODE, 3)
     assert plan_role_change(prefills, decodes, demand, {}, change_s=CHANGE_S) is not None
     # The benefit of this change would still be slightly larger than its cost.
@@ -187,16 +187,16 @@
 
 def test_prompts_that_would_delay_streams_at_decodes_count_for_prefills_only() -> None:
     prompts = make_demand(1.9, 0.5)
-    not_shared = prompts._replace(shares_prompts=False)
+    not_shared = prompts._replace(decodes_compute_prompts=False)
     assert not_shared.late_share(2, 3) > prompts.late_share(2, 3) + 0.02
     change = plan(2, 3, not_shared)
     assert change is not None
     assert change.role is Role.PREFILL
     kind = next(kind for kind in KINDS if kind.name == "slow prompts")
     capacity, traits = measured(kind, 5.0, 20)
-    demand = capacity.demand("s", traits, PROMISE, 20.0)
+    demand = capacity.demand("s", traits, TARGETS, 20.0)
     assert demand is not None
-    assert not demand.shares_prompts
+    assert not demand.decodes_compute_prompts
 
 
 def test_service_without_decodes_gets_one_at_once() -> None:
@@ -265,7 +265,7 @@
 @pytest.mark.parametrize("kind", KINDS, ids=lambda kind: kind.name)
 def test_demand_matches_the_measurements_of_each_kind_of_engine(kind: Kind) -> None:
     capacity, traits = measured(kind, 5.0, 20)
-    demand = capacity.demand("s", traits, PROMISE, 20.0)
+    demand = capacity.demand("s", traits, TARGETS, 20.0)
     assert demand is not None
     assert demand.rate == pytest.approx(5.0, rel=0.1)
     prompt, output = int(kind.prompt or 3000), 9 * int(kind.output or 71)
@@ -278,7 +278,7 @@
 @pytest.mark.parametrize("kind", KINDS, ids=lambda kind: kind.name)
 def test_plan_lowers_the_late_share_for_each_kind_of_engine(kind: Kind) -> None:
     capacity, traits = measured(kind, 5.0, 20)
-    demand = capacity.demand("s", traits, PROMISE, 20.0)
+    demand = capacity.demand("s", traits, TARGETS, 20.0)
     assert demand is not None
     change = plan(2, 3, demand)
     if change is not None:
@@ -287,14 +287,14 @@
 
 
 def test_nearly_busy_prefill_does_not_change_at_a_calm_start() -> None:
-    """Fast engines with little memory: prompts need 0.9 of an engine, and paces are unknown."""
+    """Fast engines with little memory: prompts need 0.9 of an engine, service times are unknown."""
     kind = next(kind for kind in KINDS if kind.name.startswith("quick, memory"))
     capacity, traits = measured(kind._replace(prompt_tokens_ms=16.0), 5.0, 2)
-    assert plan(2, 3, capacity.demand("s", traits, PROMISE, 1.7)) is None
+    assert plan(2, 3, capacity.demand("s", traits, TARGETS, 1.7)) is None
     fresh = Capacity()
-    assert fresh.demand("s", traits, PROMISE, 1.7) is None
+    assert fresh.demand("s", traits, TARGETS, 1.7) is None
     capacity, traits = measured(kind._replace(prompt_tokens_ms=16.0), 5.0, 20)
-    assert plan(2, 3, capacity.demand("s", traits, PROMISE, 20.0)) is None
+    assert plan(2, 3, capacity.demand("s", traits, TARGETS, 20.0)) is None
 
 
 def test_demand_meter_counts_tokens_and_drops_old_streams() -> None:
@@ -335,8 +335,8 @@
         meter, start = DemandMeter(), 100.0 + step / 20
         for at in arrivals:
             meter.count_stream(5300, 4400, start + at)
-        rates, place_rates = meter.rates(start + 10.1), meter.rates(start + 10.1, 3.5)
-        demand = RoleDemand(rates, place_rates, 0.1, 3.5, 11.9, 0.79, True, meter.requests)
+        rates, slot_rates = meter.rates(start + 10.1), meter.rates(start + 10.1, 3.5)
+        demand = RoleDemand(rates, slot_rates, 0.1, 3.5, 11.9, 0.79, True, meter.requests)
         estimates.append(demand.late_share(2, 3))
     assert min(estimates) > 0.8 * max(estimates)
 
@@ -403,12 +403,12 @@
     st.integers(0, 10),
 )
 def test_plan_of_several_changes_equals_successive_single_changes(
-    prefills: int, decodes: int, prompts: float, answers: float, most: int
+    prefills: int, decodes: int, prompts: float, answers: float, max_changes: int
 ) -> None:
     on_prefill, on_decode = endpoints(Role.PREFILL, prefills), endpoints(Role.DECODE, decodes)
     demand = make_demand(prompts, answers, seconds=4)
     changes = plan_role_changes(
-        on_prefill, on_decode, demand, {}, max_changes=most, change_s=CHANGE_S
+        on_prefill, on_decode, demand, {}, max_changes=max_changes, change_s=CHANGE_S
     )
     targets: dict[str, Role] = {}
     for change in changes:
@@ -417,7 +417,7 @@
             == change
         )
         targets[change.endpoint.name] = change.role
-    assert len(changes) <= most
+    assert len(changes) <= max_changes
     assert len({change.role for change in changes}) <= 1
 
 
@@ -472,14 +472,14 @@
     st.integers(1, 3),
 )
 def test_equal_speeds_yield_the_same_plan_as_no_speeds(
-    prefill_count: int, decode_count: int, prompts: float, answers: float, most: int
+    prefill_count: int, decode_count: int, prompts: float, answers: float, max_changes: int
 ) -> None:
     demand = make_demand(prompts, answers, seconds=4)
     prefills, decodes = endpoints(Role.PREFILL, prefill_count), endpoints(Role.DECODE, decode_count)
     speeds = {endpoint.name: 1.0 for endpoint in (*prefills, *decodes)}
-    without_speeds = plan_role_changes(prefills, decodes, demand, {}, max_changes=most)
+    without_speeds = plan_role_changes(prefills, decodes, demand, {}, max_changes=max_changes)
     assert (
-        plan_role_changes(prefills, decodes, demand, {}, max_changes=most, speeds=speeds)
+        plan_role_changes(prefills, decodes, demand, {}, max_changes=max_changes, speeds=speeds)
         == without_speeds
     )
     if without_speeds and prefill_count and decode_count:
--- a/cleatlink/routing/service_times.py
+++ b/cleatlink/routing/service_times.py
@@ -80,7 +80,9 @@
 
     def __init__(self, switches: MechanismSwitches | None = None) -> None:
         self._switches = switches or MechanismSwitches()
-        learning_rate = LEARN_SHARE if self._switches.is_enabled(Mechanism.LEARNED_PACE) else 0.0
+        learning_rate = (
+            LEARN_SHARE if self._switches.is_enabled(Mechanism.MEASURED_SERVICE_TIMES) else 0.0
+        )
         self._token_s = Estimate(_PRIOR_TOKEN_S, learning_rate)
         self._prompt_s = PromptTime(_PRIOR_PROMPT_TOKEN_S, learning_rate)
         self._first_event_s = Estimate(_PRIOR_START_S, learning_rate)
@@ -131,7 +133,7 @@
     @property
     def length_spread(self) -> float:
         """Standard deviation of the output length, as a share of the expected length."""
-        if not self._switches.is_enabled(Mechanism.SPREAD_ROOM):
+        if not self._switches.is_enabled(Mechanism.LONG_ANSWER_RESERVE):
             return 0.0
         return math.sqrt(self._length_variance.value)
 
--- a/cleatlink/routing/service_times_test.py
+++ b/cleatlink/routing/service_times_test.py
@@ -171,7 +171,7 @@
 
 
 def test_no_summary_is_adopted_while_learning_is_switched_off() -> None:
-    times = ServiceTimes(MechanismSwitches({Mechanism.LEARNED_PACE}))
+    times = ServiceTimes(MechanismSwitches({Mechanism.MEASURED_SERVICE_TIMES}))
     before = times.token_s, times.prompt_s(1000)
     times.adopt_peer_summary(ServiceTimeSummary(0.5, 1.0, 0.01, 2.0, 3.0, 1.0), 0.0, 100.0)
     assert (times.token_s, times.prompt_s(1000)) == before
--- a/cleatlink/routing/shared_wait_queues.py
+++ b/cleatlink/routing/shared_wait_queues.py
@@ -259,7 +259,7 @@
         """Delete the report of an instance."""
         self._received.pop(name, None)
 
-    def queued_ahead(self, claim: QueuedStream, now: float) -> QueuedAhead:
+    def queued_ahead(self, stream: QueuedStream, now: float) -> QueuedAhead:
         """Return the streams at other instances that are queued ahead of a stream."""
         if not self._is_on:
             return NONE_AHEAD
@@ -269,9 +269,9 @@
             if not weight:
                 continue
             for group in received.report.groups:
-                if group.service != claim.service or group.streams <= 0:
+                if group.service != stream.service or group.streams <= 0:
                     continue
-                share = weight * _share_ahead_of(group, received.received_at, claim, now)
+                share = weight * _share_ahead_of(group, received.received_at, stream, now)
                 count += share * group.streams
                 tokens += share * group.tokens
         # A weighted count of up to half a stream counts as none.
@@ -335,7 +335,7 @@
 
 
 def _share_ahead_of(
-    group: WaitingGroup, received_at: float, claim: QueuedStream, now: float
+    group: WaitingGroup, received_at: float, stream: QueuedStream, now: float
 ) -> float:
     """Return the share of a group that is queued ahead of a stream.
 
@@ -343,13 +343,13 @@
     arrived at even intervals since.
     """
     is_late = group.is_late or now - received_at > group.slack_s
-    if is_late != claim.is_late:
+    if is_late != stream.is_late:
         return 0.0 if is_late else 1.0
     oldest = compute_effective_arrival(received_at - group.oldest_s, group.urgency)
     newest = compute_effective_arrival(received_at, group.urgency)
-    if claim.effective_arrival <= oldest:
+    if stream.effective_arrival <= oldest:
         return 0.0
-    if claim.effective_arrival >= newest or group.streams == 1:
+    if stream.effective_arrival >= newest or group.streams == 1:
         return 1.0
-    before = 1 + (group.streams - 1) * (claim.effective_arrival - oldest) / (newest - oldest)
+    before = 1 + (group.streams - 1) * (stream.effective_arrival - oldest) / (newest - oldest)
     return min(1.0, before / group.streams)
--- a/cleatlink/routing/shared_wait_queues_test.py
+++ b/cleatlink/routing/shared_wait_queues_test.py
@@ -57,7 +57,7 @@
 class Replay:
     """Some instances and the endpoint slots that they share."""
 
-    def __init__(self, instances: int, places: int, *, shared: bool, seed: int = 1) -> None:
+    def __init__(self, instances: int, slots: int, *, shared: bool, seed: int = 1) -> None:
         self.waits_s: dict[Arrival, float] = {}
         self.disconnected: set[int] = set()
         self._rng = random.Random(seed)
@@ -68,7 +68,7 @@
             if shared:
                 queue.head_start_s = HEAD_START_PER_POINT_S
         self._is_shared = shared
-        self._free_slots = places
+        self._free_slots = slots
         self._pending: list[Arrival] = []
         self._yield_limits: dict[Arrival, tuple[YieldLimit, float]] = {}
         self._full_at = -1.0
@@ -104,12 +104,12 @@
                 if self._is_shared and (step + instance) % int(REPORT_INTERVAL_S / TICK_S) == 0:
                     self._send_report(instance, now)
 
-    def served(self, arrivals: Sequence[Arrival], priority: int) -> float:
+    def served_share(self, arrivals: Sequence[Arrival], priority: int) -> float:
         """Return the share of a priority's streams that was served at all."""
         matching = [item for item in arrivals if item.priority == priority]
         return sum(item in self.waits_s for item in matching) / len(matching)
 
-    def in_time(self, arrivals: Sequence[Arrival], priority: int) -> float:
+    def in_time_share(self, arrivals: Sequence[Arrival], priority: int) -> float:
         """Return the share of a priority's streams that was served in time."""
         matching = [item for item in arrivals if item.priority == priority]
         waits_s = (self.waits_s.get(item, CALLER_TIMEOUT_S) for item in matching)
@@ -147,8 +147,8 @@
         if self._free_slots < 1:
             return False
         is_late = self._now - arrival.at > TARGETS_S[arrival.priority]
-        claim = QueuedStream("s", compute_effective_arrival(arrival.at, urgency), is_late)
-        ahead = self._shared[arrival.instance].queued_ahead(claim, self._now)
+        stream = QueuedStream("s", compute_effective_arrival(arrival.at, urgency), is_late)
+        ahead = self._shared[arrival.instance].queued_ahead(stream, self._now)
         if not yield_limit.may_take(ahead, self._free_slots - 1, self._now):
             return False
         self._free_slots -= 1
@@ -212,10 +212,10 @@
         *draw_arrivals(30, 2, instances, (1.0, 5.0), 3),
     ]
     unshared, shared = compare(arrivals, instances)
-    assert unshared.in_time(arrivals, 0) < 0.8
-    assert shared.in_time(arrivals, 0) > 0.95
-    assert shared.in_time(arrivals, 1) > unshared.in_time(arrivals, 1)
-    assert shared.served(arrivals, 2) > 0.6 * unshared.served(arrivals, 2)
+    assert unshared.in_time_share(arrivals, 0) < 0.8
+    assert shared.in_time_share(arrivals, 0) > 0.95
+    assert shared.in_time_share(arrivals, 1) > unshared.in_time_share(arrivals, 1)
+    assert shared.served_share(arrivals, 2) > 0.6 * unshared.served_share(arrivals, 2)
 
 
 @pytest.mark.parametrize("instances", INSTANCE_COUNTS)
@@ -226,7 +226,7 @@
         *draw_arrivals(6, 2, instances, (0.0, 6.0), 2),
     ]
     _, shared = compare(arrivals, instances)
-    assert shared.served(arrivals, 2) > 0.25 * shared.served(arrivals, 0)
+    assert shared.served_share(arrivals, 2) > 0.25 * shared.served_share(arrivals, 0)
 
 
 @pytest.mark.parametrize("instances", INSTANCE_COUNTS)
@@ -241,7 +241,7 @@
     ]
     unshared, shared = compare(arrivals, instances, 7.0)
     later = [arrival for arrival in arrivals if arrival.at >= 1.0]
-    assert shared.in_time(later, 0) > 0.9 > unshared.in_time(later, 0)
+    assert shared.in_time_share(later, 0) > 0.9 > unshared.in_time_share(later, 0)
 
 
 @pytest.mark.parametrize("instances", INSTANCE_COUNTS)
@@ -260,7 +260,7 @@
         replay.disconnected = set(range(instances // 3)) if replay is partitioned else set()
         replay.run_until(11.0)
     assert len(partitioned.waits_s) > 0.95 * len(connected.waits_s)
-    assert partitioned.in_time(arrivals, 0) > unshared.in_time(arrivals, 0)
+    assert partitioned.in_time_share(arrivals, 0) > unshared.in_time_share(arrivals, 0)
 
 
 GROUPS = st.builds(
@@ -287,7 +287,7 @@
                 report = WaitQueueReport(str(number), 1, 1, "a", (group,))
                 shared.add_report(report, now)
         shared_by_group.append(shared)
-    claims = [
+    streams = [
         QueuedStream(
             "s",
             compute_effective_arrival(now - group.oldest_s, group.urgency),
@@ -296,8 +296,8 @@
         for group in groups
     ]
     ahead = [
-        shared.queued_ahead(claim, now)
-        for shared, claim in zip(shared_by_group, claims, strict=True)
+        shared.queued_ahead(stream, now)
+        for shared, stream in zip(shared_by_group, streams, strict=True)
     ]
     assert NONE_AHEAD in ahead
 
@@ -312,17 +312,17 @@
 def test_older_and_repeated_reports_are_ignored() -> None:
     group = WaitingGroup("s", 0, False, 3, 300, 1.0)
     shared = SharedWaitQueues()
-    claim = QueuedStream("s", 100.0, False)
+    stream = QueuedStream("s", 100.0, False)
     shared.add_report(WaitQueueReport("n1", 1, 2, "a", (group,)), 0.0)
     shared.add_report(WaitQueueReport("n1", 1, 1, "a", ()), 0.0)
     shared.add_report(WaitQueueReport("n1", 1, 2, "a", ()), 0.0)
-    assert shared.queued_ahead(claim, 0.1) == QueuedAhead(3, 100)
+    assert shared.queued_ahead(stream, 0.1) == QueuedAhead(3, 100)
     assert shared.count_by_data_centre("s", 0.1) == {"a": 3}
     shared.add_report(WaitQueueReport("n1", 2, 1, "a", ()), 0.0)
-    assert shared.queued_ahead(claim, 0.1) == NONE_AHEAD
+    assert shared.queued_ahead(stream, 0.1) == NONE_AHEAD
     shared.add_report(WaitQueueReport("n2", 1, 1, "a", (group,)), 0.0)
     shared.remove_report("n2")
-    assert shared.queued_ahead(claim, 0.1) == NONE_AHEAD
+    assert shared.queued_ahead(stream, 0.1) == NONE_AHEAD
 
 
 def test_priority_of_an_organisation_outweighs_that_of_its_routes() -> None:
@@ -376,6 +376,6 @@
     capacity.reserve("own", own_reservation)
     for key in range(count):
         other = StreamSize(tokens, 0, 1.0)
-        place = choose_decode("s", other, TRAITS, capacity, context)
-        assert place is not None
-        capacity.reserve(f"ahead/{key}", other.make_reservation(place.name, 0.0))
+        chosen = choose_decode("s", other, TRAITS, capacity, context)
+        assert chosen is not None
+        capacity.reserve(f"ahead/{key}", other.make_reservation(chosen.name, 0.0))
--- a/cleatlink/routing/spill_over.py
+++ b/cleatlink/routing/spill_over.py
@@ -41,16 +41,16 @@
         """
         self.crossing_share = CROSSING_SHARE
         self._is_on = is_on
-        self._peers = 0
+        self._peer_count = 0
 
     @property
     def is_in_use(self) -> bool:
         """Whether streams cross before their own data centre is full."""
-        return self._is_on and self._peers > MAX_DIRECT_PEERS
+        return self._is_on and self._peer_count > MAX_DIRECT_PEERS
 
-    def set_peer_count(self, peers: int) -> None:
+    def set_peer_count(self, peer_count: int) -> None:
         """Set the number of other instances."""
-        self._peers = peers
+        self._peer_count = peer_count
 
     def should_cross(self, local_cost: float, remote_cost: float) -> bool:
         """Check whether a stream goes to another data centre.
--- a/cleatlink/routing/spill_over_test.py
+++ b/cleatlink/routing/spill_over_test.py
@@ -34,8 +34,10 @@
 )
 
 DATA_CENTRES = ("a", "b", "c")
-MEMORY = 1000
-TRAITS = EngineProperties(slots=40, memory_tokens=MEMORY, handle_lifetime_s=0.5, role_switch_s=6.0)
+MEMORY_TOKENS = 1000
+TRAITS = EngineProperties(
+    slots=40, memory_tokens=MEMORY_TOKENS, handle_lifetime_s=0.5, role_switch_s=6.0
+)
 SIZE = StreamSize(100, 0, 1.0)
 RETRY_S = 0.1
 LATE_S = 0.05
@@ -88,7 +90,7 @@
             f"{data_centre}{number}": 0 for data_centre in DATA_CENTRES for number in range(engines)
         }
         self._events: list[tuple[float, int, object, object]] = []
-        self._count = itertools.count()
+        self._sequence = itertools.count()
 
     def run(self, arrivals: list[Arrival]) -> None:
         """Simulate arrivals until all streams have ended."""
@@ -104,14 +106,14 @@
         return sum(wait_s > LATE_S for wait_s in self.waits_s.values()) / len(self.waits_s)
 
     def _schedule(self, at: float, action: object, argument: object) -> None:
-        heapq.heappush(self._events, (at, next(self._count), action, argument))
+        heapq.heappush(self._events, (at, next(self._sequence), action, argument))
 
     def _arrive(self, arrival: Arrival, now: float) -> None:
         views = self._views[arrival.origin]
         view = views[arrival.instance % len(views)]
         context = PlacementContext(arrival.origin, frozenset(), now, self._rng)
         found = choose_decode("s", SIZE, TRAITS, view, context)
-        if found is None or self._held[found.name] + SIZE.prompt_tokens > MEMORY:
+        if found is None or self._held[found.name] + SIZE.prompt_tokens > MEMORY_TOKENS:
             if found is not None:
                 view.note_full(found.name, now)
             self._schedule(now + RETRY_S, self._arrive, arrival)
--- a/cleatlink/routing/unequal_speeds_test.py
+++ b/cleatlink/routing/unequal_speeds_test.py
@@ -42,11 +42,11 @@
 SPEEDS = (0.7, 0.7, 1.7)
 TRAITS = EngineProperties(16, 27_000, 0.5, 6.0, event_tokens=4)
 PROMPT_TOKENS = 3_000
-PACE = ServiceTimeSummary(0.002, 0.0, 0.0001, 0.05, 1.0, 0.01)
-USUAL_S = 0.3
+SERVICE_TIMES = ServiceTimeSummary(0.002, 0.0, 0.0001, 0.05, 1.0, 0.01)
+USUAL_PROMPT_S = 0.3
 # Delay of reports to peers; a lost report is repeated with a heartbeat.
 REPORT_DELAY_S = 0.05
-WITHOUT_SPEEDS = frozenset({Mechanism.ENDPOINT_PACE})
+WITHOUT_SPEEDS = frozenset({Mechanism.ENDPOINT_SPEEDS})
 
 
 def make_capacity(role: Role, count: int, without: Set[Mechanism] = frozenset()) -> Capacity:
@@ -54,7 +54,7 @@
     for number in range(count):
         endpoint = RoutedEndpoint(f"e{number}", "127.0.0.1:1", "a", "s", role, TRAITS.slots)
         capacity.set_endpoint(endpoint)
-    capacity.service_times("s").adopt_peer_summary(PACE, 0.0, 0.0)
+    capacity.service_times("s").adopt_peer_summary(SERVICE_TIMES, 0.0, 0.0)
     return capacity
 
 
@@ -107,7 +107,9 @@
             return
         own = capacities[event.instance]
         own.release(key)
-        own.note_duration(event.endpoint, SpeedSampleKind.PROMPT, event.seconds, USUAL_S, event.at)
+        own.note_duration(
+            event.endpoint, SpeedSampleKind.PROMPT, event.seconds, USUAL_PROMPT_S, event.at
+        )
         samples = own.endpoint_speeds.own_samples(event.endpoint, event.at)
         for other in others:
             other.peer_release("peer", key)
@@ -128,16 +130,16 @@
         assert chosen is not None
         engine = int(chosen.name[1:])
         starts_at = max(now, free_at[engine])
-        free_at[engine] = starts_at + USUAL_S / speeds(engine, now)
+        free_at[engine] = starts_at + USUAL_PROMPT_S / speeds(engine, now)
         late += free_at[engine] - now > 1.0
         queue_s = own.prompt_starts_in_s(chosen.name, now)
-        expected_s = queue_s + USUAL_S / own.relative_speed(chosen.name, now)
+        expected_s = queue_s + USUAL_PROMPT_S / own.relative_speed(chosen.name, now)
         reservation = Reservation(
             chosen.name, Role.PREFILL, PROMPT_TOKENS, now + expected_s, expected_s
         )
         own.reserve(str(number), reservation)
         reported_at = now + (REPORT_DELAY_S if rng.random() >= loss else rng.random())
-        seconds = free_at[engine] - now - queue_s if queue_s < USUAL_S / 2 else 0.0
+        seconds = free_at[engine] - now - queue_s if queue_s < USUAL_PROMPT_S / 2 else 0.0
         for event in (
             _PromptEvent(reported_at, number, False, instance, chosen.name, reservation, 0.0),
             _PromptEvent(
@@ -221,8 +223,8 @@
             add_speed_samples(capacity, name, speed)
         service = RoutedService("s", 9, TRAITS)
         plans.append(plan_prompt(inbound, route, service, capacity, context))
-    assert plans[0].ready_s == pytest.approx(USUAL_S / 1.7)
-    assert plans[1].ready_s == pytest.approx(USUAL_S)
+    assert plans[0].ready_s == pytest.approx(USUAL_PROMPT_S / 1.7)
+    assert plans[1].ready_s == pytest.approx(USUAL_PROMPT_S)
 
 
 WORK = st.lists(
--- a/cleatlink/routing/uploads.py
+++ b/cleatlink/routing/uploads.py
@@ -78,7 +78,7 @@
 
     @property
     def size(self) -> int:
-        """Size of the body in bytes; 0 for a body that is too short to follow."""
+        """Size of the body in bytes; 0 for a body that is too short to track."""
         return self._size
 
     @property
@@ -119,7 +119,7 @@
         )
 
     def begin(self, size: int, now: float) -> None:
-        """Start to follow a body.
+        """Start to track a body.
 
         Args:
             size: Its size in bytes.
