--- a/bench/control.py
+++ b/bench/control.py
@@ -12,7 +12,7 @@
 
 import trio
 
-from bench.processor import processor_time_s, resident_memory_mb
+from bench.process_usage import processor_time_s, resident_memory_mb
 from demo.cluster import Cluster
 
 __all__ = ["measure_control"]
--- a/bench/path.py
+++ b/bench/path.py
@@ -11,7 +11,7 @@
 import httpx
 import trio
 
-from bench.processor import processor_time_s
+from bench.process_usage import processor_time_s
 from demo.cluster import Cluster
 
 __all__ = ["measure_path"]
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -14,7 +14,7 @@
 
 from bench.baselines import RoundRobin, place_least_load
 from cleatlink.routing import place_request
-from cleatlink.serving.flight import PlaceRequest
+from cleatlink.serving.model_request_driver import PlaceRequest
 from standins.fakes import Caller
 from standins.world import World
 
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -13,11 +13,11 @@
 
 import trio
 
-from bench.processor import pid_processor_time_s
+from bench.process_usage import pid_processor_time_s
 from standins.relay import Worker
-from standins.relay.client import Caller
 from standins.relay.fleet import open_fleet
-from standins.relay.settings import Ports, write_settings
+from standins.relay.raw_client import Caller
+from standins.relay.settings_file import Ports, write_settings
 
 __all__ = ["measure_relay"]
 
--- a/cleatlink/analysis/__init__.py
+++ b/cleatlink/analysis/__init__.py
@@ -1,7 +1,7 @@
 """Analyzes the relay's logs: what became of requests, and which were lost and why."""
 
-from cleatlink.analysis.lines import LogLine, LogReader
+from cleatlink.analysis.log_reader import LogLine, LogReader
 from cleatlink.analysis.report import Report, render_html, render_text
-from cleatlink.analysis.story import RequestTimeline
+from cleatlink.analysis.timeline import RequestTimeline
 
 __all__ = ["LogLine", "LogReader", "Report", "RequestTimeline", "render_html", "render_text"]
--- a/cleatlink/analysis/crashes.py
+++ b/cleatlink/analysis/crashes.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-from cleatlink.analysis.lines import LogLine
+from cleatlink.analysis.log_reader import LogLine
 
 __all__ = ["CrashTable", "SuspectRow"]
 
--- a/cleatlink/analysis/engines.py
+++ b/cleatlink/analysis/engines.py
@@ -3,8 +3,8 @@
 from collections import Counter, defaultdict
 from typing import NamedTuple
 
-from cleatlink.analysis.lines import LogLine
-from cleatlink.analysis.quantiles import ReservoirSample
+from cleatlink.analysis.log_reader import LogLine
+from cleatlink.analysis.sampling import ReservoirSample
 
 __all__ = ["EngineTable", "EngineUsage", "RoleChange"]
 
--- a/cleatlink/analysis/lines_test.py
+++ b/cleatlink/analysis/log_reader_test.py
@@ -3,7 +3,7 @@
 import gzip
 from pathlib import Path
 
-from cleatlink.analysis.lines import LogReader
+from cleatlink.analysis.log_reader import LogReader
 
 LINE = (
     '{"message_type": "relay: caller retried after a refusal", "timestamp": 7.5, '
--- a/cleatlink/analysis/outcomes.py
+++ b/cleatlink/analysis/outcomes.py
@@ -5,8 +5,8 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-from cleatlink.analysis.lines import LogLine
-from cleatlink.analysis.quantiles import ReservoirSample
+from cleatlink.analysis.log_reader import LogLine
+from cleatlink.analysis.sampling import ReservoirSample
 
 __all__ = ["Outcome", "OutcomeTable", "RouteSecond"]
 
--- a/cleatlink/analysis/report.py
+++ b/cleatlink/analysis/report.py
@@ -7,10 +7,10 @@
 
 from cleatlink.analysis.crashes import CrashTable, SuspectRow
 from cleatlink.analysis.engines import EngineTable, EngineUsage, RoleChange
-from cleatlink.analysis.lines import LogLine, LogReader
+from cleatlink.analysis.log_reader import LogLine, LogReader
 from cleatlink.analysis.organisations import OrganisationRow, OrganisationTable
 from cleatlink.analysis.outcomes import Outcome, OutcomeTable, RouteSecond
-from cleatlink.analysis.quantiles import ReservoirSample
+from cleatlink.analysis.sampling import ReservoirSample
 
 __all__ = ["Report", "Table", "render_html", "render_text"]
 
--- a/cleatlink/analysis/report_test.py
+++ b/cleatlink/analysis/report_test.py
@@ -15,7 +15,7 @@
 from cleatlink.relay.logs import LogWriter
 from cleatlink.scripts.commands import main
 from standins.relay import Fault, Worker
-from standins.relay.example import STREAM, engines, start
+from standins.relay.example_fleet import STREAM, engines, start
 from standins.relay.fleet import open_fleet
 
 pytestmark = pytest.mark.virtual_time
--- a/cleatlink/analysis/story.py
+++ b/cleatlink/analysis/timeline.py
@@ -1,6 +1,6 @@
 """Shows the timeline of one request across all instances."""
 
-from cleatlink.analysis.lines import LogLine
+from cleatlink.analysis.log_reader import LogLine
 
 __all__ = ["RequestTimeline"]
 
--- a/cleatlink/clock_test.py
+++ b/cleatlink/clock_test.py
@@ -16,7 +16,7 @@
 from cleatlink.clock import SuspendAwareClock, unix_ms
 from cleatlink.core.data import Role
 from standins.relay import Fault, Worker
-from standins.relay.example import STREAM, engines, start
+from standins.relay.example_fleet import STREAM, engines, start
 from standins.relay.fleet import Fleet, open_fleet
 
 pytestmark = pytest.mark.virtual_time
--- a/cleatlink/relay/callers/unusual_requests_test.py
+++ b/cleatlink/relay/callers/unusual_requests_test.py
@@ -7,9 +7,9 @@
 
 from cleatlink.core.routes import CallerLimits
 from standins.relay import Worker
-from standins.relay.client import Reply
-from standins.relay.example import start
+from standins.relay.example_fleet import start
 from standins.relay.fleet import open_fleet
+from standins.relay.raw_client import Reply
 
 pytestmark = pytest.mark.virtual_time
 
--- a/cleatlink/relay/calls/endpoint_reservation_test.py
+++ b/cleatlink/relay/calls/endpoint_reservation_test.py
@@ -5,7 +5,7 @@
 
 from cleatlink.routing.mechanisms import Mechanism
 from standins.relay import Fault, Worker
-from standins.relay.example import STREAM, engines, start
+from standins.relay.example_fleet import STREAM, engines, start
 from standins.relay.fleet import Fleet, open_fleet
 
 pytestmark = pytest.mark.virtual_time
--- a/cleatlink/relay/calls/plain_call_admission_test.py
+++ b/cleatlink/relay/calls/plain_call_admission_test.py
@@ -9,9 +9,9 @@
 from cleatlink.routing.capacity import Capacity
 from cleatlink.routing.plain_load import CallOutcome
 from standins.relay import Worker
-from standins.relay.client import Reply
-from standins.relay.example import runs, start
+from standins.relay.example_fleet import runs, start
 from standins.relay.fleet import Fleet, open_fleet
+from standins.relay.raw_client import Reply
 
 # Virtual time: the tests check waits of the program, whatever else the machine runs.
 pytestmark = pytest.mark.virtual_time
--- a/cleatlink/relay/calls/plain_test.py
+++ b/cleatlink/relay/calls/plain_test.py
@@ -7,9 +7,9 @@
 import trio
 
 from standins.relay import Fault, Worker
-from standins.relay.client import Reply
-from standins.relay.example import runs, start, start_with_known_pace
+from standins.relay.example_fleet import runs, start, start_with_known_pace
 from standins.relay.fleet import open_fleet
+from standins.relay.raw_client import Reply
 
 pytestmark = pytest.mark.virtual_time
 
--- a/cleatlink/relay/calls/planned_stop_test.py
+++ b/cleatlink/relay/calls/planned_stop_test.py
@@ -26,9 +26,9 @@
 from cleatlink.relay.endpoints import pool
 from cleatlink.relay.exchange import Exchange, RawRequest
 from standins.relay import Worker
-from standins.relay.client import Caller, Reply
-from standins.relay.example import STREAM, engines, runs, start
+from standins.relay.example_fleet import STREAM, engines, runs, start
 from standins.relay.fleet import Fleet, open_fleet
+from standins.relay.raw_client import Caller, Reply
 
 pytestmark = pytest.mark.virtual_time
 
--- a/cleatlink/relay/calls/slow_uploads_test.py
+++ b/cleatlink/relay/calls/slow_uploads_test.py
@@ -9,9 +9,9 @@
 
 from cleatlink.relay.endpoints import connection
 from standins.relay import Fault, Worker
-from standins.relay.client import Caller, Reply
-from standins.relay.example import STREAM, start
+from standins.relay.example_fleet import STREAM, start
 from standins.relay.fleet import Fleet, open_fleet
+from standins.relay.raw_client import Caller, Reply
 
 pytestmark = pytest.mark.virtual_time
 
--- a/cleatlink/relay/calls/stream_test.py
+++ b/cleatlink/relay/calls/stream_test.py
@@ -7,7 +7,7 @@
 
 from cleatlink.routing.mechanisms import Mechanism
 from standins.relay import Fault, Worker
-from standins.relay.example import STREAM, engines, runs, start
+from standins.relay.example_fleet import STREAM, engines, runs, start
 from standins.relay.fleet import open_fleet
 
 pytestmark = pytest.mark.virtual_time
--- a/cleatlink/relay/daemon_test.py
+++ b/cleatlink/relay/daemon_test.py
@@ -11,9 +11,9 @@
 import trio
 
 from standins.relay import Worker
-from standins.relay.client import Caller
 from standins.relay.fleet import Fleet, open_fleet
-from standins.relay.settings import write_settings
+from standins.relay.raw_client import Caller
+from standins.relay.settings_file import write_settings
 
 # Runs the program in an interpreter that takes a minute to exit.
 SLOW_EXIT_SCRIPT = """
--- a/cleatlink/relay/endpoint_limits_test.py
+++ b/cleatlink/relay/endpoint_limits_test.py
@@ -14,9 +14,9 @@
 import trio
 
 from standins.relay import StoreMode, Worker
-from standins.relay.client import Reply
-from standins.relay.example import STREAM, engines, start
+from standins.relay.example_fleet import STREAM, engines, start
 from standins.relay.fleet import Fleet, open_fleet
+from standins.relay.raw_client import Reply
 
 pytestmark = pytest.mark.virtual_time
 
--- a/cleatlink/relay/endpoint_notices_test.py
+++ b/cleatlink/relay/endpoint_notices_test.py
@@ -13,7 +13,7 @@
 
 from cleatlink.core.data import Role
 from standins.relay import StoreMode, Worker
-from standins.relay.example import STREAM, start
+from standins.relay.example_fleet import STREAM, start
 from standins.relay.fleet import Fleet, open_fleet
 
 pytestmark = pytest.mark.virtual_time
--- a/cleatlink/relay/endpoints/connection_test.py
+++ b/cleatlink/relay/endpoints/connection_test.py
@@ -16,7 +16,7 @@
 from cleatlink.relay.endpoints.protocol import OutgoingRequest
 from standins.relay import RawCall, RawServer
 from standins.relay.fleet import free_address
-from standins.relay.http import answer
+from standins.relay.raw_server import answer
 
 BODY = b"x" * 8_000_000
 HOST = (b"Host", b"h.example")
--- a/cleatlink/relay/endpoints/crash_detector_test.py
+++ b/cleatlink/relay/endpoints/crash_detector_test.py
@@ -11,7 +11,7 @@
 from cleatlink.relay.endpoints.pool import ConnectionPool
 from cleatlink.relay.metrics import RelayMetrics
 from standins.relay import Fault, Worker
-from standins.relay.example import start
+from standins.relay.example_fleet import start
 from standins.relay.fleet import Fleet, open_fleet
 
 pytestmark = pytest.mark.virtual_time
--- a/cleatlink/relay/endpoints/response_notices_test.py
+++ b/cleatlink/relay/endpoints/response_notices_test.py
@@ -10,7 +10,7 @@
 from cleatlink.platform import PROTOCOL
 from cleatlink.relay.endpoints.protocol import ResponseHead
 from standins.relay import Worker
-from standins.relay.example import STREAM, engines, start
+from standins.relay.example_fleet import STREAM, engines, start
 from standins.relay.fleet import open_fleet
 
 pytestmark = pytest.mark.virtual_time
--- a/cleatlink/relay/final_refusals_test.py
+++ b/cleatlink/relay/final_refusals_test.py
@@ -10,9 +10,9 @@
 from cleatlink.relay.instance import RelayInstance
 from cleatlink.routing.buffered_bytes import BufferKind
 from standins.relay import Worker
-from standins.relay.client import Caller
-from standins.relay.example import STREAM, start
+from standins.relay.example_fleet import STREAM, start
 from standins.relay.fleet import Fleet, open_fleet
+from standins.relay.raw_client import Caller
 from standins.relay.store import StoreMode
 
 pytestmark = pytest.mark.virtual_time
--- a/cleatlink/relay/fleet_test.py
+++ b/cleatlink/relay/fleet_test.py
@@ -6,7 +6,7 @@
 from cleatlink.core.data import Role
 from cleatlink.routing.reservation import Reservation
 from standins.relay import StoreMode, Worker
-from standins.relay.example import STREAM, engines, start
+from standins.relay.example_fleet import STREAM, engines, start
 from standins.relay.fleet import open_fleet
 
 pytestmark = pytest.mark.virtual_time
--- a/cleatlink/relay/following/lost_updates_test.py
+++ b/cleatlink/relay/following/lost_updates_test.py
@@ -12,7 +12,7 @@
 from cleatlink.relay.peers.messages import RegistrationUpdate
 from cleatlink.relay.peers.snapshots import RegistrationRecord
 from standins.relay import Worker
-from standins.relay.example import start
+from standins.relay.example_fleet import start
 from standins.relay.fleet import Fleet, open_fleet
 
 pytestmark = pytest.mark.virtual_time
--- a/cleatlink/relay/following/store_client_test.py
+++ b/cleatlink/relay/following/store_client_test.py
@@ -10,7 +10,7 @@
 from cleatlink.core.errors import PlatformError
 from cleatlink.relay.following.store_client import StoreClient
 from standins.relay import RawCall, RawServer
-from standins.relay.http import answer
+from standins.relay.raw_server import answer
 
 pytestmark = pytest.mark.virtual_time
 
--- a/cleatlink/relay/instance_pauses_test.py
+++ b/cleatlink/relay/instance_pauses_test.py
@@ -4,9 +4,9 @@
 import trio
 
 from standins.relay import Worker
-from standins.relay.client import Caller
-from standins.relay.example import STREAM, start, start_with_known_pace
+from standins.relay.example_fleet import STREAM, start, start_with_known_pace
 from standins.relay.fleet import open_fleet
+from standins.relay.raw_client import Caller
 
 pytestmark = pytest.mark.virtual_time
 
--- a/cleatlink/relay/invalid_store_entries_test.py
+++ b/cleatlink/relay/invalid_store_entries_test.py
@@ -12,7 +12,7 @@
 import trio
 
 from standins.relay import Worker
-from standins.relay.example import start
+from standins.relay.example_fleet import start
 from standins.relay.fleet import Fleet, open_fleet
 
 pytestmark = pytest.mark.virtual_time
--- a/cleatlink/relay/newer_route_table_refusals_test.py
+++ b/cleatlink/relay/newer_route_table_refusals_test.py
@@ -4,9 +4,9 @@
 
 from cleatlink.relay.instance import RelayInstance
 from standins.relay import Worker
-from standins.relay.client import Reply
-from standins.relay.example import start
+from standins.relay.example_fleet import start
 from standins.relay.fleet import Fleet, open_fleet
+from standins.relay.raw_client import Reply
 
 pytestmark = pytest.mark.virtual_time
 
--- a/cleatlink/relay/newer_route_table_test.py
+++ b/cleatlink/relay/newer_route_table_test.py
@@ -16,9 +16,9 @@
 from cleatlink.relay.peers.messages import HeartbeatMessage, RegistrationUpdate, encode
 from cleatlink.relay.peers.snapshots import Snapshot
 from standins.relay import RawCall, RawServer, Worker
-from standins.relay.example import start
+from standins.relay.example_fleet import start
 from standins.relay.fleet import open_fleet
-from standins.relay.http import answer
+from standins.relay.raw_server import answer
 
 pytestmark = pytest.mark.virtual_time
 
--- a/cleatlink/relay/outdated_route_table_test.py
+++ b/cleatlink/relay/outdated_route_table_test.py
@@ -5,7 +5,7 @@
 
 from cleatlink.relay.peers.messages import HeartbeatMessage, encode
 from standins.relay import Worker
-from standins.relay.example import start
+from standins.relay.example_fleet import start
 from standins.relay.fleet import Fleet, open_fleet
 from standins.relay.store import StoreMode
 
--- a/cleatlink/relay/peers/endpoint_notice_channel_test.py
+++ b/cleatlink/relay/peers/endpoint_notice_channel_test.py
@@ -9,7 +9,7 @@
 from cleatlink.relay.peers.messages import EndpointNoticeUpdate, decode_datagram, encode
 from cleatlink.routing.notices import EndpointNotices, NoticeSource
 from standins.relay import Worker
-from standins.relay.example import start
+from standins.relay.example_fleet import start
 from standins.relay.fleet import Fleet, open_fleet
 
 pytestmark = pytest.mark.virtual_time
--- a/cleatlink/relay/peers/peer_copy_test.py
+++ b/cleatlink/relay/peers/peer_copy_test.py
@@ -15,10 +15,10 @@
 from cleatlink.relay.peers.peer_copy import SnapshotPart, fetch_snapshot
 from cleatlink.relay.peers.snapshots import RegistrationRecord, Snapshot, decode_snapshot
 from standins.relay import RawCall, RawServer, Worker
-from standins.relay.client import Caller
-from standins.relay.example import start
+from standins.relay.example_fleet import start
 from standins.relay.fleet import Fleet, free_address, open_fleet
-from standins.relay.http import answer
+from standins.relay.raw_client import Caller
+from standins.relay.raw_server import answer
 
 pytestmark = pytest.mark.virtual_time
 
--- a/cleatlink/relay/quarantine_test.py
+++ b/cleatlink/relay/quarantine_test.py
@@ -24,9 +24,9 @@
 from cleatlink.relay.callers.server import serve_connections
 from cleatlink.relay.sockets import listen
 from standins.relay import Worker
-from standins.relay.client import Caller, Reply
-from standins.relay.example import STREAM, start
+from standins.relay.example_fleet import STREAM, start
 from standins.relay.fleet import Fleet, open_fleet
+from standins.relay.raw_client import Caller, Reply
 
 pytestmark = pytest.mark.virtual_time
 
--- a/cleatlink/relay/restored_store_test.py
+++ b/cleatlink/relay/restored_store_test.py
@@ -11,7 +11,7 @@
 
 from cleatlink.relay.instance import RelayInstance
 from standins.relay import StoreMode, Worker
-from standins.relay.example import start
+from standins.relay.example_fleet import start
 from standins.relay.fleet import Fleet, open_fleet
 from standins.relay.store import StoreCopy
 
--- a/cleatlink/relay/shared_endpoint_speeds_test.py
+++ b/cleatlink/relay/shared_endpoint_speeds_test.py
@@ -8,7 +8,7 @@
 import trio
 
 from standins.relay import Worker
-from standins.relay.example import start
+from standins.relay.example_fleet import start
 from standins.relay.fleet import Fleet, open_fleet
 
 # Virtual time keeps the load of the machine out of the measured speeds.
--- a/cleatlink/relay/silent_engine_test.py
+++ b/cleatlink/relay/silent_engine_test.py
@@ -15,9 +15,9 @@
 import trio
 
 from standins.relay import Worker
-from standins.relay.client import Caller, Reply
-from standins.relay.example import STREAM, engines, start
+from standins.relay.example_fleet import STREAM, engines, start
 from standins.relay.fleet import Fleet, open_fleet
+from standins.relay.raw_client import Caller, Reply
 
 pytestmark = pytest.mark.virtual_time
 
--- a/cleatlink/scripts/main.py
+++ b/cleatlink/scripts/main.py
@@ -2,8 +2,8 @@
 
 import sys
 
-from cleatlink.scripts.exits import exit_without_cleanup
 from cleatlink.scripts.imports import imports_without_gc
+from cleatlink.scripts.process_exit import exit_without_cleanup
 from cleatlink.scripts.signals import handle_early_signals, ignore_late_signals
 
 __all__ = ["main"]
--- a/cleatlink/serving/callers.py
+++ b/cleatlink/serving/caller_app.py
@@ -27,9 +27,9 @@
     classify_call,
     classify_model,
 )
-from cleatlink.serving.calls import ClassifiedCall, PlainCallDriver, run_keyed_call
 from cleatlink.serving.endpoints import PlainAnswer
-from cleatlink.serving.flight import (
+from cleatlink.serving.metrics import Metrics
+from cleatlink.serving.model_request_driver import (
     AnswerEvents,
     DriverComponents,
     Finished,
@@ -37,8 +37,8 @@
     Refused,
     join_text,
 )
-from cleatlink.serving.metrics import Metrics
 from cleatlink.serving.peers import Peers
+from cleatlink.serving.plain_call_driver import ClassifiedCall, PlainCallDriver, run_keyed_call
 
 __all__ = ["CallerApp", "CallerComponents", "build_caller_app"]
 
--- a/cleatlink/serving/daemon.py
+++ b/cleatlink/serving/daemon.py
@@ -8,7 +8,7 @@
 from cleatlink.clock import unix_s
 from cleatlink.serving.endpoints import HttpEndpointClient
 from cleatlink.serving.entry import Entry, EntryDependencies
-from cleatlink.serving.http import serve_app
+from cleatlink.serving.http_server import serve_app
 from cleatlink.serving.logs import Log
 from cleatlink.serving.peer_app import build_peer_app
 from cleatlink.serving.peer_link import HttpPeerLink
--- a/cleatlink/serving/entry.py
+++ b/cleatlink/serving/entry.py
@@ -16,14 +16,14 @@
 from cleatlink.members import MembershipView, ReportedState
 from cleatlink.request import RetryBudget
 from cleatlink.routing import FleetView, WaitQueue, place_request
-from cleatlink.serving.callers import CallerApp, CallerComponents, build_caller_app
-from cleatlink.serving.cancels import Canceller
-from cleatlink.serving.documents import DocumentStore, watch_platform
+from cleatlink.serving.caller_app import CallerApp, CallerComponents, build_caller_app
+from cleatlink.serving.canceller import Canceller
+from cleatlink.serving.change_notifier import ChangeNotifier
+from cleatlink.serving.document_store import DocumentStore, watch_platform
 from cleatlink.serving.endpoints import EndpointClient
-from cleatlink.serving.flight import DriverComponents, PlaceRequest
 from cleatlink.serving.logs import Log
 from cleatlink.serving.metrics import Metrics
-from cleatlink.serving.news import ChangeNotifier
+from cleatlink.serving.model_request_driver import DriverComponents, PlaceRequest
 from cleatlink.serving.peer_link import PeerLink
 from cleatlink.serving.peers import PeerParts, Peers
 from cleatlink.serving.platform import DocumentKind, Platform
--- a/cleatlink/serving/flight.py
+++ b/cleatlink/serving/model_request_driver.py
@@ -67,11 +67,11 @@
     release_request,
     reserve_request,
 )
-from cleatlink.serving.cancels import Canceller
+from cleatlink.serving.canceller import Canceller
+from cleatlink.serving.change_notifier import ChangeNotifier
 from cleatlink.serving.endpoints import EndpointClient, EventStream, Order
 from cleatlink.serving.logs import Log
 from cleatlink.serving.metrics import Metrics
-from cleatlink.serving.news import ChangeNotifier
 
 __all__ = [
     "PLACEMENT_MAX_AGE_S",
--- a/cleatlink/serving/parsers_test.py
+++ b/cleatlink/serving/parsers_test.py
@@ -16,7 +16,7 @@
     parse_event,
     parse_load_report,
 )
-from cleatlink.serving.flight import join_text
+from cleatlink.serving.model_request_driver import join_text
 from cleatlink.serving.peer_link import Message, decode_message, encode_message
 from cleatlink.serving.platform import Document, parse_fleet
 from cleatlink.serving.settings import Address, Settings, check_settings, parse_address
--- a/cleatlink/serving/peers.py
+++ b/cleatlink/serving/peers.py
@@ -23,11 +23,11 @@
     StoredAnswer,
 )
 from cleatlink.routing import FleetView
-from cleatlink.serving.cancels import Canceller
-from cleatlink.serving.documents import DocumentStore
+from cleatlink.serving.canceller import Canceller
+from cleatlink.serving.change_notifier import ChangeNotifier
+from cleatlink.serving.document_store import DocumentStore
 from cleatlink.serving.logs import Log
 from cleatlink.serving.metrics import Metrics
-from cleatlink.serving.news import ChangeNotifier
 from cleatlink.serving.peer_link import Message, PeerLink, encode_message
 from cleatlink.serving.platform import Document, DocumentKind
 from cleatlink.serving.settings import Settings
--- a/cleatlink/serving/calls.py
+++ b/cleatlink/serving/plain_call_driver.py
@@ -31,7 +31,11 @@
 )
 from cleatlink.routing import Context, place_plain_call
 from cleatlink.serving.endpoints import PlainAnswer
-from cleatlink.serving.flight import PLACEMENT_MAX_AGE_S, DriverComponents, classify_failure
+from cleatlink.serving.model_request_driver import (
+    PLACEMENT_MAX_AGE_S,
+    DriverComponents,
+    classify_failure,
+)
 from cleatlink.serving.peers import ClaimRequest, KeyOutcome, Peers
 
 __all__ = ["ClassifiedCall", "PlainCallDriver", "run_keyed_call"]
--- a/demo/cluster.py
+++ b/demo/cluster.py
@@ -42,11 +42,11 @@
 
         Args:
             disabled_mechanism: Mechanism that entries run without, a key of
-                ``standins.ablate.ABLATIONS``; empty for none.
+                ``standins.ablations.ABLATIONS``; empty for none.
         """
         self._entry_command = ["-m", "cleatlink.scripts.main"]
         if disabled_mechanism:
-            self._entry_command = ["-m", "demo.broken", disabled_mechanism]
+            self._entry_command = ["-m", "demo.ablated_entry", disabled_mechanism]
         self.platform: Process | None = None
         self.engines: dict[str, Process] = {}
         self.services: dict[str, Process] = {}
--- a/demo/main.py
+++ b/demo/main.py
@@ -47,7 +47,7 @@
             requests: Number of model requests to send besides those sent with the faults.
             seed: Seed of the traffic.
             disabled_mechanism: Mechanism that entries run without, a key of
-                ``standins.ablate.ABLATIONS``; empty for none.
+                ``standins.ablations.ABLATIONS``; empty for none.
         """
         self._requests = requests
         self._rng = random.Random(seed)
--- a/features/ablation_test.py
+++ b/features/ablation_test.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from standins.ablate import ABLATION_VARIABLE, ABLATIONS
+from standins.ablations import ABLATION_VARIABLE, ABLATIONS
 
 _MAX_PARALLEL_RUNS = 4
 _SCENARIO_FILES = [f"features/{name}_test.py" for name in ("memory", "answers", "calls", "fleet")]
@@ -16,7 +16,7 @@
 
 def run_scenarios_without(name: str) -> tuple[int, str]:
     """Run the scenarios of a mechanism without it; return the exit code and the output."""
-    command = [sys.executable, "-m", "pytest", "-p", "standins.ablate", "--no-header"]
+    command = [sys.executable, "-m", "pytest", "-p", "standins.ablations", "--no-header"]
     command += ["--tb=no", "-p", "no:cacheprovider", "-k", ABLATIONS[name].scenarios]
     completed = subprocess.run(
         [*command, *_SCENARIO_FILES],
--- a/features/answers_test.py
+++ b/features/answers_test.py
@@ -2,7 +2,7 @@
 
 from pytest_bdd import parsers, scenarios, when
 
-from features.run import ScenarioRun, record_memory_release, wait_for_phase
+from features.scenario_run import ScenarioRun, record_memory_release, wait_for_phase
 from standins.world import World, wait_for_tokens
 
 scenarios("answers.feature")
--- a/features/calls_test.py
+++ b/features/calls_test.py
@@ -3,7 +3,7 @@
 import trio
 from pytest_bdd import parsers, scenarios, when
 
-from features.run import ScenarioRun
+from features.scenario_run import ScenarioRun
 from standins.world import World
 
 scenarios("calls.feature")
--- a/features/conftest.py
+++ b/features/conftest.py
@@ -4,7 +4,7 @@
 import trio
 from pytest_bdd import given, parsers, then
 
-from features.run import ScenarioRun
+from features.scenario_run import ScenarioRun
 from standins.world import World, expected_text, wait_for_tokens
 
 
--- a/features/fleet_test.py
+++ b/features/fleet_test.py
@@ -5,7 +5,7 @@
 import trio
 from pytest_bdd import parsers, scenarios, when
 
-from features.run import ScenarioRun, wait_for_phase
+from features.scenario_run import ScenarioRun, wait_for_phase
 from standins.world import CONFIGURATION, World, wait_for_tokens
 
 scenarios("fleet.feature")
--- a/features/memory_test.py
+++ b/features/memory_test.py
@@ -3,7 +3,7 @@
 import trio
 from pytest_bdd import parsers, scenarios, when
 
-from features.run import ScenarioRun, record_memory_release, wait_for_phase
+from features.scenario_run import ScenarioRun, record_memory_release, wait_for_phase
 from standins.world import World, wait_for_tokens
 
 scenarios("memory.feature")
--- a/features/openai_test.py
+++ b/features/openai_test.py
@@ -10,7 +10,7 @@
 import pytest
 import trio
 
-from cleatlink.serving.http import serve_app
+from cleatlink.serving.http_server import serve_app
 from cleatlink.serving.settings import Address
 from standins.engine import expected_tokens
 from standins.fakes import Caller
--- a/soak/fault_injector.py
+++ b/soak/fault_injector.py
@@ -20,7 +20,7 @@
 from soak.traffic import STREAM_HEADERS
 from soak.workers import CRASHING_BODY_PREFIX, SoakWorker
 from standins.relay import Fault, StoreMode
-from standins.relay.client import Caller
+from standins.relay.raw_client import Caller
 
 __all__ = ["FaultInjector"]
 
--- a/soak/processes.py
+++ b/soak/processes.py
@@ -10,8 +10,8 @@
 
 from soak.shifted_clocks import ClockOffsets, write_offsets
 from standins.ports import free_port
-from standins.relay.client import Caller
-from standins.relay.settings import Ports, write_instance_settings
+from standins.relay.raw_client import Caller
+from standins.relay.settings_file import Ports, write_instance_settings
 
 __all__ = ["InstanceProcess", "find_free_ports", "instance_ip"]
 
--- a/soak/run.py
+++ b/soak/run.py
@@ -16,7 +16,7 @@
 from soak.processes import InstanceProcess
 from soak.records import History
 from soak.traffic import Traffic
-from standins.relay.client import Caller
+from standins.relay.raw_client import Caller
 
 __all__ = ["RunResult", "RunSettings", "run_soak"]
 
--- a/soak/soak_test.py
+++ b/soak/soak_test.py
@@ -23,7 +23,7 @@
 from soak.regressions import STOPS_IN_SERIES
 from soak.run import RunSettings, run_soak
 from standins.relay import Worker
-from standins.relay.client import Caller
+from standins.relay.raw_client import Caller
 
 CI_SEED = 7
 # On a busy machine, the faults of one seed may affect too few requests to be detected.
--- a/soak/traffic.py
+++ b/soak/traffic.py
@@ -7,7 +7,7 @@
 from soak.fleet import SoakFleet
 from soak.organisations import ANONYMOUS
 from soak.records import Request, RequestKind
-from standins.relay.client import Caller, Reply
+from standins.relay.raw_client import Caller, Reply
 
 __all__ = ["STREAM_HEADERS", "Traffic"]
 
--- a/soak/workers.py
+++ b/soak/workers.py
@@ -8,7 +8,7 @@
 
 from soak.records import Arrival, CrashingRun, Order, WorkerRun
 from standins.relay import Worker
-from standins.relay.http import RawCall
+from standins.relay.raw_server import RawCall
 
 __all__ = ["CRASHING_BODY_PREFIX", "EVENTS_PER_STREAM", "SoakWorker"]
 
--- a/standins/ablate.py
+++ b/standins/ablations.py
@@ -18,8 +18,8 @@
 from cleatlink.request.events import ForwardEvent, ReadStreamEvent
 from cleatlink.request.idempotency_keys import ClaimResult, ClaimState
 from cleatlink.routing import FleetView
-from cleatlink.serving import callers, peers
-from cleatlink.serving.cancels import Canceller
+from cleatlink.serving import caller_app, peers
+from cleatlink.serving.canceller import Canceller
 from cleatlink.serving.entry import Entry
 
 ABLATION_VARIABLE = "CLEATLINK_ABLATE"
@@ -176,12 +176,12 @@
         "'not run' is never reported for a call that may have run",
     ),
     "key-refusal": Ablation(
-        _replace_attribute(callers, "_admit_call", callers._admit),
+        _replace_attribute(caller_app, "_admit_call", caller_app._admit),
         "stopping_entry",
         "'not run' is never reported for a call that may have run",
     ),
     "run-to-end": Ablation(
-        _replace_attribute(callers, "_run_despite_disconnect", _run_in_caller_task),
+        _replace_attribute(caller_app, "_run_despite_disconnect", _run_in_caller_task),
         "caller_goes_away_while_its_order",
         "at most one execution",
     ),
--- a/standins/relay/example.py
+++ b/standins/relay/example_fleet.py
@@ -1,7 +1,7 @@
 """Starts a small fleet with common routes, for tests of the relay."""
 
-from standins.relay.client import Caller
 from standins.relay.fleet import Fleet
+from standins.relay.raw_client import Caller
 from standins.relay.worker import Worker
 
 __all__ = ["STREAM", "engines", "runs", "start", "start_with_known_pace"]
--- a/standins/relay/fleet.py
+++ b/standins/relay/fleet.py
@@ -12,8 +12,8 @@
 from cleatlink.relay.settings import RelaySettings
 from cleatlink.routing.mechanisms import Mechanism
 from standins.ports import free_port
-from standins.relay.client import Caller
-from standins.relay.http import close_connections
+from standins.relay.raw_client import Caller
+from standins.relay.raw_server import close_connections
 from standins.relay.store import Store
 from standins.relay.worker import Worker
 
--- a/standins/relay/store.py
+++ b/standins/relay/store.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from standins.relay.http import RawCall, RawServer, answer
+from standins.relay.raw_server import RawCall, RawServer, answer
 
 __all__ = ["Store", "StoreCopy", "StoreMode"]
 
--- a/standins/relay/worker.py
+++ b/standins/relay/worker.py
@@ -12,7 +12,7 @@
 
 import trio
 
-from standins.relay.http import LAST_CHUNK, RawCall, RawServer, answer, chunk
+from standins.relay.raw_server import LAST_CHUNK, RawCall, RawServer, answer, chunk
 
 __all__ = ["Fault", "Run", "Worker"]
 
--- a/standins/world.py
+++ b/standins/world.py
@@ -11,9 +11,9 @@
 import trio.testing
 
 from cleatlink.routing import place_request
-from cleatlink.serving.callers import CallerApp
+from cleatlink.serving.caller_app import CallerApp
 from cleatlink.serving.entry import Entry, EntryDependencies
-from cleatlink.serving.flight import PlaceRequest
+from cleatlink.serving.model_request_driver import PlaceRequest
 from cleatlink.serving.settings import Address, Settings
 from standins.engine import Engine, EngineSettings, KvReference, expected_tokens
 from standins.fakes import Caller, FakeClient, FakeLink, FakePlatform, Fleet, Network
--- a/tools/kinds/calm.py
+++ b/tools/kinds/calm.py
@@ -12,9 +12,9 @@
 
 import click
 
-from tools.kinds.differs import Verdict, compare
+from tools.kinds.bench_run import BenchRun, RunResult, WorkTree, run_all
+from tools.kinds.comparison import Verdict, compare
 from tools.kinds.main import MAX_WORTH_LOSS
-from tools.kinds.play import BenchRun, RunResult, WorkTree, run_all
 
 __all__ = ["main", "render"]
 
--- a/tools/kinds/calm_test.py
+++ b/tools/kinds/calm_test.py
@@ -4,9 +4,9 @@
 
 import pytest
 
+from tools.kinds.bench_run import BenchRun, RunResult, WorkTree
 from tools.kinds.calm import render
-from tools.kinds.differs import Verdict, compare
-from tools.kinds.play import BenchRun, RunResult, WorkTree
+from tools.kinds.comparison import Verdict, compare
 
 # Worth of two builds: the first ordered a role change in each run, the second in two of seven runs.
 WITH_ORDERS = [0.939, 0.948, 0.943, 0.947]
--- a/tools/kinds/kinds_test.py
+++ b/tools/kinds/kinds_test.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from tools.kinds.catalogue import ENGINE_PROFILES, Kind
+from tools.kinds.bench_run import BenchRun, RunResult, WorkTree, copy_without_mechanism
+from tools.kinds.engine_profiles import ENGINE_PROFILES, Kind
 from tools.kinds.main import MAX_WORTH_LOSS, render, write_variants
-from tools.kinds.play import BenchRun, RunResult, WorkTree, copy_without_mechanism
 from tools.kinds.site_file import SiteFileError, make_variant
 
 SITE = """\
--- a/tools/kinds/main.py
+++ b/tools/kinds/main.py
@@ -14,8 +14,8 @@
 
 import click
 
-from tools.kinds.catalogue import ENGINE_PROFILES, Kind
-from tools.kinds.play import BenchRun, RunResult, WorkTree, copy_without_mechanism, run_all
+from tools.kinds.bench_run import BenchRun, RunResult, WorkTree, copy_without_mechanism, run_all
+from tools.kinds.engine_profiles import ENGINE_PROFILES, Kind
 from tools.kinds.site_file import SiteFileError, make_variant
 
 __all__ = ["MAX_WORTH_LOSS", "main", "render", "write_variants"]
--- a/tools/kinds/site_file.py
+++ b/tools/kinds/site_file.py
@@ -6,7 +6,7 @@
 
 import re
 
-from tools.kinds.catalogue import Kind
+from tools.kinds.engine_profiles import Kind
 
 __all__ = ["SiteFileError", "make_variant"]
 
