--- a/cleatlink/relay/peers/catch_up.py
+++ b/cleatlink/relay/peers/catch_up.py
@@ -31,7 +31,7 @@
 
         Args:
             data_centre: Data centre of this instance.
-            hooks: Return the local state, and process what is fetched.
+            hooks: Return the local state, and process the fetched state.
             live_peers: The peers to copy from.
             metrics: Counters.
             rng: Randomises when instances send requests, and to which peers.
--- a/cleatlink/relay/peers/catch_up_test.py
+++ b/cleatlink/relay/peers/catch_up_test.py
@@ -26,15 +26,15 @@
 
     def __init__(self, *heartbeats: HeartbeatMessage, read_s: float = 0.0, seed: int = 1) -> None:
         self.snapshots: list[Snapshot] = []
-        self.polls: list[float] = []
-        self.reads: list[float] = []
+        self.polled_at: list[float] = []
+        self.read_at: list[float] = []
         self._read_s = read_s
         self._live_peers = LivePeers("n2", [], trio.current_time())
         for item in heartbeats:
             self._live_peers.record_heartbeat(item, trio.current_time())
         hooks = PeerHooks(
             self._state,
-            lambda: self.polls.append(trio.current_time()),
+            lambda: self.polled_at.append(trio.current_time()),
             self.snapshots.append,
             lambda: None,
             lambda work: None,
@@ -60,7 +60,7 @@
         return AdvertisedState(False, 9 if self.has_table else 3, NO_REVISION)
 
     async def _read(self) -> None:
-        self.reads.append(trio.current_time())
+        self.read_at.append(trio.current_time())
         await trio.sleep(self._read_s)
 
     async def receive_heartbeats(
@@ -95,7 +95,7 @@
         await instance.receive_heartbeats(nursery, heartbeat, 3)
         peer.close()
         nursery.cancel_scope.cancel()
-    assert instance.polls
+    assert instance.polled_at
 
 
 async def test_peer_in_another_data_centre_is_asked_while_the_service_responds_slowly() -> None:
@@ -152,7 +152,7 @@
         instance.snapshots.append(Snapshot(make_route_table(9, 1), [], 0))
         await trio.sleep(3.0)
         nursery.cancel_scope.cancel()
-    assert instance.reads
+    assert instance.read_at
 
 
 async def test_copy_of_an_already_known_table_does_not_delay_a_newer_one() -> None:
@@ -168,10 +168,10 @@
         instance.catch_up.handle_heartbeat(heartbeat, nursery.start_soon)
         await trio.sleep(1.2)
         instance.snapshots.append(Snapshot(make_route_table(9, 1), [], 0))
-        reads = len(instance.reads)
+        reads_before = len(instance.read_at)
         await instance.receive_heartbeats(
             nursery, replace(heartbeat, name="n8", table_revision=11), 4
         )
         slow.close()
         nursery.cancel_scope.cancel()
-    assert len(instance.reads) > reads
+    assert len(instance.read_at) > reads_before
--- a/cleatlink/relay/peers/contract_test.py
+++ b/cleatlink/relay/peers/contract_test.py
@@ -39,7 +39,7 @@
 from tools import message_samples
 
 RECORDINGS = Path(__file__).parent / "contract"
-PROGRAM = Path(message_samples.__file__).resolve()
+SAMPLES_PROGRAM = Path(message_samples.__file__).resolve()
 # Message types by their names in the recorded files.
 RECORDED_TYPES: dict[str, type] = {
     "Beat": HeartbeatMessage,
@@ -117,19 +117,19 @@
 @pytest.mark.parametrize("build", LANDED)
 def test_earlier_builds_decode_messages_of_this_build(build: str, builds: dict[str, Path]) -> None:
     source_tree = builds[build]
-    written = message_samples.write()
+    encoded_samples = message_samples.write()
     process = subprocess.run(
-        [sys.executable, str(PROGRAM), "read"],
-        input=json.dumps(written),
+        [sys.executable, str(SAMPLES_PROGRAM), "read"],
+        input=json.dumps(encoded_samples),
         env={**os.environ, "PYTHONPATH": str(source_tree)},
         cwd=source_tree,
         capture_output=True,
         text=True,
         check=True,
     )
-    read: dict[str, str | None] = json.loads(process.stdout)
-    for name, text in written.items():
-        decoded = read[name]
+    decoded_samples: dict[str, str | None] = json.loads(process.stdout)
+    for name, text in encoded_samples.items():
+        decoded = decoded_samples[name]
         if name == "Snapshot":
             is_expected = build in SNAPSHOT_DECODERS
         else:
@@ -143,7 +143,7 @@
 def test_subprocess_uses_sources_of_earlier_build(builds: dict[str, Path]) -> None:
     """The subprocess must use the sources of the earlier build, which has fewer message types."""
     process = subprocess.run(
-        [sys.executable, str(PROGRAM), "write"],
+        [sys.executable, str(SAMPLES_PROGRAM), "write"],
         env={**os.environ, "PYTHONPATH": str(builds[LANDED[0]])},
         cwd=builds[LANDED[0]],
         capture_output=True,
--- a/cleatlink/relay/peers/datagrams.py
+++ b/cleatlink/relay/peers/datagrams.py
@@ -38,7 +38,7 @@
             ListenError: The address cannot be bound.
         """
         self._metrics = metrics
-        self._too_long_lines = LogRateLimit(_TOO_LONG_LINES, _TOO_LONG_LINES_INTERVAL_S)
+        self._too_long_log_limit = LogRateLimit(_TOO_LONG_LINES, _TOO_LONG_LINES_INTERVAL_S)
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sock.setblocking(False)
         bind(sock, address.host, address.port)
@@ -65,14 +65,14 @@
             except OSError:
                 self._metrics.count_peer_message("not_sent")
 
-    def _report_too_long(self, size: int, addresses: int) -> None:
+    def _report_too_long(self, size_bytes: int, address_count: int) -> None:
         """Count a message that exceeds a datagram, and log it at a limited rate."""
         self._metrics.count_peer_message("too_long")
-        if self._too_long_lines.allow(trio.current_time()):
+        if self._too_long_log_limit.allow(trio.current_time()):
             eliot.log_message(
                 message_type="peers: message exceeds the datagram limit; not sent",
-                bytes=size,
-                addresses=addresses,
+                bytes=size_bytes,
+                addresses=address_count,
             )
 
     async def receive(self) -> list[Message | None]:
--- a/cleatlink/relay/peers/datagrams_test.py
+++ b/cleatlink/relay/peers/datagrams_test.py
@@ -12,7 +12,7 @@
 
 
 async def test_message_that_is_too_long_is_logged() -> None:
-    """Guards against dropping a message unlogged, which hid what peers had missed."""
+    """Guards against dropping a message without a log line, which hid what peers had missed."""
     lines: list[dict[str, object]] = []
     totals = {f"organisation-{number}": number for number in range(5_000)}
     message = OrganisationUsage("n1", 1, totals, {}, 1.0, 1)
--- a/cleatlink/relay/peers/deflate.py
+++ b/cleatlink/relay/peers/deflate.py
@@ -16,8 +16,9 @@
 ]
 
 DEFLATE_CODING = b"deflate"
-# Request header that allows a compressed answer, and header of a compressed answer.
+# Request header that accepts a compressed answer.
 ACCEPT_DEFLATE_HEADER = (b"Accept-Encoding", DEFLATE_CODING)
+# Header of a compressed answer.
 DEFLATE_HEADERS: Headers = ((b"Content-Encoding", DEFLATE_CODING),)
 
 # A weight of zero, which excludes a coding.
--- a/cleatlink/relay/peers/delivery.py
+++ b/cleatlink/relay/peers/delivery.py
@@ -39,7 +39,7 @@
 
         Args:
             settings: Settings of this instance.
-            incarnation: Number that grows with each start of this instance.
+            incarnation: Start number of this instance; it grows with each start.
             peers: Peers from which heartbeats are received.
             socket: Socket that sends the datagrams.
             metrics: Counters of the instance.
@@ -51,17 +51,17 @@
         self._socket = socket
         self._metrics = metrics
         self._is_enabled = Mechanism.REFLECTORS not in settings.without
-        self._size = settings.size if self._is_enabled else 0.0
+        self._announced_size = settings.size if self._is_enabled else 0.0
         self._selector = ReflectorSelector(settings.data_centre)
-        self._forwarding = ForwardingQueue(settings.name, trio.current_time())
+        self._forwarding_queue = ForwardingQueue(settings.name, trio.current_time())
         self._duplicates = DuplicateFilter()
-        self._due_earlier = trio.Event()
-        self._last_number = 0
+        self._due_time_changed = trio.Event()
+        self._last_message_number = 0
 
     @property
     def announced_size(self) -> float:
         """Size of this instance as announced to peers; 0 if it accepts no bundles."""
-        return self._size
+        return self._announced_size
 
     @property
     def uses_reflectors(self) -> bool:
@@ -75,27 +75,32 @@
 
     def next_message_number(self) -> int:
         """Return the number of this instance's next message."""
-        self._last_number += 1
-        return self._last_number
+        self._last_message_number += 1
+        return self._last_message_number
 
     def tick(self, now: float) -> bool:
-        """Update the choice of reflectors, every half second; return whether one is new."""
-        self._forwarding.tick(now)
+        """Update the choice of reflectors; return whether a new one was chosen.
+
+        It is called every half second, in a small fleet every second.
+        """
+        self._forwarding_queue.tick(now)
         self._duplicates.retain_senders(self._peers.names)
         if not self.uses_reflectors:
             # Reflectors get no messages now, so a missing echo must not count against them.
             self._selector = ReflectorSelector(self._data_centre)
             return False
         self._selector.record_echo(self._name, now)
-        own = ReflectorCandidate(self._name, self._data_centre, self._size, 0.0)
-        has_new = self._selector.choose([own, *self._peers.reflector_candidates(now)], now)
-        if has_new:
+        own = ReflectorCandidate(self._name, self._data_centre, self._announced_size, 0.0)
+        has_new_reflector = self._selector.choose(
+            [own, *self._peers.reflector_candidates(now)], now
+        )
+        if has_new_reflector:
             eliot.log_message(
                 message_type="peers: chosen reflectors changed",
                 chosen=self._selector.chosen,
                 alive=len(self._peers) + 1,
             )
-        return has_new
+        return has_new_reflector
 
     def send(
         self,
@@ -106,14 +111,15 @@
         is_urgent: bool = True,
         reflectors_per_data_centre: int = 2,
     ) -> None:
-        """Send a message to the peers of some or all data centres through reflectors.
+        """Send a message to the peers of some or all data centres, mostly through reflectors.
 
         Args:
             message: The message.
             data_centres: Receiving data centres; None for all.
             legacy_message: Message for peers of earlier builds, which accept no bundles; None to
                 send them nothing.
-            is_urgent: Whether reflectors forward the message after a shorter wait for others.
+            is_urgent: Whether reflectors forward the message after a shorter wait for further
+                messages.
             reflectors_per_data_centre: Number of reflectors in each data centre that get the
                 message.
         """
@@ -170,20 +176,20 @@
     async def run(self) -> None:
         """Forward queued items in bundles when they are due."""
         while True:
-            with trio.move_on_at(self._forwarding.due_at):
-                await self._due_earlier.wait()
-            self._due_earlier = trio.Event()
+            with trio.move_on_at(self._forwarding_queue.due_at):
+                await self._due_time_changed.wait()
+            self._due_time_changed = trio.Event()
             now = trio.current_time()
-            if now >= self._forwarding.due_at:
+            if now >= self._forwarding_queue.due_at:
                 addresses = self._peers.addresses_with_bundle_support(self._data_centre)
-                for bundle in self._forwarding.take_bundles(now):
+                for bundle in self._forwarding_queue.take_bundles(now):
                     self._socket.send(bundle, addresses)
 
     def _hold(self, item: BundleItem, now: float) -> None:
-        dropped = self._forwarding.dropped_count
-        if self._forwarding.add(item, now):
-            self._due_earlier.set()
-        if self._forwarding.dropped_count > dropped:
+        dropped_before = self._forwarding_queue.dropped_count
+        if self._forwarding_queue.add(item, now):
+            self._due_time_changed.set()
+        if self._forwarding_queue.dropped_count > dropped_before:
             self._metrics.count_peer_message("not_passed_on")
 
     def _known_data_centres(self) -> set[str]:
--- a/cleatlink/relay/peers/delivery_test.py
+++ b/cleatlink/relay/peers/delivery_test.py
@@ -63,7 +63,10 @@
 
 
 async def test_messages_that_exceed_one_datagram_are_split_into_several() -> None:
-    """Guards against losing all initial messages to a new peer, unlogged, if they are too long."""
+    """Guards against dropping all initial messages to a new peer because they are too long.
+
+    No log line reported it.
+    """
     socket = SentDatagrams()
     messages = [usage_message(number, 1_000) for number in range(6)]
     open_delivery(socket).send_directly(messages, ["127.0.0.1:7"])
--- a/cleatlink/relay/peers/encoded_parts.py
+++ b/cleatlink/relay/peers/encoded_parts.py
@@ -21,7 +21,7 @@
 
 
 class _EncodedPart:
-    """One part, with the encodings requested since its last change."""
+    """One part, with the encodings made since its last change."""
 
     def __init__(self) -> None:
         self._contents: _PartContents | None = None
--- a/cleatlink/relay/peers/encoded_parts_test.py
+++ b/cleatlink/relay/peers/encoded_parts_test.py
@@ -11,19 +11,19 @@
 from cleatlink.routing.fleet_records import EndpointRecord, FleetRecords
 
 
-def table_of(revision: int) -> RouteTable:
+def create_table(revision: int) -> RouteTable:
     return RouteTable(revision, (), {}, CallerLimits())
 
 
-def record_of(name: str, revision: int) -> EndpointRecord:
+def create_record(name: str, revision: int) -> EndpointRecord:
     return EndpointRecord(name, StoreRevision(2, revision), None)
 
 
 @pytest.fixture
 def records() -> FleetRecords:
     records = FleetRecords()
-    records.offer_table(table_of(3))
-    records.offer_record(record_of("one", 7))
+    records.offer_table(create_table(3))
+    records.offer_record(create_record("one", 7))
     records.note_complete(StoreRevision(2, 8))
     return records
 
@@ -41,7 +41,7 @@
 def test_table_is_not_encoded_again_when_registrations_change(records: FleetRecords) -> None:
     parts = EncodedParts(records)
     before = parts.get(SnapshotPart.TABLE, is_compressed=True)
-    records.offer_record(record_of("two", 9))
+    records.offer_record(create_record("two", 9))
     records.note_complete(StoreRevision(2, 9))
     assert parts.get(SnapshotPart.TABLE, is_compressed=True) is before
 
@@ -49,7 +49,7 @@
 def test_registrations_are_not_encoded_again_when_the_table_changes(records: FleetRecords) -> None:
     parts = EncodedParts(records)
     before = parts.get(SnapshotPart.REGISTRATIONS, is_compressed=True)
-    records.offer_table(table_of(4))
+    records.offer_table(create_table(4))
     assert parts.get(SnapshotPart.REGISTRATIONS, is_compressed=True) is before
 
 
@@ -57,7 +57,7 @@
     parts = EncodedParts(records)
     parts.get(SnapshotPart.REGISTRATIONS, is_compressed=True)
     newest = records.newest_record_revision
-    records.offer_record(record_of("late", 6))
+    records.offer_record(create_record("late", 6))
     assert records.newest_record_revision == newest
     data = parts.get(SnapshotPart.REGISTRATIONS, is_compressed=True)
     names = [item.name for item in decode_snapshot(decompress(data, 10_000)).records]
@@ -73,18 +73,18 @@
         return decode_snapshot(decompress(data, 10_000) if is_compressed else data)
 
     for revision in (4, 5):
-        records.offer_table(table_of(revision))
-        records.offer_record(record_of("one", 6 + revision))
+        records.offer_table(create_table(revision))
+        records.offer_record(create_record("one", 6 + revision))
         table, registrations = read(SnapshotPart.TABLE), read(SnapshotPart.REGISTRATIONS)
-        assert table == Snapshot(table_of(revision), [], 0)
+        assert table == Snapshot(create_table(revision), [], 0)
         assert registrations.table is None
         assert registrations.endpoint_records() == list(records.records)
         assert registrations.complete_revision == StoreRevision(2, 8)
-        assert read(SnapshotPart.WHOLE).table == table_of(revision)
+        assert read(SnapshotPart.WHOLE).table == create_table(revision)
         assert read(SnapshotPart.WHOLE).endpoint_records() == list(records.records)
 
 
-def test_uncompressed_whole_equals_the_answer_of_earlier_builds(
+def test_uncompressed_whole_state_equals_the_answer_of_earlier_builds(
     records: FleetRecords,
 ) -> None:
     data = EncodedParts(records).get(SnapshotPart.WHOLE, is_compressed=False)
--- a/cleatlink/relay/peers/endpoint_hints.py
+++ b/cleatlink/relay/peers/endpoint_hints.py
@@ -28,28 +28,28 @@
 
     def __init__(self, capacity: Capacity) -> None:
         self._capacity = capacity
-        self._hints = {
+        self._quorums = {
             HintKind.UNREACHABLE: ReportQuorum(_UNREACHED_WINDOW_S),
             HintKind.SLOW: ReportQuorum(_SLOW_WINDOW_S),
         }
         self._announced_at: dict[_Announcement, float] = {}
 
-    def is_due(self, endpoint: str, kind: HintKind, now: float) -> bool:
-        """Check whether peers should be informed now, and if so, record that they were."""
+    def record_if_due(self, endpoint: str, kind: HintKind, now: float) -> bool:
+        """Record an announcement to peers if one is due now, and return whether it is."""
         announcement = _Announcement(endpoint, kind)
         if now - self._announced_at.get(announcement, -math.inf) < _ANNOUNCEMENT_INTERVAL_S:
             return False
         self._announced_at = {
-            item: at
-            for item, at in self._announced_at.items()
-            if now - at < _ANNOUNCEMENT_INTERVAL_S
+            item: announced_at
+            for item, announced_at in self._announced_at.items()
+            if now - announced_at < _ANNOUNCEMENT_INTERVAL_S
         }
         self._announced_at[announcement] = now
         return True
 
-    def take(self, hint: EndpointHint, now: float) -> None:
+    def record_hint(self, hint: EndpointHint, now: float) -> None:
         """Record a hint; once enough instances agree, pass it to the capacity model."""
-        if not self._hints[hint.kind].add_report(hint.endpoint, hint.name, now):
+        if not self._quorums[hint.kind].add_report(hint.endpoint, hint.name, now):
             return
         if hint.kind is HintKind.SLOW:
             self._capacity.note_reported_slow(hint.endpoint, now)
--- a/cleatlink/relay/peers/endpoint_limit_channel.py
+++ b/cleatlink/relay/peers/endpoint_limit_channel.py
@@ -77,10 +77,10 @@
         """Return all known limits, totals and levels, for a new peer."""
         now = trio.current_time()
         reports = self._limits.announcements(now, _MAX_INCARNATIONS, include_from_peers=True)
-        return [self._message(reports, now, whole=True)] if reports else []
+        return [self._message(reports, now, include_all=True)] if reports else []
 
     def _message(
-        self, reports: list[AnnouncedLimit], now: float, *, whole: bool = False
+        self, reports: list[AnnouncedLimit], now: float, *, include_all: bool = False
     ) -> EndpointLimitUsage:
         """Return a message with limits and this instance's totals: all, or the changed ones."""
         limits = self._limits
@@ -91,11 +91,11 @@
                 (report.incarnation, report.rate_per_s, report.age_s)
                 for report in reports[:_MAX_INCARNATIONS]
             ],
-            limits.totals(now, include_unchanged=whole),
-            limits.returned(now, include_unchanged=whole),
+            limits.totals(now, include_unchanged=include_all),
+            limits.returned(now, include_unchanged=include_all),
             limits.used_name_count,
             round(limits.uptime_s(now), 3),
-            limits.levels(now) if whole else {},
+            limits.levels(now) if include_all else {},
         )
 
     def record_limits(self, message: EndpointLimitUsage) -> None:
--- a/cleatlink/relay/peers/endpoint_notice_channel.py
+++ b/cleatlink/relay/peers/endpoint_notice_channel.py
@@ -43,15 +43,15 @@
         self._name = name
         self._notices = notices
         self._rng = rng
-        self._leaving: set[str] = set()
-        self._in_backoff: set[str] = set()
+        self._pending_leaving: set[str] = set()
+        self._pending_backoffs: set[str] = set()
         self._reported_until: dict[str, float] = {}
-        self._wake = trio.Event()
+        self._has_changes = trio.Event()
 
     def report_leaving(self, incarnation: str) -> None:
         """Queue an endpoint's notice that it is shutting down, to be sent to peers."""
-        self._leaving.add(incarnation)
-        self._wake.set()
+        self._pending_leaving.add(incarnation)
+        self._has_changes.set()
 
     def report_backoff(self, incarnation: str) -> None:
         """Queue an endpoint's back-off for peers, unless they know one that lasts as long."""
@@ -59,16 +59,16 @@
         if until - self._reported_until.get(incarnation, 0.0) < _MIN_EXTENSION_S:
             return
         self._mark_reported(incarnation, until, trio.current_time())
-        self._in_backoff.add(incarnation)
-        self._wake.set()
+        self._pending_backoffs.add(incarnation)
+        self._has_changes.set()
 
     async def next_messages(self) -> list[EndpointNoticeUpdate]:
         """Wait for pending notices and return the messages for all peers."""
-        await self._wake.wait()
+        await self._has_changes.wait()
         await trio.sleep(_GATHER_S)
-        self._wake = trio.Event()
-        leaving, self._leaving = sorted(self._leaving), set()
-        in_backoff, self._in_backoff = sorted(self._in_backoff), set()
+        self._has_changes = trio.Event()
+        leaving, self._pending_leaving = sorted(self._pending_leaving), set()
+        in_backoff, self._pending_backoffs = sorted(self._pending_backoffs), set()
         return self._messages(leaving, in_backoff)
 
     def repeated_messages(self) -> list[EndpointNoticeUpdate]:
@@ -86,13 +86,13 @@
         if not leaving and not in_backoff:
             return []
         now = trio.current_time()
-        left_s = {
+        remaining_s = {
             incarnation: self._notices.backoff_until(incarnation) - now
             for incarnation in in_backoff
         }
         backoffs = [
             (incarnation, round(seconds, 3))
-            for incarnation, seconds in left_s.items()
+            for incarnation, seconds in remaining_s.items()
             if seconds > 0
         ]
         return [EndpointNoticeUpdate(self._name, leaving[:_MAX_INCARNATIONS], backoffs)]
@@ -111,20 +111,22 @@
                 endpoint=incarnation,
                 peer=update.name,
             )
-        for incarnation, left_s in update.backoffs:
-            if left_s > 0:
-                self._record_backoff(incarnation, now, left_s)
+        for incarnation, remaining_s in update.backoffs:
+            if remaining_s > 0:
+                self._record_backoff(incarnation, now, remaining_s)
         return newly_leaving
 
     def _mark_reported(self, incarnation: str, until: float, now: float) -> None:
         """Record that peers know of a back-off, and forget those that are over."""
-        self._reported_until = {name: at for name, at in self._reported_until.items() if at > now}
+        self._reported_until = {
+            reported: ends_at for reported, ends_at in self._reported_until.items() if ends_at > now
+        }
         self._reported_until[incarnation] = until
 
-    def _record_backoff(self, incarnation: str, now: float, left_s: float) -> None:
+    def _record_backoff(self, incarnation: str, now: float, remaining_s: float) -> None:
         """Record a back-off that a peer reported, without sending it to others."""
         self._mark_reported(
-            incarnation, max(self._reported_until.get(incarnation, 0.0), now + left_s), now
+            incarnation, max(self._reported_until.get(incarnation, 0.0), now + remaining_s), now
         )
-        until = now + left_s * (1 + _MAX_RANDOM_SHARE * self._rng.random())
+        until = now + remaining_s * (1 + _MAX_RANDOM_SHARE * self._rng.random())
         self._notices.note_peer_backoff(incarnation, until, now)
--- a/cleatlink/relay/peers/endpoint_notice_channel_test.py
+++ b/cleatlink/relay/peers/endpoint_notice_channel_test.py
@@ -1,4 +1,4 @@
-"""Tests that an endpoint's notice to one instance spares the others a rejection."""
+"""Tests that peers of an instance that gets an endpoint's notice avoid the endpoint as well."""
 
 import random
 
@@ -49,7 +49,7 @@
         assert len(leaving.arrivals) == 1
 
 
-async def test_back_off_asked_of_one_instance_diverts_calls_of_the_others() -> None:
+async def test_backoff_reported_to_one_instance_diverts_calls_of_its_peers() -> None:
     async with open_fleet() as fleet:
         backing_off = Worker("plain")
         await start_two_instances(fleet, backing_off, Worker("plain"))
@@ -62,7 +62,7 @@
         assert len(backing_off.arrivals) == 1
 
 
-async def test_reported_back_off_is_ignored_without_another_endpoint() -> None:
+async def test_peer_reported_backoff_is_ignored_without_another_endpoint() -> None:
     async with open_fleet() as fleet:
         worker = Worker("plain")
         await start_two_instances(fleet, worker)
@@ -97,7 +97,7 @@
     assert received.is_leaving("x")
 
 
-async def test_back_off_is_sent_once_for_many_answers() -> None:
+async def test_backoff_is_sent_once_for_many_answers() -> None:
     sender, recorded = open_channel()
     messages = 0
     for _ in range(20):
@@ -108,7 +108,7 @@
     assert messages == 1
 
 
-async def test_end_of_a_reported_back_off_is_randomised() -> None:
+async def test_end_of_a_peer_reported_backoff_is_randomised() -> None:
     ends = set()
     for seed in range(20):
         notices = EndpointNotices()
@@ -122,7 +122,7 @@
     assert ends == {True, False}
 
 
-async def test_back_off_reported_by_a_peer_is_not_sent_on() -> None:
+async def test_backoff_reported_by_a_peer_is_not_forwarded() -> None:
     receiver, notices = open_channel()
     receiver.record_notices(EndpointNoticeUpdate("n2", [], [("x", 3.0)]))
     notices.note_backoff("x", 3.0, trio.current_time())
--- a/cleatlink/relay/peers/endpoint_speed_channel.py
+++ b/cleatlink/relay/peers/endpoint_speed_channel.py
@@ -50,7 +50,7 @@
         self._incarnation = incarnation
         self._speeds = speeds
         self._metrics = metrics
-        self._number = 0
+        self._last_message_number = 0
         # Incarnation and sequence number of the newest message of each sender.
         self._newest_received: dict[str, tuple[int, int]] = {}
         self._logged_speeds: dict[str, float] = {}
@@ -87,7 +87,7 @@
 
     def _message(self, incarnations: Sequence[str]) -> EndpointSpeedUpdate:
         now = trio.current_time()
-        self._number += 1
+        self._last_message_number += 1
         items_by_incarnation = {
             incarnation: [
                 _item(sample, now) for sample in self._speeds.own_samples(incarnation, now)
@@ -95,17 +95,17 @@
             for incarnation in incarnations
         }
         return EndpointSpeedUpdate(
-            self._name, self._incarnation, self._number, items_by_incarnation
+            self._name, self._incarnation, self._last_message_number, items_by_incarnation
         )
 
     def record_measurements(self, message: EndpointSpeedUpdate) -> None:
         """Record the measurements of a peer; ignore messages that are older than its newest one."""
-        position = (message.incarnation, message.number)
-        if message.name == self._name or position <= self._newest_received.get(
+        sequence = (message.incarnation, message.number)
+        if message.name == self._name or sequence <= self._newest_received.get(
             message.name, (0, 0)
         ):
             return
-        self._newest_received[message.name] = position
+        self._newest_received[message.name] = sequence
         now = trio.current_time()
         for endpoint_incarnation, items in message.measurements.items():
             self._speeds.replace_peer_samples(
--- a/cleatlink/relay/peers/endpoint_speed_channel_test.py
+++ b/cleatlink/relay/peers/endpoint_speed_channel_test.py
@@ -13,15 +13,15 @@
 from cleatlink.routing.endpoint_speeds import EndpointSpeeds, SpeedSampleKind
 
 
-def create_channel(name: str, paces: EndpointSpeeds) -> EndpointSpeedChannel:
-    return EndpointSpeedChannel(name, 1, paces, RelayMetrics())
+def create_channel(name: str, speeds: EndpointSpeeds) -> EndpointSpeedChannel:
+    return EndpointSpeedChannel(name, 1, speeds, RelayMetrics())
 
 
 def add_samples(
-    paces: EndpointSpeeds, incarnation: str, ratio: float = 0.5, count: int = 6
+    speeds: EndpointSpeeds, incarnation: str, ratio: float = 0.5, count: int = 6
 ) -> None:
     for _ in range(count):
-        paces.note_ratio(incarnation, SpeedSampleKind.PROMPT, ratio, trio.current_time())
+        speeds.note_ratio(incarnation, SpeedSampleKind.PROMPT, ratio, trio.current_time())
 
 
 def transmit(message: EndpointSpeedUpdate) -> EndpointSpeedUpdate:
@@ -34,13 +34,13 @@
 
 
 async def test_only_changed_endpoints_are_reported(autojump_clock: trio.abc.Clock) -> None:
-    paces, peer_paces = EndpointSpeeds(), EndpointSpeeds()
-    channel, peer = create_channel("i1", paces), create_channel("i2", peer_paces)
-    add_samples(paces, "e1")
+    speeds, peer_speeds = EndpointSpeeds(), EndpointSpeeds()
+    channel, peer = create_channel("i1", speeds), create_channel("i2", peer_speeds)
+    add_samples(speeds, "e1")
     (message,) = await channel.next_messages()
     peer.record_measurements(transmit(message))
-    assert 1.5 < peer_paces.speed("e1", trio.current_time()) < 2.5
-    add_samples(paces, "e2")
+    assert 1.5 < peer_speeds.speed("e1", trio.current_time()) < 2.5
+    add_samples(speeds, "e2")
     (message,) = await channel.next_messages()
     assert list(message.measurements) == ["e2"]
     with trio.move_on_after(60) as no_further_message:
@@ -49,33 +49,33 @@
 
 
 async def test_late_duplicate_and_own_messages_are_ignored(autojump_clock: trio.abc.Clock) -> None:
-    paces, peer_paces = EndpointSpeeds(), EndpointSpeeds()
-    channel, peer = create_channel("i1", paces), create_channel("i2", peer_paces)
-    add_samples(paces, "e1", 1.0)
+    speeds, peer_speeds = EndpointSpeeds(), EndpointSpeeds()
+    channel, peer = create_channel("i1", speeds), create_channel("i2", peer_speeds)
+    add_samples(speeds, "e1", 1.0)
     (old,) = await channel.next_messages()
-    add_samples(paces, "e1", 0.4)
+    add_samples(speeds, "e1", 0.4)
     (new,) = await channel.next_messages()
     for message in (new, old, new):
         peer.record_measurements(transmit(message))
         channel.record_measurements(transmit(message))
-    assert peer_paces.sample_count("e1") == 6
-    assert peer_paces.speed("e1", trio.current_time()) > 1.3
-    assert paces.sample_count("e1") == 12
+    assert peer_speeds.sample_count("e1") == 6
+    assert peer_speeds.speed("e1", trio.current_time()) > 1.3
+    assert speeds.sample_count("e1") == 12
 
 
 async def test_new_peer_receives_newest_endpoints_and_ignores_unknown_kinds(
     autojump_clock: trio.abc.Clock,
 ) -> None:
-    paces, peer_paces = EndpointSpeeds(), EndpointSpeeds()
-    channel, peer = create_channel("i1", paces), create_channel("i2", peer_paces)
+    speeds, peer_speeds = EndpointSpeeds(), EndpointSpeeds()
+    channel, peer = create_channel("i1", speeds), create_channel("i2", peer_speeds)
     for number in range(20):
-        add_samples(paces, f"e{number}", count=2)
+        add_samples(speeds, f"e{number}", count=2)
     messages = channel.initial_messages()
     assert len(messages) == 2
     assert [len(message.measurements) for message in channel.repeated_messages()] == [8]
     for message in messages:
         peer.record_measurements(transmit(message))
-    assert len(peer_paces.speeds(trio.current_time())) == 16
+    assert len(peer_speeds.speeds(trio.current_time())) == 16
     unknown_kind = EndpointSpeedUpdate("i3", 1, 1, {"e0": [SpeedMeasurement(99, 1, 1)]})
     peer.record_measurements(transmit(unknown_kind))
-    assert peer_paces.sample_count("e0") == 2
+    assert peer_speeds.sample_count("e0") == 2
--- a/cleatlink/relay/peers/group.py
+++ b/cleatlink/relay/peers/group.py
@@ -132,34 +132,34 @@
         self._settings = settings
         self._incarnation = incarnation
         self._capacity = capacity
-        self._limits = limits
-        self._limit_updates = OrganisationUsageChannel(
+        self._organisation_limits = limits
+        self._organisation_usage_channel = OrganisationUsageChannel(
             settings.name, incarnation, limits, capacity.endpoint_limits
         )
-        self._endpoint_limits = EndpointLimitChannel(
+        self._endpoint_limit_channel = EndpointLimitChannel(
             settings.name, incarnation, capacity.endpoint_limits
         )
-        self._endpoint_paces = EndpointSpeedChannel(
+        self._endpoint_speed_channel = EndpointSpeedChannel(
             settings.name, incarnation, capacity.endpoint_speeds, metrics
         )
-        self._waiting_updates = WaitQueueChannel(
+        self._wait_queue_channel = WaitQueueChannel(
             settings.name, incarnation, settings.data_centre, capacity.shared_wait_queues
         )
         self._quarantine = quarantine
-        self._notices = notices
-        self._source_updates = RegistrationChannel(settings.name)
-        self._shed_updates = OverloadChannel(settings.name)
-        self._plain_updates = PlainCallChannel(settings.name, incarnation, capacity)
+        self._notice_channel = notices
+        self._registration_channel = RegistrationChannel(settings.name)
+        self._overload_channel = OverloadChannel(settings.name)
+        self._plain_call_channel = PlainCallChannel(settings.name, incarnation, capacity)
         self._channels: tuple[UpdateChannel, ...] = (
-            self._plain_updates,
-            self._limit_updates,
-            self._endpoint_limits,
-            self._endpoint_paces,
+            self._plain_call_channel,
+            self._organisation_usage_channel,
+            self._endpoint_limit_channel,
+            self._endpoint_speed_channel,
             quarantine,
             notices,
-            self._source_updates,
-            self._shed_updates,
-            self._waiting_updates,
+            self._registration_channel,
+            self._overload_channel,
+            self._wait_queue_channel,
         )
         self._metrics = metrics
         self._hooks = hooks
@@ -169,7 +169,7 @@
         self._changed_work: set[str] = set()
         self._work_updates = WorkUpdates(settings.name, incarnation, settings.data_centre, capacity)
         self._work_changed = trio.Event()
-        self._hints = EndpointHints(capacity)
+        self._endpoint_hints = EndpointHints(capacity)
         self._rng = random.Random(incarnation)
         self._catch_up = CatchUp(
             settings.data_centre,
@@ -182,20 +182,20 @@
         self.fence = 0
         self.vote = ""
         self.members: Set[str] = frozenset({settings.name})
-        self._spawn: Callable[..., None] = _drop_task
+        self._spawn: Callable[..., None] = _ignore_task
         self._socket = DatagramSocket(settings.peer_listen, metrics)
         self._handlers = self._message_handlers()
         self._delivery = Delivery(settings, incarnation, self._peers, self._socket, metrics)
         # The last sequence number of each peer's work announcements.
         self._last_work_sequences: dict[str, _WorkSequence] = {}
         self._is_heartbeat_due = False
-        self._announced_table = 0
+        self._announced_table_revision = 0
         self._heartbeat_number = 0
         self._last_heartbeat: HeartbeatMessage | None = None
         # The last encoded heartbeat by sender. Most heartbeats repeat the previous one and
         # need no decoding.
         self._encoded_heartbeats: dict[str, bytes] = {}
-        self._heard_share_checked_at = -math.inf
+        self._reachable_share_checked_at = -math.inf
         self._has_peer_work_changed = False
 
     @property
@@ -255,11 +255,11 @@
         return is_watcher(self._settings.name, others)
 
     def announce_registration(
-        self, after: StoreRevision, change: SourceChange, found_ago_s: float
+        self, after: StoreRevision, change: SourceChange, reachable_for_s: float
     ) -> None:
         """Send a change read from the configuration service to the peers of this data centre."""
         if self.is_watch_shared:
-            self._source_updates.report_change(after, change, found_ago_s)
+            self._registration_channel.report_change(after, change, reachable_for_s)
 
     def close(self) -> None:
         """Close the datagram socket."""
@@ -275,16 +275,16 @@
         self._work_changed.set()
 
     def announce_usage(self) -> None:
-        """Announce the admitted requests soon, since an organisation's limit is nearly used up."""
-        self._limit_updates.request_usage_report()
+        """Announce the admitted units soon, since an organisation's limit is nearly used up."""
+        self._organisation_usage_channel.request_usage_report()
 
     def announce_rejection(self, endpoint: str, tokens: int) -> None:
-        """Announce immediately that a decode endpoint shed a stream of this many tokens."""
-        self._shed_updates.report_rejection(endpoint, tokens)
+        """Announce immediately that a decode endpoint rejected a stream of this many tokens."""
+        self._overload_channel.report_rejection(endpoint, tokens)
 
     def announce_limit(self, endpoint_incarnation: str) -> None:
         """Announce immediately that an endpoint changed or removed its limit."""
-        self._endpoint_limits.report_limit(endpoint_incarnation)
+        self._endpoint_limit_channel.report_limit(endpoint_incarnation)
 
     async def _send_channel_updates(self, channel: UpdateChannel) -> None:
         while True:
@@ -314,25 +314,28 @@
             self._is_heartbeat_due = True
 
     def _has_unannounced_table(self) -> bool:
-        """Check whether this instance watches for others and has a table not yet announced."""
+        """Check whether this instance watches for others and has a table that it has not announced.
+
+        The table counts as announced afterwards.
+        """
         table = self._hooks.state().table_revision
-        is_new, self._announced_table = table != self._announced_table, table
+        is_new, self._announced_table_revision = table != self._announced_table_revision, table
         return is_new and self.must_watch()
 
     def _send_heartbeat_to_fleet(self, *, urgent: bool = False) -> HeartbeatMessage:
         """Send a heartbeat through reflectors.
 
-        Peers of earlier builds, which take no bundles, receive it directly with all work in it.
+        Peers of earlier builds, which accept no bundles, receive it directly with all work in it.
         """
         now = trio.current_time()
         heartbeat = self._make_heartbeat(work_apart=True)
-        earlier = None
+        legacy_heartbeat = None
         if self._peers.addresses_without_bundle_support():
-            earlier = msgspec.structs.replace(
+            legacy_heartbeat = msgspec.structs.replace(
                 heartbeat, work=self._work_updates.work_items(now), work_apart=False
             )
         self._is_heartbeat_due = False
-        self._delivery.send(heartbeat, legacy_message=earlier, is_urgent=urgent)
+        self._delivery.send(heartbeat, legacy_message=legacy_heartbeat, is_urgent=urgent)
         return heartbeat
 
     def _make_heartbeat(self, *, work_apart: bool = False) -> HeartbeatMessage:
@@ -356,14 +359,14 @@
             [],
             self.fence,
             {
-                name: round(left, 2)
-                for name, left in self._capacity.role_changes_left_s(now).items()
+                name: round(left_s, 2)
+                for name, left_s in self._capacity.role_changes_left_s(now).items()
             },
             self.vote,
             len(self.members),
-            self._limits.totals(now),
-            self._limits.used_name_count,
-            min(int(self._limits.uptime_s(now)), _MAX_REPORTED_AGE_S),
+            self._organisation_limits.totals(now),
+            self._organisation_limits.used_name_count,
+            min(int(self._organisation_limits.uptime_s(now)), _MAX_REPORTED_AGE_S),
             state.newest_revision.era,
             self._capacity.endpoint_limits.used_name_count,
             state.is_service_reachable,
@@ -381,11 +384,15 @@
             heartbeat, work=self._work_updates.work_items(now), work_apart=False
         )
 
-    def _send_to_random_peers(self, *messages_before: Message) -> None:
-        """Send a roster, service times and repeated updates to a few randomly chosen peers."""
+    def _send_to_random_peers(self, *first_messages: Message) -> None:
+        """Send a roster, service times and repeated updates to a few randomly chosen peers.
+
+        Args:
+            first_messages: Messages to send before these.
+        """
         addresses = self._peers.addresses
         chosen = self._rng.sample(addresses, min(_ROSTER_RECIPIENTS, len(addresses)))
-        messages = [*messages_before, self._roster(_MAX_ROSTER_MEMBERS)]
+        messages = [*first_messages, self._roster(_MAX_ROSTER_MEMBERS)]
         summaries = self._capacity.service_time_summaries(trio.current_time())
         if summaries:
             messages.append(ServiceTimeUpdate(self._settings.name, summaries))
@@ -462,19 +469,19 @@
 
     def _remove_silent_peers(self) -> None:
         now = trio.current_time()
-        self._limit_updates.update_reachable_share(now)
+        self._organisation_usage_channel.update_reachable_share(now)
         self._capacity.expire_peers(now, _WORK_GRACE_S)
         self._capacity.shared_wait_queues.set_peer_count(len(self._peers))
         self._capacity.spill_over.set_peer_count(len(self._peers))
-        for lost in self._peers.remove_expired(now):
-            self._capacity.remove_peer(lost.name)
-            self._last_work_sequences.pop(lost.name, None)
-            self._capacity.shared_wait_queues.remove_report(lost.name)
-            self._encoded_heartbeats.pop(lost.name, None)
+        for removed in self._peers.remove_expired(now):
+            self._capacity.remove_peer(removed.name)
+            self._last_work_sequences.pop(removed.name, None)
+            self._capacity.shared_wait_queues.remove_report(removed.name)
+            self._encoded_heartbeats.pop(removed.name, None)
             eliot.log_message(
                 message_type="peers: removed a peer that sent no heartbeats",
-                peer=lost.name,
-                silent_s=round(lost.silent_s, 2),
+                peer=removed.name,
+                silent_s=round(removed.silent_s, 2),
                 alive=self.live_instances,
             )
 
@@ -495,33 +502,33 @@
             EndpointHint: self._handle_hint,
             PlainCallTotals: self._handle_plain_calls,
             Roster: self._handle_roster,
-            ServiceTimeUpdate: self._handle_paces,
+            ServiceTimeUpdate: self._handle_service_times,
             CrashUpdate: self._handle_crashes,
             EndpointNoticeUpdate: self._handle_notices,
             EndpointSpeedUpdate: self._handle_endpoint_speeds,
-            EndpointLimitUsage: self._handle_endpoint_spending,
-            OverloadUpdate: self._handle_shed_update,
-            RegistrationUpdate: self._handle_source_update,
-            OrganisationUsage: self._handle_spending,
+            EndpointLimitUsage: self._handle_endpoint_limit_usage,
+            OverloadUpdate: self._handle_overload_update,
+            RegistrationUpdate: self._handle_registration_update,
+            OrganisationUsage: self._handle_organisation_usage,
             WorkList: self._handle_work_list,
             WaitQueueUpdate: self._handle_waiting_update,
         }
 
     def _handle_plain_calls(self, update: PlainCallTotals) -> None:
         self._metrics.count_peer_message("plain_calls")
-        self._plain_updates.record_totals(update)
+        self._plain_call_channel.record_totals(update)
 
     def _handle_hint(self, hint: EndpointHint) -> None:
         self._metrics.count_peer_message(hint.kind.value)
-        self._hints.take(hint, trio.current_time())
+        self._endpoint_hints.record_hint(hint, trio.current_time())
 
     def _handle_roster(self, roster: Roster) -> None:
         self._metrics.count_peer_message("roster")
-        found = self._peers.record_roster(roster, trio.current_time())
-        if found and len(self._peers) + len(found) > MAX_DIRECT_PEERS:
+        new_addresses = self._peers.record_roster(roster, trio.current_time())
+        if new_addresses and len(self._peers) + len(new_addresses) > MAX_DIRECT_PEERS:
             # An instance that joins a large fleet and its peers then discover each other one
             # heartbeat earlier.
-            self._socket.send(self._make_heartbeat(), found)
+            self._socket.send(self._make_heartbeat(), new_addresses)
 
     def _handle_crashes(self, update: CrashUpdate) -> None:
         self._metrics.count_peer_message("crashes")
@@ -529,41 +536,41 @@
 
     def _handle_notices(self, update: EndpointNoticeUpdate) -> None:
         self._metrics.count_peer_message("notices")
-        for endpoint_incarnation in self._notices.record_notices(update):
+        for endpoint_incarnation in self._notice_channel.record_notices(update):
             self._hooks.on_endpoint_leaving(endpoint_incarnation)
 
-    def _handle_endpoint_spending(self, update: EndpointLimitUsage) -> None:
+    def _handle_endpoint_limit_usage(self, update: EndpointLimitUsage) -> None:
         self._metrics.count_peer_message("endpoint_limits")
-        self._endpoint_limits.record_limits(update)
+        self._endpoint_limit_channel.record_limits(update)
 
     def _handle_endpoint_speeds(self, update: EndpointSpeedUpdate) -> None:
         self._metrics.count_peer_message("endpoint_paces")
-        self._endpoint_paces.record_measurements(update)
+        self._endpoint_speed_channel.record_measurements(update)
 
-    def _handle_shed_update(self, update: OverloadUpdate) -> None:
+    def _handle_overload_update(self, update: OverloadUpdate) -> None:
         self._metrics.count_peer_message("shed")
         now = trio.current_time()
         for endpoint, tokens in update.rejections:
             self._capacity.note_memory_refusal(endpoint, tokens, now)
 
-    def _handle_source_update(self, update: RegistrationUpdate) -> None:
+    def _handle_registration_update(self, update: RegistrationUpdate) -> None:
         self._metrics.count_peer_message("source")
-        self._hooks.on_source_update(update)
+        self._hooks.on_registration_update(update)
 
     def _handle_waiting_update(self, update: WaitQueueUpdate) -> None:
         self._metrics.count_peer_message("waiting")
-        self._waiting_updates.record_queue(update)
+        self._wait_queue_channel.record_queue(update)
 
-    def _handle_spending(self, update: OrganisationUsage) -> None:
+    def _handle_organisation_usage(self, update: OrganisationUsage) -> None:
         self._metrics.count_peer_message("spending")
-        self._limit_updates.record_usage(update, trio.current_time())
+        self._organisation_usage_channel.record_usage(update, trio.current_time())
 
     def _check_heard_share(self) -> None:
         """Periodically adjust the limits to the share of instances that send heartbeats."""
         now = trio.current_time()
-        if now - self._heard_share_checked_at >= _HEARD_SHARE_CHECK_INTERVAL_S:
-            self._heard_share_checked_at = now
-            self._limit_updates.update_reachable_share(now)
+        if now - self._reachable_share_checked_at >= _HEARD_SHARE_CHECK_INTERVAL_S:
+            self._reachable_share_checked_at = now
+            self._organisation_usage_channel.update_reachable_share(now)
 
     def _handle_message(self, message: Message | None, age_s: float) -> None:
         """Process a message.
@@ -597,7 +604,7 @@
         age_s = max(0, item.age_ms) / _MS_PER_S
         if self._encoded_heartbeats.get(item.origin) == item.data:
             heartbeat = self._peers.record_repeated_heartbeat(item.origin, now - age_s)
-            if heartbeat is not None and self._limit_updates.record_repeated_heartbeat(
+            if heartbeat is not None and self._organisation_usage_channel.record_repeated_heartbeat(
                 item.origin, now - age_s, now
             ):
                 self._catch_up.handle_heartbeat(heartbeat, self._spawn)
@@ -625,7 +632,7 @@
                 alive=self.live_instances,
             )
             self._send_introduction(heartbeat)
-        self._limit_updates.record_heartbeat(heartbeat, now - age_s, now)
+        self._organisation_usage_channel.record_heartbeat(heartbeat, now - age_s, now)
         self.fence = max(self.fence, heartbeat.highest_fence)
         for endpoint, left_s in heartbeat.switching_endpoints.items():
             self._capacity.note_role_change(endpoint, now - age_s + left_s)
@@ -646,10 +653,10 @@
         if self._peers.incarnation(announcement.name) != announcement.incarnation:
             return False
         if announcement.number:
-            number = _WorkSequence(announcement.incarnation, announcement.number)
-            if number <= self._last_work_sequences.get(announcement.name, _NO_WORK_SEQUENCE):
+            sequence = _WorkSequence(announcement.incarnation, announcement.number)
+            if sequence <= self._last_work_sequences.get(announcement.name, _NO_WORK_SEQUENCE):
                 return False
-            self._last_work_sequences[announcement.name] = number
+            self._last_work_sequences[announcement.name] = sequence
         return True
 
     def _replace_peer_work(self, peer: str, items: list[WorkItem], now: float) -> None:
@@ -663,8 +670,8 @@
     def _send_introduction(self, heartbeat: HeartbeatMessage) -> None:
         """Send a new peer the roster, service times and the full state of all channels."""
         messages: list[Message] = []
-        known = len(self.members | self._peers.names)
-        if not self._delivery.uses_reflectors or heartbeat.member_count < known:
+        known_count = len(self.members | self._peers.names)
+        if not self._delivery.uses_reflectors or heartbeat.member_count < known_count:
             messages.append(self._roster())
         summaries = self._capacity.service_time_summaries(trio.current_time())
         if summaries:
@@ -680,7 +687,7 @@
         if messages:
             self._delivery.send_directly(messages, [heartbeat.address])
 
-    def _handle_paces(self, update: ServiceTimeUpdate) -> None:
+    def _handle_service_times(self, update: ServiceTimeUpdate) -> None:
         """Adopt a peer's service times for services that this instance has not measured."""
         self._metrics.count_peer_message("paces")
         now = trio.current_time()
@@ -693,7 +700,7 @@
         Unreachable endpoints are announced only in this data centre.
         """
         now = trio.current_time()
-        if not self._hints.is_due(endpoint, kind, now):
+        if not self._endpoint_hints.record_if_due(endpoint, kind, now):
             return
         own_data_centre = self._settings.data_centre
         local_addresses = self._peers.addresses_by_data_centre().get(own_data_centre, [])
@@ -705,7 +712,7 @@
             )
         else:
             self._socket.send(hint, addresses)
-        self._hints.take(hint, now)
+        self._endpoint_hints.record_hint(hint, now)
 
     def _handle_work_changes(self, changes: WorkChanges) -> None:
         if not self._is_newer(changes):
@@ -724,5 +731,5 @@
             self._hooks.on_placement(item)
 
 
-def _drop_task(*_: object) -> None:
-    """Ignore a task; used before the group is started."""
+def _ignore_task(*_: object) -> None:
+    """Ignore a task; it replaces the callback that spawns tasks until the group is started."""
--- a/cleatlink/relay/peers/group_test.py
+++ b/cleatlink/relay/peers/group_test.py
@@ -120,10 +120,10 @@
         hooks=hooks,
     )
 
-    def keep(task: Task) -> None:
+    def supervise(task: Task) -> None:
         nursery.start_soon(task)
 
-    group.start(keep, nursery.start_soon)
+    group.start(supervise, nursery.start_soon)
     try:
         yield group
     finally:
@@ -160,9 +160,15 @@
             group._hooks = group._hooks._replace(
                 on_work_change=lambda: work_changes.append(trio.current_time())
             )
-            busy = heartbeat("n2", listener.address)
+            idle_heartbeat = heartbeat("n2", listener.address)
             work = WorkItem("k", "e1", "decode", 100, 5.0, 5.0, 10)
-            for message in (busy, busy, msgspec.structs.replace(busy, work=[work]), busy, busy):
+            for message in (
+                idle_heartbeat,
+                idle_heartbeat,
+                msgspec.structs.replace(idle_heartbeat, work=[work]),
+                idle_heartbeat,
+                idle_heartbeat,
+            ):
                 await listener.send(group.listen, message)
                 await trio.sleep(0.05)
             assert len(work_changes) == 2
@@ -194,8 +200,8 @@
             await listener.send(group.listen, heartbeat("n3", listener.address, leaving=True))
             await listener.send(group.listen, Roster("n2", [Member("n3", ""), Member("n4", "")]))
             await trio.sleep(0.1)
-            hearing = group.leader_election_input()
-            assert (set(hearing.known_names), set(hearing.departed)) == ({"n4"}, {"n3"})
+            reports = group.leader_election_input()
+            assert (set(reports.known_names), set(reports.departed)) == ({"n4"}, {"n3"})
             await listener.send(group.listen, heartbeat("n3", listener.address))
             await trio.sleep(0.1)
             assert not group.leader_election_input().departed
--- a/cleatlink/relay/peers/hooks.py
+++ b/cleatlink/relay/peers/hooks.py
@@ -17,13 +17,14 @@
     """Callbacks from the peer group into its instance.
 
     Attributes:
-        state: Return whether the instance is leaving, and its newest revisions.
+        state: Return the state that the instance advertises.
         poll_service: Query the configuration service again.
         on_snapshot: Process a copy of a peer's state.
         on_work_change: Process a change of peers' work.
         on_placement: Process a reservation that a peer made.
         on_endpoint_leaving: Process a peer's report that an endpoint's incarnation is leaving.
-        on_source_update: Process a change that a peer read from the configuration service.
+        on_registration_update: Process registration changes that a peer read from the configuration
+            service.
         on_table_revision: Process the revision of a peer's route table, the peer's name, and
             whether the peer's last request to the configuration service was answered.
         read_table: Read only the route table from the configuration service.
@@ -35,6 +36,6 @@
     on_work_change: Callable[[], None]
     on_placement: Callable[[Reservation], None]
     on_endpoint_leaving: Callable[[str], None]
-    on_source_update: Callable[[RegistrationUpdate], None]
+    on_registration_update: Callable[[RegistrationUpdate], None]
     on_table_revision: Callable[[int, str, bool], None] = lambda *_: None
     read_table: Callable[[], Awaitable[None]] = trio.lowlevel.checkpoint
--- a/cleatlink/relay/peers/large_fleet_test.py
+++ b/cleatlink/relay/peers/large_fleet_test.py
@@ -1,9 +1,9 @@
 """Instances of a large fleet exchange messages through reflectors.
 
 Without reflectors, each of 90 instances sent a heartbeat to 89 others every second and was woken as
-often. With reflectors, every instance must still receive all the others, and no live peer may be
-taken for silent, also when datagrams are lost or a reflector dies, receives nothing or is
-partitioned from the network.
+often. With reflectors, every instance must still receive the heartbeats of all the others, and no
+live peer may count as silent, also when datagrams are lost or a reflector dies, receives nothing or
+is partitioned from the network.
 """
 
 import random
@@ -65,13 +65,13 @@
 
     def __init__(self) -> None:
         self._inboxes: dict[str, list[bytes]] = {}
-        self._wakes: dict[str, trio.Event] = {}
+        self._has_datagrams: dict[str, trio.Event] = {}
         self.drops: Callable[[Packet], bool] = lambda packet: False
         self.received: Counter[str] = Counter()
 
     def open(self, address: str) -> None:
         self._inboxes[address] = []
-        self._wakes[address] = trio.Event()
+        self._has_datagrams[address] = trio.Event()
 
     def close(self, address: str) -> None:
         self._inboxes.pop(address, None)
@@ -80,11 +80,11 @@
         if packet.receiver in self._inboxes and not self.drops(packet):
             self.received[packet.receiver] += 1
             self._inboxes[packet.receiver].append(data)
-            self._wakes[packet.receiver].set()
+            self._has_datagrams[packet.receiver].set()
 
     async def receive(self, address: str) -> list[bytes]:
-        await self._wakes[address].wait()
-        self._wakes[address] = trio.Event()
+        await self._has_datagrams[address].wait()
+        self._has_datagrams[address] = trio.Event()
         pending, self._inboxes[address] = self._inboxes.get(address, []), []
         return pending
 
@@ -148,7 +148,7 @@
         for other in DATA_CENTRES:
             endpoint = RoutedEndpoint(f"e-{other}", "10.1.0.1:1", other, "s", Role.DECODE, 8)
             capacity.set_endpoint(endpoint)
-        group = _group(settings, capacity)
+        group = create_group(settings, capacity)
         scope = trio.CancelScope()
         instance = Instance(settings.name, str(address), data_centre, group, capacity, scope)
         self.instances.append(instance)
@@ -180,7 +180,7 @@
             for item in instances
         )
 
-    async def check_connected(self, instances: list[Instance], for_s: float) -> None:
+    async def assert_connected(self, instances: list[Instance], for_s: float) -> None:
         """Assert for ``for_s`` seconds that these instances receive heartbeats from each other."""
         ends_at = trio.current_time() + for_s
         while trio.current_time() < ends_at:
@@ -189,7 +189,7 @@
 
     @staticmethod
     async def silent_share(instances: list[Instance], for_s: float) -> float:
-        """Return the share of checks in which an instance takes a live peer for silent."""
+        """Return the share of checks in which an instance considers a live peer silent."""
         names = {item.name for item in instances}
         silent = checks = 0
         ends_at = trio.current_time() + for_s
@@ -212,7 +212,7 @@
         return [item for item in self.instances if item not in excluded]
 
 
-def _group(settings: RelaySettings, capacity: Capacity) -> PeerGroup:
+def create_group(settings: RelaySettings, capacity: Capacity) -> PeerGroup:
     hooks = PeerHooks(
         lambda: AdvertisedState(False, 0, NO_REVISION),
         lambda: None,
@@ -250,13 +250,13 @@
 class TestLargeFleet:
     """Thirty instances in three data centres, on a clock that skips idle time."""
 
-    async def test_all_instances_receive_each_other_with_few_datagrams(
+    async def test_heartbeats_reach_all_instances_with_few_datagrams(
         self, monkeypatch: pytest.MonkeyPatch, autojump_clock: MockClock
     ) -> None:
         async with open_fleet(monkeypatch) as fleet:
             await fleet.start(FLEET_SIZE)
             fleet.network.received.clear()
-            await fleet.check_connected(fleet.instances, 10.0)
+            await fleet.assert_connected(fleet.instances, 10.0)
             received = sorted(fleet.network.received.values())
             # Bundles of two reflectors four times a second, and direct messages of a few peers.
             assert received[len(received) // 2] / 10.0 < 16
@@ -273,8 +273,8 @@
                 await fleet.start(FLEET_SIZE, without=without)
                 fleet.network.drops = lambda packet, rng=rng: rng.random() < 0.05  # type: ignore[misc]
                 shares[without] = await fleet.silent_share(fleet.instances, LOSS_TEST_S)
-        by_reflectors, by_all = shares.values()
-        assert by_reflectors < by_all / 5
+        with_reflectors, with_direct_heartbeats = shares.values()
+        assert with_reflectors < with_direct_heartbeats / 5
 
     async def test_reflector_that_dies_is_replaced_before_peers_count_as_silent(
         self, monkeypatch: pytest.MonkeyPatch, autojump_clock: MockClock
@@ -283,7 +283,7 @@
             await fleet.start(FLEET_SIZE)
             stopped = fleet.first_reflector("a")
             stopped.scope.cancel()
-            await fleet.check_connected(fleet.all_except(stopped), 10.0)
+            await fleet.assert_connected(fleet.all_except(stopped), 10.0)
             assert stopped.name not in fleet.instances[-1].group.peers_seen_within(
                 PEER_SILENCE_TIMEOUT_S
             )
@@ -298,7 +298,7 @@
                 stopped += [item for item in fleet.instances if item.name == name]
             for item in stopped:
                 item.scope.cancel()
-            await fleet.check_connected(fleet.all_except(*stopped), 10.0)
+            await fleet.assert_connected(fleet.all_except(*stopped), 10.0)
 
     async def test_reflector_that_sends_but_receives_nothing_silences_no_live_peer(
         self, monkeypatch: pytest.MonkeyPatch, autojump_clock: MockClock
@@ -307,28 +307,33 @@
             await fleet.start(FLEET_SIZE)
             reflector = fleet.first_reflector("a")
             fleet.network.drops = lambda packet: packet.receiver == reflector.address
-            await fleet.check_connected(fleet.all_except(reflector), 20.0)
+            await fleet.assert_connected(fleet.all_except(reflector), 20.0)
 
     async def test_partitioned_data_centre_stays_connected_and_rejoins_afterwards(
         self, monkeypatch: pytest.MonkeyPatch, autojump_clock: MockClock
     ) -> None:
         async with open_fleet(monkeypatch) as fleet:
             await fleet.start(FLEET_SIZE)
-            inside = {item.address for item in fleet.instances if item.data_centre == "a"}
+            partitioned_addresses = {
+                item.address for item in fleet.instances if item.data_centre == "a"
+            }
             fleet.network.drops = lambda packet: (
-                (packet.sender in inside) != (packet.receiver in inside)
+                (packet.sender in partitioned_addresses)
+                != (packet.receiver in partitioned_addresses)
             )
-            partitioned = [item for item in fleet.instances if item.address in inside]
+            partitioned = [
+                item for item in fleet.instances if item.address in partitioned_addresses
+            ]
             remaining = fleet.all_except(*partitioned)
             for _ in range(10):
-                await fleet.check_connected(partitioned, 1.0)
-                await fleet.check_connected(remaining, 1.0)
+                await fleet.assert_connected(partitioned, 1.0)
+                await fleet.assert_connected(remaining, 1.0)
             assert all(len(item.group._peers) == len(partitioned) - 1 for item in partitioned)
             fleet.network.drops = lambda packet: False
             await trio.sleep(2.5)
             assert fleet.all_connected(fleet.instances)
 
-    async def test_instance_that_joins_later_receives_all_within_two_seconds(
+    async def test_instance_that_joins_later_receives_all_heartbeats_within_two_seconds(
         self, monkeypatch: pytest.MonkeyPatch, autojump_clock: MockClock
     ) -> None:
         async with open_fleet(monkeypatch) as fleet:
@@ -348,9 +353,9 @@
             await trio.sleep(1.1)
             assert old.capacity.has_reservation(fleet.instances[1].name, "k")
             assert not old.group._delivery.uses_reflectors
-            await fleet.check_connected(fleet.instances, 10.0)
+            await fleet.assert_connected(fleet.instances, 10.0)
 
-    async def test_work_is_known_at_once_where_it_is_needed_and_soon_elsewhere(
+    async def test_work_is_reported_at_once_to_affected_data_centres_and_later_to_others(
         self, monkeypatch: pytest.MonkeyPatch, autojump_clock: MockClock
     ) -> None:
         async with open_fleet(monkeypatch) as fleet:
@@ -419,29 +424,29 @@
             assert not recipient.capacity.has_reservation(origin.name, "before")
             assert recipient.capacity.has_reservation(origin.name, "after")
 
-    async def test_hint_about_a_data_centre_is_not_sent_to_others(
+    async def test_unreachable_endpoint_hint_is_not_sent_to_other_data_centres(
         self, monkeypatch: pytest.MonkeyPatch, autojump_clock: MockClock
     ) -> None:
         async with open_fleet(monkeypatch) as fleet:
             await fleet.start(FLEET_SIZE)
-            receiving: list[str] = []
+            receiver_data_centres: list[str] = []
             for item in fleet.instances:
-                original = item.group._hints.take
+                original = item.group._endpoint_hints.record_hint
 
-                def take(
+                def record_hint(
                     hint: EndpointHint,
                     now: float,
                     *,
-                    receiver: str = item.data_centre,
+                    data_centre: str = item.data_centre,
                     original: Callable[[EndpointHint, float], None] = original,
                 ) -> None:
-                    receiving.append(receiver)
+                    receiver_data_centres.append(data_centre)
                     original(hint, now)
 
-                monkeypatch.setattr(item.group._hints, "take", take)
+                monkeypatch.setattr(item.group._endpoint_hints, "record_hint", record_hint)
             fleet.instances[1].group.announce_hint("e-b", HintKind.UNREACHABLE)
             await trio.sleep(0.3)
-            assert receiving == ["b"] * (FLEET_SIZE // len(DATA_CENTRES))
+            assert receiver_data_centres == ["b"] * (FLEET_SIZE // len(DATA_CENTRES))
 
     async def test_bundle_inside_a_bundle_is_ignored(
         self, monkeypatch: pytest.MonkeyPatch, autojump_clock: MockClock
@@ -450,14 +455,14 @@
             await fleet.start(FLEET_SIZE)
             recipient = fleet.instances[4]
             heartbeat = HeartbeatMessage("x", 1, "a", "10.9.9.9:1", False, 0, 0, [], 0, {}, "", 1)
-            inner = Bundle("x", False, [item_of("x", 1, encode(heartbeat))])
+            inner = Bundle("x", False, [bundle_item("x", 1, encode(heartbeat))])
             recipient.group._handle_message(
-                Bundle("x", True, [item_of("x", 2, encode(inner))]), 0.0
+                Bundle("x", True, [bundle_item("x", 2, encode(inner))]), 0.0
             )
             assert "x" not in recipient.group.peers_seen_within(PEER_SILENCE_TIMEOUT_S)
 
 
-def item_of(sender: str, number: int, data: bytes) -> BundleItem:
+def bundle_item(sender: str, number: int, data: bytes) -> BundleItem:
     return BundleItem(sender, 1, number, 0, False, data)
 
 
@@ -480,7 +485,10 @@
     monkeypatch: pytest.MonkeyPatch,
     autojump_clock: MockClock,
 ) -> None:
-    """Most messages that an instance received were 89 heartbeats a second without any change."""
+    """Guards against decoding unchanged heartbeats, which were most of the received messages.
+
+    An instance received 89 of them a second.
+    """
     async with open_fleet(monkeypatch) as fleet:
         await fleet.start(FLEET_SIZE)
         # Heartbeats report ages up to 10 s; after that they stay the same.
@@ -489,13 +497,13 @@
         recipient = fleet.instances[4].group
         original = recipient._handle_heartbeat
 
-        def take(heartbeat: HeartbeatMessage, age_s: float) -> None:
+        def handle_heartbeat(heartbeat: HeartbeatMessage, age_s: float) -> None:
             processed.append(heartbeat.name)
             original(heartbeat, age_s)
 
-        monkeypatch.setattr(recipient, "_handle_heartbeat", take)
-        await fleet.check_connected(fleet.instances, 5.0)
-        # Only the few that are sent directly.
+        monkeypatch.setattr(recipient, "_handle_heartbeat", handle_heartbeat)
+        await fleet.assert_connected(fleet.instances, 5.0)
+        # Only the few heartbeats that are sent directly are decoded.
         assert len(processed) < 5 * 8
         origin = fleet.instances[1].group
         origin.fence = 77
--- a/cleatlink/relay/peers/live_peers.py
+++ b/cleatlink/relay/peers/live_peers.py
@@ -29,7 +29,7 @@
     """The last heartbeat of a peer, and when it was sent."""
 
     heartbeat: HeartbeatMessage
-    heard_at: float
+    last_heartbeat_at: float
 
 
 class LivePeers:
@@ -38,21 +38,22 @@
     A peer is live from its first heartbeat until it has been silent for ``_PEER_EXPIRY_S``.
     """
 
-    def __init__(self, name: str, configured: Iterable[str], now: float) -> None:
+    def __init__(self, name: str, configured_addresses: Iterable[str], now: float) -> None:
         """Start without peers.
 
         Args:
             name: This instance's name.
-            configured: Peer addresses from the settings; they never expire.
+            configured_addresses: Peer addresses from the settings; they never expire.
             now: Current time.
         """
         self._name = name
-        self._configured_addresses = frozenset(configured)
+        self._configured_addresses = frozenset(configured_addresses)
         self._peers: dict[str, _LivePeer] = {}
+        # When each address was last in a heartbeat, or else first in the settings or a roster.
         self._addresses = dict.fromkeys(self._configured_addresses, now)
         self._peak_live_instances = 1
         # Instances listed in rosters, and when instances announced that they leave.
-        self._reported: set[str] = set()
+        self._reported_names: set[str] = set()
         self._left_at: dict[str, float] = {}
 
     def __len__(self) -> int:
@@ -130,7 +131,7 @@
         """Return the peers that may act as reflectors."""
         return [
             ReflectorCandidate(
-                name, peer.heartbeat.data_centre, peer.heartbeat.size, now - peer.heard_at
+                name, peer.heartbeat.data_centre, peer.heartbeat.size, now - peer.last_heartbeat_at
             )
             for name, peer in self._peers.items()
             if not peer.heartbeat.leaving
@@ -143,7 +144,9 @@
 
     def seen_within(self, seconds: float, now: float) -> set[str]:
         """Return the peers whose last heartbeat is at most this many seconds old."""
-        return {name for name, peer in self._peers.items() if now - peer.heard_at <= seconds}
+        return {
+            name for name, peer in self._peers.items() if now - peer.last_heartbeat_at <= seconds
+        }
 
     def watch_candidates(self, data_centre: str, silence_s: float, now: float) -> list[str]:
         """Return the peers of a data centre that can watch the configuration service."""
@@ -153,7 +156,7 @@
             if peer.heartbeat.source_is_reachable
             and peer.heartbeat.data_centre == data_centre
             and not peer.heartbeat.leaving
-            and now - peer.heard_at <= silence_s
+            and now - peer.last_heartbeat_at <= silence_s
         ]
 
     def leader_election_input(self, silence_s: float, now: float) -> PeerReports:
@@ -163,7 +166,7 @@
         }
         return PeerReports(
             {name: heartbeat.leader_vote for name, heartbeat in heartbeats.items()},
-            set(self._reported),
+            set(self._reported_names),
             max((heartbeat.member_count for heartbeat in heartbeats.values()), default=0),
             set(self._left_at),
         )
@@ -196,7 +199,7 @@
         peer = self._peers.get(name)
         if peer is None or peer.heartbeat.leaving:
             return None
-        if now > peer.heard_at:
+        if now > peer.last_heartbeat_at:
             self._peers[name] = _LivePeer(peer.heartbeat, now)
         self._addresses[peer.heartbeat.address] = now
         return peer.heartbeat
@@ -210,13 +213,13 @@
         """
         previous = self._peers.get(heartbeat.name)
         is_new = previous is None
-        heard_at = now if previous is None else max(now, previous.heard_at)
-        self._peers[heartbeat.name] = _LivePeer(heartbeat, heard_at)
+        last_heartbeat_at = now if previous is None else max(now, previous.last_heartbeat_at)
+        self._peers[heartbeat.name] = _LivePeer(heartbeat, last_heartbeat_at)
         self._peak_live_instances = max(self._peak_live_instances, len(self._peers) + 1)
         self._addresses[heartbeat.address] = now
         if heartbeat.leaving:
             self._left_at[heartbeat.name] = now
-            self._reported.discard(heartbeat.name)
+            self._reported_names.discard(heartbeat.name)
         else:
             self._left_at.pop(heartbeat.name, None)
         return is_new
@@ -227,7 +230,7 @@
         for member in roster.members:
             if member.name in self._left_at or member.name == self._name:
                 continue
-            self._reported.add(member.name)
+            self._reported_names.add(member.name)
             if member.address and member.address not in self._addresses:
                 self._addresses[member.address] = now
                 new_addresses.append(member.address)
@@ -240,19 +243,19 @@
 
     def remove_expired(self, now: float) -> list[RemovedPeer]:
         """Remove expired peers, addresses and departures, and return the removed peers."""
-        lost = [
-            RemovedPeer(name, now - peer.heard_at)
+        removed = [
+            RemovedPeer(name, now - peer.last_heartbeat_at)
             for name, peer in self._peers.items()
-            if now - peer.heard_at > _PEER_EXPIRY_S
+            if now - peer.last_heartbeat_at > _PEER_EXPIRY_S
         ]
-        for peer in lost:
+        for peer in removed:
             del self._peers[peer.name]
         self._addresses = {
-            address: heard_at
-            for address, heard_at in self._addresses.items()
-            if now - heard_at <= _ADDRESS_EXPIRY_S or address in self._configured_addresses
+            address: seen_at
+            for address, seen_at in self._addresses.items()
+            if now - seen_at <= _ADDRESS_EXPIRY_S or address in self._configured_addresses
         }
         self._left_at = {
             name: at for name, at in self._left_at.items() if now - at <= _LEFT_RETENTION_S
         }
-        return lost
+        return removed
--- a/cleatlink/relay/peers/messages.py
+++ b/cleatlink/relay/peers/messages.py
@@ -66,7 +66,7 @@
         table_revision: Revision of the route table that the sender uses.
         newest_registration: Revision number of the newest registration that the sender knows.
         work: All work that the sender has placed and that has not ended.
-        highest_fence: Highest fencing token of any order that the sender knows of.
+        highest_fence: Highest fencing token of any role order that the sender knows of.
         switching_endpoints: Endpoints that are changing their role, with the remaining seconds.
         leader_vote: Instance that the sender considers the leader; empty for none.
         member_count: Number of instances that the sender has ever known.
@@ -74,7 +74,7 @@
             organisations whose total changed recently.
         used_name_count: Number of organisations for which the sender has admitted units.
         age_s: Whole seconds since the sender's start.
-        era: Era of the store revision that ``newest`` belongs to.
+        era: Era of the store revision that ``newest_registration`` belongs to.
         limited_endpoint_count: Number of endpoints from whose limits the sender has taken units.
         source_is_reachable: Whether the sender's last call to the configuration service was
             answered, so that the sender can watch the service for other instances.
@@ -165,7 +165,7 @@
         incarnation: Start number of that instance; it grows with each start.
         number: Sequence number of the message at that instance.
         age_ms: Total time for which the message was held on its way, in milliseconds.
-        is_urgent: Whether the message is forwarded at once instead of with the next bundle.
+        is_urgent: Whether reflectors forward the message after a shorter wait for further messages.
         data: The encoded message.
     """
 
--- a/cleatlink/relay/peers/organisation_usage_channel.py
+++ b/cleatlink/relay/peers/organisation_usage_channel.py
@@ -91,7 +91,7 @@
         """Record the units that a peer admitted, and its levels if it has counted for longer."""
         if usage.levels:
             self._limits.adopt_levels(usage.levels, usage.age_s, now)
-        self._take_totals(usage, now)
+        self._record_totals(usage, now)
 
     def record_repeated_heartbeat(self, name: str, sent_at: float, now: float) -> bool:
         """Record a heartbeat that equals the previous one of the peer.
@@ -121,7 +121,7 @@
             self._presence.record_leaving(heartbeat.name)
         else:
             self._presence.record_heartbeat(heartbeat.name, sent_at)
-        self._take_totals(heartbeat, now)
+        self._record_totals(heartbeat, now)
         # The peer reports units of endpoints' limits when it takes them. Its heartbeats show that
         # it took no others.
         endpoint_totals = PeerTotals(
@@ -133,7 +133,7 @@
         )
         self._endpoint_limits.take_totals(endpoint_totals, now)
 
-    def _take_totals(self, message: HeartbeatMessage | OrganisationUsage, now: float) -> None:
+    def _record_totals(self, message: HeartbeatMessage | OrganisationUsage, now: float) -> None:
         totals = PeerTotals(
             message.name,
             message.incarnation,
--- a/cleatlink/relay/peers/overload_channel.py
+++ b/cleatlink/relay/peers/overload_channel.py
@@ -1,4 +1,4 @@
-"""Reports decode endpoints without capacity to peers, so that they do not call them as well."""
+"""Reports decode endpoints without capacity to peers, so that the peers avoid them."""
 
 import trio
 
@@ -18,8 +18,9 @@
 
     def __init__(self, name: str) -> None:
         self._name = name
-        self._refused: dict[str, int] = {}
-        self._changed = trio.Event()
+        # Size of the smallest rejected stream by decode endpoint, in tokens.
+        self._rejected_tokens: dict[str, int] = {}
+        self._has_changes = trio.Event()
 
     def report_rejection(self, endpoint: str, tokens: int) -> None:
         """Queue a report of a decode endpoint that rejected a stream.
@@ -28,16 +29,16 @@
             endpoint: Name of the decode endpoint.
             tokens: Size of the stream at its end, in tokens.
         """
-        self._refused[endpoint] = min(tokens, self._refused.get(endpoint, tokens))
-        self._changed.set()
+        self._rejected_tokens[endpoint] = min(tokens, self._rejected_tokens.get(endpoint, tokens))
+        self._has_changes.set()
 
     async def next_messages(self) -> list[OverloadUpdate]:
         """Wait for updates and return the messages to send to every peer."""
-        await self._changed.wait()
+        await self._has_changes.wait()
         await trio.sleep(_COALESCE_DELAY_S)
-        self._changed = trio.Event()
-        refused, self._refused = self._refused, {}
-        return [OverloadUpdate(self._name, sorted(refused.items())[:_MAX_ENDPOINTS])]
+        self._has_changes = trio.Event()
+        rejected_tokens, self._rejected_tokens = self._rejected_tokens, {}
+        return [OverloadUpdate(self._name, sorted(rejected_tokens.items())[:_MAX_ENDPOINTS])]
 
     def repeated_messages(self) -> list[OverloadUpdate]:
         """Return no messages: a rejection is out of date within a second."""
--- a/cleatlink/relay/peers/peer_copier.py
+++ b/cleatlink/relay/peers/peer_copier.py
@@ -35,7 +35,7 @@
 
         Args:
             data_centre: Data centre of this instance.
-            hooks: Process what is copied.
+            hooks: Process the copied state.
             live_peers: The peers to copy from.
             metrics: Counters.
             rng: Randomises which peers the instances copy from.
@@ -46,18 +46,22 @@
         self._metrics = metrics
         self._rng = rng
 
-    def peers_with(self, has_missing: Callable[[HeartbeatMessage], bool]) -> list[HeartbeatMessage]:
+    def peers_with(
+        self, has_missing_state: Callable[[HeartbeatMessage], bool]
+    ) -> list[HeartbeatMessage]:
         """Return the heartbeats of peers that have the missing state, in order of preference.
 
         Peers of this data centre come first and leaving peers last.
 
         Args:
-            has_missing: Return whether a peer has the missing state, judged by its heartbeat.
+            has_missing_state: Return whether a peer has the missing state, judged by its heartbeat.
         """
-        found = [heartbeat for heartbeat in self._live_peers.heartbeats if has_missing(heartbeat)]
-        self._rng.shuffle(found)
+        candidates = [
+            heartbeat for heartbeat in self._live_peers.heartbeats if has_missing_state(heartbeat)
+        ]
+        self._rng.shuffle(candidates)
         return sorted(
-            found, key=lambda heartbeat: (heartbeat.leaving, not self.is_local(heartbeat))
+            candidates, key=lambda heartbeat: (heartbeat.leaving, not self.is_local(heartbeat))
         )
 
     def is_local(self, heartbeat: HeartbeatMessage) -> bool:
--- a/cleatlink/relay/peers/peer_copy_test.py
+++ b/cleatlink/relay/peers/peer_copy_test.py
@@ -40,12 +40,12 @@
         self._head = head + end
         self._parts = parts
         self._pause_s = pause_s
-        self._head_s = head_delay_s
+        self._head_delay_s = head_delay_s
 
     async def serve(self, call: RawCall, stream: trio.SocketStream) -> bool:
         """Send the response in parts."""
         self.requests.append(call)
-        await trio.sleep(self._head_s)
+        await trio.sleep(self._head_delay_s)
         await stream.send_all(self._head)
         size = max(1, -(-len(self._body) // self._parts))
         for begin in range(0, len(self._body), size):
--- a/cleatlink/relay/peers/plain_call_channel.py
+++ b/cleatlink/relay/peers/plain_call_channel.py
@@ -68,15 +68,15 @@
 
     def initial_messages(self) -> list[PlainCallTotals]:
         """Return the totals, as a base from which a new peer computes later increases."""
-        arrived = dict(list(self._reported_arrivals.items())[:_MAX_DEMANDS])
+        arrivals = dict(list(self._reported_arrivals.items())[:_MAX_DEMANDS])
         endpoints = dict(list(self._reported_endpoints.items())[:_MAX_ENDPOINTS])
-        if not arrived and not endpoints:
+        if not arrivals and not endpoints:
             return []
-        return [self._message(arrived, endpoints, [], trio.current_time())]
+        return [self._message(arrivals, endpoints, [], trio.current_time())]
 
     def _changes(self, now: float) -> PlainCallTotals | None:
         """Return the changes since the last messages, or None if there are none."""
-        arrived = {
+        arrivals = {
             key: count
             for key, count in self._load.arrival_totals.items()
             if self._reported_arrivals.get(key) != count
@@ -93,49 +93,49 @@
             for incarnation, item in totals.items()
             if reported.get(incarnation) != item
         }
-        returns = self._capacity.expected_plain_retries.take_unannounced(_MAX_RETURNS, now)
-        if not arrived and not endpoints and not returns:
+        retries = self._capacity.expected_plain_retries.take_unannounced(_MAX_RETURNS, now)
+        if not arrivals and not endpoints and not retries:
             return None
-        arrived = dict(list(arrived.items())[:_MAX_DEMANDS])
+        arrivals = dict(list(arrivals.items())[:_MAX_DEMANDS])
         endpoints = dict(list(endpoints.items())[:_MAX_ENDPOINTS])
         # Reported items move to the end, so that the other items come first when they change again.
-        for key, count in arrived.items():
+        for key, count in arrivals.items():
             self._reported_arrivals.pop(key, None)
             self._reported_arrivals[key] = count
         for incarnation, item in endpoints.items():
             reported.pop(incarnation, None)
             reported[incarnation] = item
-        return self._message(arrived, endpoints, returns, now)
+        return self._message(arrivals, endpoints, retries, now)
 
     def _message(
         self,
-        arrived: dict[DemandKey, int],
+        arrivals: dict[DemandKey, int],
         endpoints: dict[str, EndpointTotals],
-        returns: list[tuple[bytes, float]],
+        retries: list[tuple[bytes, float]],
         now: float,
     ) -> PlainCallTotals:
         return PlainCallTotals(
             self._name,
             self._incarnation,
             round(self._load.uptime_s(now), 3),
-            [(key.service, key.rank, count) for key, count in arrived.items()],
+            [(key.service, key.rank, count) for key, count in arrivals.items()],
             [
                 (incarnation, totals.ended, int(1000 * totals.busy_s), totals.refused)
                 for incarnation, totals in endpoints.items()
             ],
-            [(identity, round(left_s, 2)) for identity, left_s in returns],
+            [(identity, round(remaining_s, 2)) for identity, remaining_s in retries],
         )
 
     def record_totals(self, calls: PlainCallTotals) -> None:
         """Record the totals and the refused requests of a peer."""
         now = trio.current_time()
-        arrived = {DemandKey(service, rank): count for service, rank, count in calls.arrivals}
+        arrivals = {DemandKey(service, rank): count for service, rank, count in calls.arrivals}
         endpoints = {
             endpoint_incarnation: EndpointTotals(ended, busy_ms / 1000, refused)
             for endpoint_incarnation, ended, busy_ms, refused in calls.endpoint_totals
         }
         self._load.update_peer(
-            PeerCallTotals(calls.name, calls.incarnation, calls.age_s, arrived, endpoints), now
+            PeerCallTotals(calls.name, calls.incarnation, calls.age_s, arrivals, endpoints), now
         )
-        for identity, left_s in calls.expected_retries:
-            self._capacity.expected_plain_retries.note_refusal(identity, now + left_s)
+        for identity, remaining_s in calls.expected_retries:
+            self._capacity.expected_plain_retries.note_refusal(identity, now + remaining_s)
--- a/cleatlink/relay/peers/registration_channel.py
+++ b/cleatlink/relay/peers/registration_channel.py
@@ -36,13 +36,16 @@
         """True: each data centre has its own instances that watch the service."""
         return True
 
-    def report_change(self, after: StoreRevision, change: SourceChange, found_ago_s: float) -> None:
+    def report_change(
+        self, after: StoreRevision, change: SourceChange, reachable_for_s: float
+    ) -> None:
         """Queue messages about a change.
 
         Args:
             after: Revision up to which all changes were known before this change.
             change: The change. It is ignored if it is a whole list or belongs to another era.
-            found_ago_s: Seconds since the configuration service became reachable again.
+            reachable_for_s: Seconds since the configuration service became reachable for this
+                instance again.
         """
         revision = change.revision
         is_next = not change.is_full and revision.era == after.era and revision > after
@@ -55,9 +58,9 @@
         *earlier_parts, last_part = _split(records)
         known_revision = after.number
         for part in earlier_parts:
-            self._add(after.era, known_revision, part[-1].revision, part, found_ago_s)
+            self._add(after.era, known_revision, part[-1].revision, part, reachable_for_s)
             known_revision = part[-1].revision
-        self._add(after.era, known_revision, revision.number, last_part, found_ago_s)
+        self._add(after.era, known_revision, revision.number, last_part, reachable_for_s)
         self._has_pending.set()
 
     def _add(
@@ -66,10 +69,10 @@
         after: int,
         revision: int,
         records: list[RegistrationRecord],
-        found_ago_s: float,
+        reachable_for_s: float,
     ) -> None:
         message = RegistrationUpdate(
-            self._name, era, after, revision, records, round(found_ago_s, 3)
+            self._name, era, after, revision, records, round(reachable_for_s, 3)
         )
         self._pending.append(message)
 
--- a/cleatlink/relay/peers/shared_quarantine.py
+++ b/cleatlink/relay/peers/shared_quarantine.py
@@ -48,8 +48,8 @@
         self._name = name
         self._rng = rng
         self._quarantine = Quarantine()
-        self._changed: set[str] = set()
-        self._wake = trio.Event()
+        self._changed_incarnations: set[str] = set()
+        self._has_changes = trio.Event()
 
     @property
     def is_empty(self) -> bool:
@@ -64,19 +64,19 @@
     def quarantined_requests(self) -> list[QuarantinedRequest]:
         """Return the requests that are in quarantine now, with the evidence against them."""
         now = trio.current_time()
-        held_requests = []
-        for identity, blame in self._quarantine.evidence.attributions().items():
-            verdict = self._quarantine.decide(identity, now)
-            if verdict.is_quarantined:
-                held_requests.append(
+        quarantined = []
+        for identity, attribution in self._quarantine.evidence.attributions().items():
+            decision = self._quarantine.decide(identity, now)
+            if decision.is_quarantined:
+                quarantined.append(
                     QuarantinedRequest(
                         asks=identity.hex(),
-                        endpoints=list(blame.incarnations),
-                        last_ago_s=round(now - blame.last_crash_at, 1),
-                        for_s=round(verdict.retry_after_s, 1),
+                        endpoints=list(attribution.incarnations),
+                        last_ago_s=round(now - attribution.last_crash_at, 1),
+                        for_s=round(decision.retry_after_s, 1),
                     )
                 )
-        return held_requests
+        return quarantined
 
     def decide(self, identity: bytes) -> QuarantineDecision:
         """Decide whether a request may run."""
@@ -118,29 +118,29 @@
         before = self._quarantine.evidence.attributions()
         if not self._quarantine.add_report(report, now):
             return False
-        for identity, blame in self._quarantine.evidence.attributions().items():
+        for identity, attribution in self._quarantine.evidence.attributions().items():
             known = before.get(identity)
-            is_new = known is None or known.independent_crashes < blame.independent_crashes
-            if is_new and blame.independent_crashes >= CRASHES_TO_QUARANTINE:
+            is_new = known is None or known.independent_crashes < attribution.independent_crashes
+            if is_new and attribution.independent_crashes >= CRASHES_TO_QUARANTINE:
                 eliot.log_message(
                     message_type="quarantine: request held back after repeated crashes",
                     asks=identity.hex(),
-                    crashes=blame.independent_crashes,
-                    endpoints=blame.incarnations,
+                    crashes=attribution.independent_crashes,
+                    endpoints=attribution.incarnations,
                     for_s=round(self._quarantine.decide(identity, now).retry_after_s, 1),
                 )
         return True
 
     def _queue_update(self, *incarnations: str) -> None:
-        self._changed.update(incarnations)
-        self._wake.set()
+        self._changed_incarnations.update(incarnations)
+        self._has_changes.set()
 
     async def next_messages(self) -> list[CrashUpdate]:
         """Wait for new evidence and return the messages for all peers."""
-        await self._wake.wait()
+        await self._has_changes.wait()
         await trio.sleep(_GATHER_S)
-        self._wake = trio.Event()
-        changed, self._changed = self._changed, set()
+        self._has_changes = trio.Event()
+        changed, self._changed_incarnations = self._changed_incarnations, set()
         return self._messages(sorted(changed))
 
     def repeated_messages(self) -> list[CrashUpdate]:
--- a/cleatlink/relay/peers/wait_queue_channel.py
+++ b/cleatlink/relay/peers/wait_queue_channel.py
@@ -23,7 +23,7 @@
     """Channel for the streams that are queued for capacity at the instances."""
 
     def __init__(
-        self, name: str, incarnation: int, data_centre: str, waiting: SharedWaitQueues
+        self, name: str, incarnation: int, data_centre: str, wait_queues: SharedWaitQueues
     ) -> None:
         """Initialise the channel without pending updates.
 
@@ -31,19 +31,19 @@
             name: Name of this instance.
             incarnation: Start number of this instance; it grows with each start.
             data_centre: Data centre of this instance.
-            waiting: Queued streams of this instance and of its peers.
+            wait_queues: Queued streams of this instance and of its peers.
         """
         self._name = name
         self._incarnation = incarnation
         self._data_centre = data_centre
-        self._waiting = waiting
-        self._number = 0
+        self._wait_queues = wait_queues
+        self._last_message_number = 0
         self._has_reported_streams = False
-        self._changed = trio.Event()
-        waiting.set_change_listener(self._note_changed)
+        self._has_changes = trio.Event()
+        wait_queues.set_change_listener(self._note_changed)
 
     def _note_changed(self) -> None:
-        self._changed.set()
+        self._has_changes.set()
 
     async def next_messages(self) -> list[WaitQueueUpdate]:
         """Wait for updates and return the messages to send to every peer."""
@@ -51,10 +51,10 @@
         with trio.move_on_after(
             _REPORT_INTERVAL_S - _MIN_PAUSE_S if self._has_reported_streams else float("inf")
         ):
-            await self._changed.wait()
+            await self._has_changes.wait()
             await trio.sleep(_COALESCE_DELAY_S)
-        self._changed = trio.Event()
-        if not self._waiting.is_in_use:
+        self._has_changes = trio.Event()
+        if not self._wait_queues.is_in_use:
             return []
         message = self._message()
         if not message.groups and not self._has_reported_streams:
@@ -71,12 +71,13 @@
         return [self._message()] if self._has_reported_streams else []
 
     def _message(self) -> WaitQueueUpdate:
-        self._number += 1
+        self._last_message_number += 1
         items = [
-            WaitQueueItem.from_group(group) for group in self._waiting.local_groups()[:_MAX_GROUPS]
+            WaitQueueItem.from_group(group)
+            for group in self._wait_queues.local_groups()[:_MAX_GROUPS]
         ]
         return WaitQueueUpdate(
-            self._name, self._incarnation, self._number, self._data_centre, items
+            self._name, self._incarnation, self._last_message_number, self._data_centre, items
         )
 
     def record_queue(self, message: WaitQueueUpdate) -> None:
@@ -87,4 +88,4 @@
         report = WaitQueueReport(
             message.name, message.incarnation, message.number, message.data_centre, groups
         )
-        self._waiting.add_report(report, trio.current_time())
+        self._wait_queues.add_report(report, trio.current_time())
--- a/cleatlink/relay/peers/wait_queue_channel_test.py
+++ b/cleatlink/relay/peers/wait_queue_channel_test.py
@@ -16,9 +16,9 @@
 
 def create_channel(name: str, peers: int = 60) -> tuple[WaitQueueChannel, SharedWaitQueues]:
     """Return the channel of an instance and the queue state that it shares."""
-    waiting = SharedWaitQueues()
-    waiting.set_peer_count(peers)
-    return WaitQueueChannel(name, 1, "a", waiting), waiting
+    wait_queues = SharedWaitQueues()
+    wait_queues.set_peer_count(peers)
+    return WaitQueueChannel(name, 1, "a", wait_queues), wait_queues
 
 
 async def collect(channel: WaitQueueChannel, within_s: float) -> list[WaitQueueUpdate]:
@@ -33,44 +33,46 @@
 async def test_queued_streams_are_reported_repeatedly_until_the_queue_is_empty(
     autojump_clock: object,
 ) -> None:
-    channel, waiting = create_channel("n1")
+    channel, wait_queues = create_channel("n1")
     groups = [GROUP]
-    waiting.set_local_source(lambda: tuple(groups))
-    waiting.notify_change()
+    wait_queues.set_local_source(lambda: tuple(groups))
+    wait_queues.notify_change()
     first = await collect(channel, 2.0)
     assert 3 <= len(first) <= 5
     assert all(message.groups for message in first)
     groups.clear()
-    waiting.notify_change()
+    wait_queues.notify_change()
     last = await collect(channel, 2.0)
     assert [message.groups for message in last] == [[]]
 
 
 async def test_no_messages_while_no_streams_are_queued(autojump_clock: object) -> None:
-    channel, waiting = create_channel("n1")
-    waiting.notify_change()
+    channel, wait_queues = create_channel("n1")
+    wait_queues.notify_change()
     assert await collect(channel, 5.0) == []
 
 
 async def test_small_group_sends_no_messages(autojump_clock: object) -> None:
-    channel, waiting = create_channel("n1", peers=16)
-    waiting.set_local_source(lambda: (GROUP,))
-    waiting.notify_change()
+    channel, wait_queues = create_channel("n1", peers=16)
+    wait_queues.set_local_source(lambda: (GROUP,))
+    wait_queues.notify_change()
     assert await collect(channel, 5.0) == []
 
 
 async def test_peer_counts_reported_streams_as_queued_ahead(autojump_clock: object) -> None:
-    channel, waiting = create_channel("n1")
-    peer, peer_waiting = create_channel("n2")
-    waiting.set_local_source(lambda: (GROUP,) * 20)
-    waiting.notify_change()
+    channel, wait_queues = create_channel("n1")
+    peer, peer_wait_queues = create_channel("n2")
+    wait_queues.set_local_source(lambda: (GROUP,) * 20)
+    wait_queues.notify_change()
     message = (await collect(channel, 0.3))[0]
     data = encode(message)
     assert len(data) < 400
     decoded = decode_datagram(data)
     assert isinstance(decoded, WaitQueueUpdate)
     peer.record_queue(decoded)
-    claim = QueuedStream("s", 1e9, False)
-    assert peer_waiting.queued_ahead(claim, trio.current_time()) == QueuedAhead(16, 3000)
+    queued_stream = QueuedStream("s", 1e9, False)
+    assert peer_wait_queues.queued_ahead(queued_stream, trio.current_time()) == QueuedAhead(
+        16, 3000
+    )
     channel.record_queue(decoded)
-    assert waiting.queued_ahead(claim, trio.current_time()).streams == 0
+    assert wait_queues.queued_ahead(queued_stream, trio.current_time()).streams == 0
--- a/cleatlink/relay/peers/wait_queue_messages.py
+++ b/cleatlink/relay/peers/wait_queue_messages.py
@@ -38,9 +38,9 @@
     @classmethod
     def from_group(cls, group: WaitingGroup) -> "WaitQueueItem":
         """Build an item from a group of queued streams."""
-        spare_s = round(min(_MAX_SLACK_S, group.slack_s), 2)
+        slack_s = round(min(_MAX_SLACK_S, group.slack_s), 2)
         oldest_s = round(group.oldest_s, 2)
-        return cls(*group._replace(oldest_s=oldest_s, slack_s=spare_s))
+        return cls(*group._replace(oldest_s=oldest_s, slack_s=slack_s))
 
     def to_group(self) -> WaitingGroup:
         """Return the item as a group of queued streams."""
--- a/cleatlink/relay/peers/work_messages.py
+++ b/cleatlink/relay/peers/work_messages.py
@@ -40,14 +40,14 @@
     @classmethod
     def from_reservation(cls, key: str, work: Reservation, now: float) -> "WorkItem":
         """Build an item from a reservation."""
-        left_s = round(work.ends_at - now, 3)
+        remaining_s = round(work.ends_at - now, 3)
         duration_s = round(work.duration_s, 3)
         return cls(
             key,
             work.endpoint,
             work.role.value,
             work.tokens,
-            left_s,
+            remaining_s,
             duration_s,
             work.growth_tokens,
             work.suspicion,
--- a/cleatlink/relay/peers/work_updates.py
+++ b/cleatlink/relay/peers/work_updates.py
@@ -34,21 +34,21 @@
         # Data centres of the endpoints on which this instance has placed work, by key of the work.
         self._work_data_centres: dict[str, str] = {}
         # Data centres that did not receive some change, and the time of each one's last list.
-        self._incomplete: set[str] = set()
+        self._incomplete_data_centres: set[str] = set()
         self._listed_at: dict[str, float] = {}
         # Data centres whose last list had no work; they get no further lists until a change.
-        self._listed_empty: set[str] = set()
-        self._number = 0
+        self._listed_as_empty: set[str] = set()
+        self._last_message_number = 0
 
     def changes_by_data_centre(
-        self, changed: Iterable[str], data_centres: Collection[str], peers: int, now: float
+        self, changed: Iterable[str], data_centres: Collection[str], peer_count: int, now: float
     ) -> dict[str, WorkChanges]:
         """Return the changes that peers receive at once, by the data centre of the peers.
 
         Args:
             changed: Keys of this instance's work that was placed or has ended.
             data_centres: Data centres that have peers.
-            peers: Number of peers.
+            peer_count: Number of peers.
             now: Current time.
         """
         own = self._capacity.own_reservations
@@ -58,19 +58,19 @@
                 self._work_data_centres[key] = self._endpoint_data_centre(own[key])
         messages = {}
         for data_centre in data_centres:
-            immediate = [key for key in keys if self._is_immediate(key, data_centre, peers)]
+            immediate = [key for key in keys if self._is_immediate(key, data_centre, peer_count)]
             placed = [
                 WorkItem.from_reservation(key, own[key], now) for key in immediate if key in own
             ]
-            over = [key for key in immediate if key not in own]
+            ended = [key for key in immediate if key not in own]
             if immediate:
-                number = self._next_number()
+                number = self._next_message_number()
                 messages[data_centre] = WorkChanges(
-                    self._name, self._incarnation, placed, over, number
+                    self._name, self._incarnation, placed, ended, number
                 )
-                self._listed_empty.discard(data_centre)
+                self._listed_as_empty.discard(data_centre)
             if len(immediate) < len(keys):
-                self._incomplete.add(data_centre)
+                self._incomplete_data_centres.add(data_centre)
         for key in keys:
             if key not in own:
                 self._work_data_centres.pop(key, None)
@@ -87,7 +87,9 @@
 
     def work_list(self, now: float) -> WorkList:
         """Return a message with all work of this instance that is reported to peers."""
-        return WorkList(self._name, self._incarnation, self.work_items(now), self._next_number())
+        return WorkList(
+            self._name, self._incarnation, self.work_items(now), self._next_message_number()
+        )
 
     def take_due_data_centres(self, data_centres: Collection[str], now: float) -> set[str]:
         """Return the data centres that are due for a list of all work, and mark it as sent.
@@ -100,26 +102,26 @@
             item.role is not Role.PLAIN for item in self._capacity.own_reservations.values()
         )
         for data_centre in due:
-            self._incomplete.discard(data_centre)
+            self._incomplete_data_centres.discard(data_centre)
             self._listed_at[data_centre] = now
             if has_work:
-                self._listed_empty.discard(data_centre)
+                self._listed_as_empty.discard(data_centre)
             else:
-                self._listed_empty.add(data_centre)
+                self._listed_as_empty.add(data_centre)
         return due
 
     def _is_due(self, data_centre: str, now: float) -> bool:
-        if data_centre in self._incomplete:
+        if data_centre in self._incomplete_data_centres:
             return True
         interval_is_over = now - self._listed_at.get(data_centre, -math.inf) >= _LIST_INTERVAL_S
-        return interval_is_over and data_centre not in self._listed_empty
+        return interval_is_over and data_centre not in self._listed_as_empty
 
-    def _next_number(self) -> int:
-        self._number += 1
-        return self._number
+    def _next_message_number(self) -> int:
+        self._last_message_number += 1
+        return self._last_message_number
 
-    def _is_immediate(self, key: str, data_centre: str, peers: int) -> bool:
-        if peers <= MAX_DIRECT_PEERS or data_centre == self._data_centre:
+    def _is_immediate(self, key: str, data_centre: str, peer_count: int) -> bool:
+        if peer_count <= MAX_DIRECT_PEERS or data_centre == self._data_centre:
             return True
         return self._work_data_centres.get(key) == data_centre
 
--- a/cleatlink/relay/peers/work_updates_test.py
+++ b/cleatlink/relay/peers/work_updates_test.py
@@ -23,7 +23,7 @@
     return Reservation(endpoint, Role.DECODE, 100, 5.0, 5.0)
 
 
-def test_all_peers_receive_all_changes_in_a_small_group() -> None:
+def test_small_group_reports_all_changes_to_all_data_centres() -> None:
     capacity = create_capacity()
     updates = WorkUpdates("n", 1, "a", capacity)
     capacity.reserve("k", decode_work("e-a"))
