--- a/cleatlink/relay/calls/decode_admission.py
+++ b/cleatlink/relay/calls/decode_admission.py
@@ -601,7 +601,7 @@
             max(_MIN_RETRY_DELAY_S, retry_s), call.route.max_retry_after_share * call.remaining_s
         )
         if not position.refused_ago_s and self._components.capacity.switches.is_enabled(
-            Mechanism.RETURNS
+            Mechanism.EXPECTED_RETRIES
         ):
             self._expect_retry(call, retry_s)
         kind = ErrorKind.NO_ENDPOINT if expected_wait_s is None else ErrorKind.NO_ROOM
--- a/cleatlink/relay/calls/plain.py
+++ b/cleatlink/relay/calls/plain.py
@@ -196,7 +196,7 @@
         endpoint may still answer.
         """
         call = self._call
-        is_enabled = self._components.capacity.switches.is_enabled(Mechanism.PATIENCE)
+        is_enabled = self._components.capacity.switches.is_enabled(Mechanism.RETRY_AFTER_SILENCE)
         if not call.repeatable or not is_enabled:
             return
         while True:
--- a/cleatlink/relay/calls/stream_test.py
+++ b/cleatlink/relay/calls/stream_test.py
@@ -327,7 +327,7 @@
         prefill, decode, _ = engines()
         decode.events, decode.event_s = 70, 0.05
         await start(fleet, prefill, decode)
-        fleet.start_instance("a", Mechanism.RETURNS)
+        fleet.start_instance("a", Mechanism.EXPECTED_RETRIES)
         for route in fleet.routes:
             route["timeout_ms"] = 9000
         version = fleet.configure({"kv_cache_tokens": 150})
--- a/cleatlink/relay/peers/delivery.py
+++ b/cleatlink/relay/peers/delivery.py
@@ -135,7 +135,7 @@
                 direct_addresses += self._peers.addresses_with_bundle_support(data_centre)
             for name in names:
                 if name == self._name:
-                    self._hold(item, now)
+                    self._queue_item(item, now)
                     continue
                 address = self._peers.address(name)
                 if address is not None:
@@ -170,7 +170,7 @@
     def accept_item(self, item: BundleItem, forward: bool, now: float) -> bool:
         """Accept an item of a bundle and return whether it was not received before."""
         if forward:
-            self._hold(item, now)
+            self._queue_item(item, now)
         return self._duplicates.record_if_new(item.origin, item.incarnation, item.number)
 
     async def run(self) -> None:
@@ -185,7 +185,7 @@
                 for bundle in self._forwarding_queue.take_bundles(now):
                     self._socket.send(bundle, addresses)
 
-    def _hold(self, item: BundleItem, now: float) -> None:
+    def _queue_item(self, item: BundleItem, now: float) -> None:
         dropped_before = self._forwarding_queue.dropped_count
         if self._forwarding_queue.add(item, now):
             self._due_time_changed.set()
--- a/cleatlink/relay/peers/endpoint_hints.py
+++ b/cleatlink/relay/peers/endpoint_hints.py
@@ -12,7 +12,7 @@
 # Interval between announcements of the same endpoint and kind, in seconds.
 _ANNOUNCEMENT_INTERVAL_S = 0.4
 # Maximum time between the reports of different instances that count together, in seconds.
-_UNREACHED_WINDOW_S = 1.0
+_UNREACHABLE_WINDOW_S = 1.0
 _SLOW_WINDOW_S = 3.0
 
 
@@ -29,7 +29,7 @@
     def __init__(self, capacity: Capacity) -> None:
         self._capacity = capacity
         self._quorums = {
-            HintKind.UNREACHABLE: ReportQuorum(_UNREACHED_WINDOW_S),
+            HintKind.UNREACHABLE: ReportQuorum(_UNREACHABLE_WINDOW_S),
             HintKind.SLOW: ReportQuorum(_SLOW_WINDOW_S),
         }
         self._announced_at: dict[_Announcement, float] = {}
--- a/cleatlink/relay/peers/endpoint_limit_channel.py
+++ b/cleatlink/relay/peers/endpoint_limit_channel.py
@@ -38,7 +38,7 @@
         self._limits = limits
         self._changed_incarnations: set[str] = set()
         self._has_changes = trio.Event()
-        limits.set_change_callback(self._note_usage)
+        limits.set_unit_listener(self._note_usage)
 
     def _note_usage(self) -> None:
         self._has_changes.set()
--- a/cleatlink/relay/peers/endpoint_notice_channel.py
+++ b/cleatlink/relay/peers/endpoint_notice_channel.py
@@ -23,10 +23,10 @@
 _MAX_INCARNATIONS = 200
 # A back-off that peers know is sent again only if it ends later by at least this many seconds:
 # an endpoint that rejects all requests names a time in each answer.
-_MIN_EXTENSION_S = 0.5
+_MIN_REPORTED_EXTENSION_S = 0.5
 # An instance extends a back-off reported by a peer by a random part, up to this share of the time
 # left: otherwise all instances would retry at the same moment.
-_MAX_RANDOM_SHARE = 0.5
+_MAX_RANDOM_EXTENSION_SHARE = 0.5
 
 
 class EndpointNoticeChannel(UpdateChannel):
@@ -56,7 +56,7 @@
     def report_backoff(self, incarnation: str) -> None:
         """Queue an endpoint's back-off for peers, unless they know one that lasts as long."""
         until = self._notices.backoff_until(incarnation)
-        if until - self._reported_until.get(incarnation, 0.0) < _MIN_EXTENSION_S:
+        if until - self._reported_until.get(incarnation, 0.0) < _MIN_REPORTED_EXTENSION_S:
             return
         self._mark_reported(incarnation, until, trio.current_time())
         self._pending_backoffs.add(incarnation)
@@ -128,5 +128,5 @@
         self._mark_reported(
             incarnation, max(self._reported_until.get(incarnation, 0.0), now + remaining_s), now
         )
-        until = now + remaining_s * (1 + _MAX_RANDOM_SHARE * self._rng.random())
+        until = now + remaining_s * (1 + _MAX_RANDOM_EXTENSION_SHARE * self._rng.random())
         self._notices.note_peer_backoff(incarnation, until, now)
--- a/cleatlink/relay/peers/endpoint_speed_channel.py
+++ b/cleatlink/relay/peers/endpoint_speed_channel.py
@@ -55,7 +55,7 @@
         self._newest_received: dict[str, tuple[int, int]] = {}
         self._logged_speeds: dict[str, float] = {}
         self._has_changes = trio.Event()
-        speeds.set_listener(self._note_changed)
+        speeds.set_sample_listener(self._note_changed)
 
     def _note_changed(self) -> None:
         self._has_changes.set()
--- a/cleatlink/relay/peers/group.py
+++ b/cleatlink/relay/peers/group.py
@@ -101,7 +101,7 @@
 # ages alike; the cap keeps consecutive heartbeats identical.
 _MAX_REPORTED_AGE_S = 10
 # Interval between checks of the share of instances that send heartbeats, in seconds.
-_HEARD_SHARE_CHECK_INTERVAL_S = 0.2
+_REACHABLE_SHARE_CHECK_INTERVAL_S = 0.2
 
 
 class _WorkSequence(NamedTuple):
@@ -489,7 +489,7 @@
         while True:
             for message in await self._socket.receive():
                 self._handle_message(message, 0.0)
-            self._check_heard_share()
+            self._check_reachable_share()
             if self._has_peer_work_changed:
                 self._has_peer_work_changed = False
                 self._hooks.on_work_change()
@@ -511,7 +511,7 @@
             RegistrationUpdate: self._handle_registration_update,
             OrganisationUsage: self._handle_organisation_usage,
             WorkList: self._handle_work_list,
-            WaitQueueUpdate: self._handle_waiting_update,
+            WaitQueueUpdate: self._handle_wait_queue_update,
         }
 
     def _handle_plain_calls(self, update: PlainCallTotals) -> None:
@@ -557,7 +557,7 @@
         self._metrics.count_peer_message("source")
         self._hooks.on_registration_update(update)
 
-    def _handle_waiting_update(self, update: WaitQueueUpdate) -> None:
+    def _handle_wait_queue_update(self, update: WaitQueueUpdate) -> None:
         self._metrics.count_peer_message("waiting")
         self._wait_queue_channel.record_queue(update)
 
@@ -565,10 +565,10 @@
         self._metrics.count_peer_message("spending")
         self._organisation_usage_channel.record_usage(update, trio.current_time())
 
-    def _check_heard_share(self) -> None:
+    def _check_reachable_share(self) -> None:
         """Periodically adjust the limits to the share of instances that send heartbeats."""
         now = trio.current_time()
-        if now - self._reachable_share_checked_at >= _HEARD_SHARE_CHECK_INTERVAL_S:
+        if now - self._reachable_share_checked_at >= _REACHABLE_SHARE_CHECK_INTERVAL_S:
             self._reachable_share_checked_at = now
             self._organisation_usage_channel.update_reachable_share(now)
 
@@ -637,7 +637,7 @@
         for endpoint, left_s in heartbeat.switching_endpoints.items():
             self._capacity.note_role_change(endpoint, now - age_s + left_s)
         if not heartbeat.work_apart and (
-            heartbeat.work or self._capacity.has_reservations(heartbeat.name)
+            heartbeat.work or self._capacity.has_peer_reservations(heartbeat.name)
         ):
             self._replace_peer_work(heartbeat.name, heartbeat.work, now)
         self._catch_up.handle_heartbeat(heartbeat, self._spawn)
@@ -664,7 +664,7 @@
         work = {item.key: item.to_reservation(now) for item in items}
         for key, item in work.items():
             self._report_new_placement(peer, key, item)
-        self._capacity.peer_replace(peer, work)
+        self._capacity.replace_peer_reservations(peer, work)
         self._has_peer_work_changed = True
 
     def _send_introduction(self, heartbeat: HeartbeatMessage) -> None:
@@ -721,13 +721,13 @@
         for item in changes.placed:
             work = item.to_reservation(now)
             self._report_new_placement(changes.name, item.key, work)
-            self._capacity.peer_reserve(changes.name, item.key, work)
+            self._capacity.add_peer_reservation(changes.name, item.key, work)
         for key in changes.ended:
-            self._capacity.peer_release(changes.name, key)
+            self._capacity.remove_peer_reservation(changes.name, key)
         self._has_peer_work_changed = self._has_peer_work_changed or bool(changes.ended)
 
     def _report_new_placement(self, peer: str, key: str, item: Reservation) -> None:
-        if not self._capacity.has_reservation(peer, key):
+        if not self._capacity.has_peer_reservation(peer, key):
             self._hooks.on_placement(item)
 
 
--- a/cleatlink/relay/peers/group_test.py
+++ b/cleatlink/relay/peers/group_test.py
@@ -172,7 +172,7 @@
                 await listener.send(group.listen, message)
                 await trio.sleep(0.05)
             assert len(work_changes) == 2
-            assert not group._capacity.has_reservations("n2")
+            assert not group._capacity.has_peer_reservations("n2")
             nursery.cancel_scope.cancel()
 
 
--- a/cleatlink/relay/peers/large_fleet_test.py
+++ b/cleatlink/relay/peers/large_fleet_test.py
@@ -351,7 +351,7 @@
             await fleet.start(FLEET_SIZE)
             reserve_work(fleet.instances[1], "k", "e-b")
             await trio.sleep(1.1)
-            assert old.capacity.has_reservation(fleet.instances[1].name, "k")
+            assert old.capacity.has_peer_reservation(fleet.instances[1].name, "k")
             assert not old.group._delivery.uses_reflectors
             await fleet.assert_connected(fleet.instances, 10.0)
 
@@ -399,7 +399,7 @@
             item = WorkItem.from_reservation("k", work, trio.current_time())
             recipient.group._handle_message(WorkChanges(origin.name, 1, [], ["k"], 1_000), 0.0)
             recipient.group._handle_message(WorkChanges(origin.name, 1, [item], [], 999), 0.0)
-            assert not recipient.capacity.has_reservation(origin.name, "k")
+            assert not recipient.capacity.has_peer_reservation(origin.name, "k")
 
     async def test_messages_of_a_restarted_instance_are_accepted_at_once(
         self, monkeypatch: pytest.MonkeyPatch, autojump_clock: MockClock
@@ -421,8 +421,8 @@
             )
             recipient.group._handle_message(heartbeat, 0.0)
             recipient.group._handle_message(WorkChanges(origin.name, 2, [after], [], 1), 0.0)
-            assert not recipient.capacity.has_reservation(origin.name, "before")
-            assert recipient.capacity.has_reservation(origin.name, "after")
+            assert not recipient.capacity.has_peer_reservation(origin.name, "before")
+            assert recipient.capacity.has_peer_reservation(origin.name, "after")
 
     async def test_unreachable_endpoint_hint_is_not_sent_to_other_data_centres(
         self, monkeypatch: pytest.MonkeyPatch, autojump_clock: MockClock
@@ -476,7 +476,7 @@
     """Return the data centres in which all instances but the origin know some work."""
     known = {item.data_centre for item in fleet.all_except(origin)}
     for item in fleet.all_except(origin):
-        if not item.capacity.has_reservation(origin.name, key):
+        if not item.capacity.has_peer_reservation(origin.name, key):
             known.discard(item.data_centre)
     return known
 
--- a/cleatlink/relay/peers/plain_call_channel.py
+++ b/cleatlink/relay/peers/plain_call_channel.py
@@ -25,7 +25,7 @@
 # other items are sent in the next messages.
 _MAX_DEMANDS = 6
 _MAX_ENDPOINTS = 8
-_MAX_RETURNS = 6
+_MAX_EXPECTED_RETRIES = 6
 
 
 class PlainCallChannel(UpdateChannel):
@@ -93,7 +93,7 @@
             for incarnation, item in totals.items()
             if reported.get(incarnation) != item
         }
-        retries = self._capacity.expected_plain_retries.take_unannounced(_MAX_RETURNS, now)
+        retries = self._capacity.expected_plain_retries.take_unannounced(_MAX_EXPECTED_RETRIES, now)
         if not arrivals and not endpoints and not retries:
             return None
         arrivals = dict(list(arrivals.items())[:_MAX_DEMANDS])
--- a/cleatlink/relay/peers/shared_quarantine.py
+++ b/cleatlink/relay/peers/shared_quarantine.py
@@ -31,8 +31,8 @@
 _MAX_CRASHES_PER_MESSAGE = 16
 # Number of crashes that a heartbeat repeats: the newest, which a peer may have missed, and some
 # others chosen at random.
-_NEWEST_REPEATED = 4
-_OTHERS_REPEATED = 4
+_MAX_NEWEST_REPEATED = 4
+_MAX_OTHERS_REPEATED = 4
 
 
 class SharedQuarantine(UpdateChannel):
@@ -146,8 +146,8 @@
     def repeated_messages(self) -> list[CrashUpdate]:
         """Return the evidence that a heartbeat repeats to a few peers."""
         incarnations = self._quarantine.evidence.crashed_incarnations()
-        newest, others = incarnations[:_NEWEST_REPEATED], incarnations[_NEWEST_REPEATED:]
-        chosen = self._rng.sample(others, min(_OTHERS_REPEATED, len(others)))
+        newest, others = incarnations[:_MAX_NEWEST_REPEATED], incarnations[_MAX_NEWEST_REPEATED:]
+        chosen = self._rng.sample(others, min(_MAX_OTHERS_REPEATED, len(others)))
         return self._messages(newest + chosen) if incarnations else []
 
     def initial_messages(self) -> list[CrashUpdate]:
--- a/cleatlink/relay/role_controller.py
+++ b/cleatlink/relay/role_controller.py
@@ -108,7 +108,7 @@
                 if leads:
                     self._renew_fence()
                     self._target_roles.clear()
-            if leads and self._capacity.switches.is_enabled(Mechanism.ROLE_SHIFTS):
+            if leads and self._capacity.switches.is_enabled(Mechanism.ROLE_CHANGES):
                 await self._plan_all()
 
     def _renew_fence(self) -> None:
@@ -148,7 +148,7 @@
         target_roles = {name: self._target_roles[name] for name in changing}
         work = {endpoint.name: self._work_left_s(endpoint, now) for endpoint in endpoints}
         demand = capacity.demand(service, traits, _latency_targets(service, table), now)
-        requires_stability = capacity.switches.is_enabled(Mechanism.SHIFT_PATIENCE)
+        requires_stability = capacity.switches.is_enabled(Mechanism.ROLE_CHANGE_DELAY)
         settled = not requires_stability or watch.is_stable(traits.role_switch_s, now)
         change_s = traits.role_switch_s
         planned = plan_role_changes(
--- a/cleatlink/routing/endpoint_limits.py
+++ b/cleatlink/routing/endpoint_limits.py
@@ -68,7 +68,7 @@
         self._reserved_keys: dict[str, dict[str, None]] = {}
         self._on_units_changed: Callable[[], None] = _ignore
 
-    def set_change_callback(self, on_units_changed: Callable[[], None]) -> None:
+    def set_unit_listener(self, on_units_changed: Callable[[], None]) -> None:
         """Set the callback that runs when units are taken or returned, to inform peers at once."""
         self._on_units_changed = on_units_changed
 
--- a/cleatlink/routing/endpoint_limits_test.py
+++ b/cleatlink/routing/endpoint_limits_test.py
@@ -69,7 +69,7 @@
 
 def test_callback_runs_for_each_unit_taken_or_returned() -> None:
     limits, changes = limits_with(2.0), []
-    limits.set_change_callback(lambda: changes.append(True))
+    limits.set_unit_listener(lambda: changes.append(True))
     limits.reserve("a", INCARNATION, 10.0)
     limits.cancel_reservation("a", 10.0)
     limits.count_sent_call(INCARNATION, 10.0)
@@ -201,7 +201,7 @@
         def mark_changed() -> None:
             self.has_changes[number] = True
 
-        self.instances[number].set_change_callback(mark_changed)
+        self.instances[number].set_unit_listener(mark_changed)
 
     def announced_rate(self, now: float) -> float:
         """Return the limit that the endpoint announces."""
--- a/cleatlink/routing/endpoint_speeds.py
+++ b/cleatlink/routing/endpoint_speeds.py
@@ -112,7 +112,7 @@
         self._changed: dict[str, None] = {}
         self._on_changed: Callable[[], None] = _ignore
 
-    def set_listener(self, on_changed: Callable[[], None]) -> None:
+    def set_sample_listener(self, on_changed: Callable[[], None]) -> None:
         """Set the function that is called after each measurement of this instance."""
         self._on_changed = on_changed
 
--- a/cleatlink/routing/expected_retries_test.py
+++ b/cleatlink/routing/expected_retries_test.py
@@ -24,7 +24,7 @@
 def test_peers_recognise_a_retry() -> None:
     sending, receiving = Capacity(), Capacity()
     key = ExpectedRetries(sending).expect_retry(inbound(), "s", 500, retry_at=3.0, now=1.0)
-    receiving.peer_reserve("p", key, sending.own_reservations[key])
+    receiving.add_peer_reservation("p", key, sending.own_reservations[key])
     assert ExpectedRetries(receiving).match_retry(inbound(), 3.0) is not None
 
 
--- a/cleatlink/routing/forecast_test.py
+++ b/cleatlink/routing/forecast_test.py
@@ -27,8 +27,8 @@
 def test_stream_gets_the_endpoint_that_first_frees_enough_memory() -> None:
     capacity = capacity_of("x", "y")
     capacity.reserve("1", Reservation("x", Role.DECODE, 700, 5.0))
-    capacity.peer_reserve("p", "2", Reservation("y", Role.DECODE, 400, 3.0))
-    capacity.peer_reserve("p", "3", Reservation("y", Role.DECODE, 400, 7.0))
+    capacity.add_peer_reservation("p", "2", Reservation("y", Role.DECODE, 400, 3.0))
+    capacity.add_peer_reservation("p", "3", Reservation("y", Role.DECODE, 400, 7.0))
     assert wait_s(capacity, 300) == 0.0
     # The first stream to end frees too little memory for this one, the second frees enough.
     assert wait_s(capacity, 600) == 2.0
--- a/cleatlink/routing/mechanisms.py
+++ b/cleatlink/routing/mechanisms.py
@@ -22,13 +22,13 @@
     # Refuse a stream as soon as the forecast says that it would be late. Off: all streams wait.
     FORECAST = "forecast"
     # Recognise the retries of refused callers, and queue them by the time of the refusal.
-    RETURNS = "returns"
+    EXPECTED_RETRIES = "returns"
     # Let decodes compute prompts when every prefill is too busy.
     SHARED_PROMPTS = "shared-prompts"
     # Change the roles of engines between prefill and decode as demand moves.
-    ROLE_SHIFTS = "role-shifts"
+    ROLE_CHANGES = "role-shifts"
     # Delay role changes while a lost endpoint may return.
-    SHIFT_PATIENCE = "shift-patience"
+    ROLE_CHANGE_DELAY = "shift-patience"
     # Reserve capacity at the decode before the prompt is computed.
     HOLDS = "holds"
     # Avoid endpoints that peers reported as slow or unreachable.
@@ -43,7 +43,7 @@
     # In large fleets, let some instances forward messages. Off: send messages to each instance.
     REFLECTORS = "reflectors"
     # Send a safe call to another endpoint when the first one does not respond in time.
-    PATIENCE = "patience"
+    RETRY_AFTER_SILENCE = "patience"
     # Leave capacity for streams that wait at other instances and are ahead in the order.
     SHARED_WAITING = "shared-waiting"
     # In large fleets, choose the better of two random endpoints instead of the apparent best.
--- a/cleatlink/routing/notices.py
+++ b/cleatlink/routing/notices.py
@@ -13,7 +13,7 @@
 
 # How long a leaving notice is kept after its last report, in seconds: many times as long as a
 # leaving endpoint still serves, and as a copy of the registrations can lag behind.
-_LEAVING_KEPT_S = 600.0
+_LEAVING_RETENTION_S = 600.0
 # Number of calls that may be in progress at an endpoint right after a back-off. It is doubled with
 # each answer, and the limit ends beyond _MAX_TRIAL_CALLS, the number of connections that are kept
 # open. Without the limit all callers would call at once and be refused again.
@@ -158,7 +158,7 @@
         self._leaving = {
             incarnation: leaving
             for incarnation, leaving in self._leaving.items()
-            if now - leaving.reported_at < _LEAVING_KEPT_S
+            if now - leaving.reported_at < _LEAVING_RETENTION_S
         }
         self._backoffs = {
             incarnation: backoff
--- a/cleatlink/routing/rejection_bounds_test.py
+++ b/cleatlink/routing/rejection_bounds_test.py
@@ -46,7 +46,7 @@
     def count_attempts(without: frozenset[Mechanism]) -> int:
         instances = [capacity_with("e1", without=without) for _ in range(82)]
         for instance in instances:
-            instance.peer_reserve("p", "k", Reservation("e1", Role.DECODE, 20_000, 9.0, 9.0))
+            instance.add_peer_reservation("p", "k", Reservation("e1", Role.DECODE, 20_000, 9.0, 9.0))
         count = 0
         for step in range(82):
             now = 1.0 + step * 0.01
@@ -65,12 +65,12 @@
 def test_engine_is_tried_again_after_work_ends_or_the_bound_expires() -> None:
     capacity = capacity_with("e1")
     for key in ("k1", "k2", "k3"):
-        capacity.peer_reserve("p", key, Reservation("e1", Role.DECODE, 4_200, 9.0, 9.0))
+        capacity.add_peer_reservation("p", key, Reservation("e1", Role.DECODE, 4_200, 9.0, 9.0))
     capacity.note_memory_refusal("e1", 4_200, 1.0)
     assert place(capacity, 1.1) is None
-    capacity.peer_release("p", "k1")
+    capacity.remove_peer_reservation("p", "k1")
     assert place(capacity, 1.1) is not None
-    capacity.peer_reserve("p", "k1", Reservation("e1", Role.DECODE, 4_200, 9.0, 9.0))
+    capacity.add_peer_reservation("p", "k1", Reservation("e1", Role.DECODE, 4_200, 9.0, 9.0))
     assert place(capacity, 1.1) is None
     assert place(capacity, 2.1) is not None
 
@@ -78,7 +78,7 @@
 def test_rejection_does_not_block_other_engines_or_smaller_streams() -> None:
     capacity = capacity_with("e1", "e2")
     for name in ("e1", "e2"):
-        capacity.peer_reserve("p", name, Reservation(name, Role.DECODE, 4_200, 9.0, 9.0))
+        capacity.add_peer_reservation("p", name, Reservation(name, Role.DECODE, 4_200, 9.0, 9.0))
     capacity.note_memory_refusal("e1", 4_200, 1.0)
     chosen = place(capacity, 1.1)
     assert chosen is not None
@@ -94,7 +94,7 @@
 
 def test_accepted_stream_that_reaches_the_bound_removes_it() -> None:
     capacity = capacity_with("e1")
-    capacity.peer_reserve("p", "k", Reservation("e1", Role.DECODE, 4_200, 9.0, 9.0))
+    capacity.add_peer_reservation("p", "k", Reservation("e1", Role.DECODE, 4_200, 9.0, 9.0))
     capacity.note_memory_refusal("e1", 4_200, 1.0)
     assert place(capacity, 1.1) is None
     capacity.reserve("k", Reservation("e1", Role.DECODE, 4_200, 9.0, 9.0))
--- a/cleatlink/routing/relay_routing_test.py
+++ b/cleatlink/routing/relay_routing_test.py
@@ -119,11 +119,11 @@
     capacity.set_endpoint(make_endpoint("x"))
     capacity.set_endpoint(make_endpoint("y"))
     capacity.reserve("1", Reservation("x", Role.DECODE, 700, 5.0))
-    capacity.peer_reserve("p", "2", Reservation("y", Role.DECODE, 400, 6.0))
+    capacity.add_peer_reservation("p", "2", Reservation("y", Role.DECODE, 400, 6.0))
     chosen = choose_decode("s", make_size(400), TRAITS, capacity, make_context())
     assert chosen is not None
     assert chosen.name == "y"
-    capacity.peer_reserve("p", "3", Reservation("y", Role.DECODE, 400, 7.0))
+    capacity.add_peer_reservation("p", "3", Reservation("y", Role.DECODE, 400, 7.0))
     assert choose_decode("s", make_size(600), TRAITS, capacity, make_context()) is None
     capacity.remove_peer("p")
     chosen = choose_decode("s", make_size(600), TRAITS, capacity, make_context())
--- a/cleatlink/routing/reservation_test.py
+++ b/cleatlink/routing/reservation_test.py
@@ -45,12 +45,12 @@
         if data.draw(st.booleans()):
             workload.reserve(key, item)
         else:
-            workload.peer_reserve("p", key, item)
+            workload.add_peer_reservation("p", key, item)
         placed[key] = item
         released = data.draw(st.sampled_from(sorted(placed)))
         if data.draw(st.booleans()):
             workload.release(released)
-            workload.peer_release("p", released)
+            workload.remove_peer_reservation("p", released)
             del placed[released]
         expected = peak_memory([*placed.values(), item], NOW)
         assert workload.peak_memory("e", [item], NOW) == pytest.approx(expected)
--- a/cleatlink/routing/role_planner.py
+++ b/cleatlink/routing/role_planner.py
@@ -39,7 +39,7 @@
 _MIN_REQUESTS = 12
 # Shortest period of arrivals, in seconds, on which a plan may be based: the start of a burst alone
 # says nothing about lasting demand.
-_MIN_SECONDS = 3
+_MIN_PERIOD_S = 3
 # Smallest decrease of the share of late streams that justifies a change: estimates for short
 # queues have an error of about this size.
 _MIN_DECREASE = 0.02
@@ -293,7 +293,7 @@
         return changes[Role.DECODE]
     if not roles.prefills:
         return changes[Role.PREFILL]
-    if demand is None or demand.requests < _MIN_REQUESTS or demand.window_s < _MIN_SECONDS:
+    if demand is None or demand.requests < _MIN_REQUESTS or demand.window_s < _MIN_PERIOD_S:
         return None
     lowest_late = roles.late_share(demand)
     best: RoleChange | None = None
--- a/cleatlink/routing/spill_over_test.py
+++ b/cleatlink/routing/spill_over_test.py
@@ -144,10 +144,10 @@
                 self._schedule(max(at, reservation.ends_at) + 0.01, self._release, (view, key))
 
     def _receive(self, report: tuple[Capacity, str, Reservation], now: float) -> None:
-        report[0].peer_reserve("n", report[1], report[2])
+        report[0].add_peer_reservation("n", report[1], report[2])
 
     def _release(self, report: tuple[Capacity, str], now: float) -> None:
-        report[0].peer_release("n", report[1])
+        report[0].remove_peer_reservation("n", report[1])
 
 
 def make_waves(instances: int, *, amplitude: float, per_s: float = 22.0) -> list[Arrival]:
--- a/cleatlink/routing/unequal_speeds_test.py
+++ b/cleatlink/routing/unequal_speeds_test.py
@@ -103,7 +103,7 @@
         others = [item for index, item in enumerate(capacities) if index != event.instance]
         if not event.is_end:
             for other in others:
-                other.peer_reserve("peer", key, event.reservation)
+                other.add_peer_reservation("peer", key, event.reservation)
             return
         own = capacities[event.instance]
         own.release(key)
@@ -112,7 +112,7 @@
         )
         samples = own.endpoint_speeds.own_samples(event.endpoint, event.at)
         for other in others:
-            other.peer_release("peer", key)
+            other.remove_peer_reservation("peer", key)
             if rng.random() >= loss:
                 other.endpoint_speeds.replace_peer_samples(
                     f"i{event.instance}", event.endpoint, samples
--- a/cleatlink/routing/workload.py
+++ b/cleatlink/routing/workload.py
@@ -57,40 +57,40 @@
             self._add(reservation, -1)
             self._on_end(reservation.endpoint, key)
 
-    def peer_reserve(self, peer: str, key: str, reservation: Reservation) -> None:
+    def add_peer_reservation(self, peer: str, key: str, reservation: Reservation) -> None:
         """Add work that a peer reported."""
-        self.peer_release(peer, key)
+        self.remove_peer_reservation(peer, key)
         self._peers.setdefault(peer, {})[key] = reservation
         self._add(reservation, 1)
 
-    def peer_release(self, peer: str, key: str) -> None:
+    def remove_peer_reservation(self, peer: str, key: str) -> None:
         """Remove work of a peer; unknown keys are ignored."""
         reservation = self._peers.get(peer, {}).pop(key, None)
         if reservation is not None:
             self._add(reservation, -1)
 
-    def peer_replace(self, peer: str, reservations: dict[str, Reservation]) -> None:
+    def replace_peer_reservations(self, peer: str, reservations: dict[str, Reservation]) -> None:
         """Replace all work of a peer by its complete list."""
         known = self._peers.get(peer, {})
         if not known and not reservations:
             return
         for key in known.keys() - reservations.keys():
-            self.peer_release(peer, key)
+            self.remove_peer_reservation(peer, key)
         for key, reservation in reservations.items():
             if key not in known or not _is_same(known[key], reservation):
-                self.peer_reserve(peer, key, reservation)
+                self.add_peer_reservation(peer, key, reservation)
 
-    def has_reservations(self, peer: str) -> bool:
+    def has_peer_reservations(self, peer: str) -> bool:
         """Check whether a peer has any reservations."""
         return bool(self._peers.get(peer))
 
-    def has_reservation(self, peer: str, key: str) -> bool:
+    def has_peer_reservation(self, peer: str, key: str) -> bool:
         """Check whether a peer has a reservation under a key."""
         return key in self._peers.get(peer, {})
 
     def remove_peer(self, peer: str) -> None:
         """Remove all work of a peer."""
-        self.peer_replace(peer, {})
+        self.replace_peer_reservations(peer, {})
         self._peers.pop(peer, None)
 
     def expire_peers(self, now: float, slack_s: float) -> None:
@@ -102,7 +102,7 @@
                 if item.ends_at + item.duration_s + slack_s < now
             ]
             for key in overdue:
-                self.peer_release(peer, key)
+                self.remove_peer_reservation(peer, key)
 
     def find(self, key: str) -> Reservation | None:
         """Return the work under a key, of this instance or else of a peer."""
