--- a/cleatlink/core/data.py
+++ b/cleatlink/core/data.py
@@ -1,8 +1,8 @@
 """Immutable data types that are shared by the other packages.
 
-Times are in seconds. A field that ends in ``_s`` is a duration; ``deadline`` and
-``at`` are readings of the caller's monotonic clock. Sizes that end in
-``_tokens`` are counted in tokens of the requested model.
+Times are in seconds. Fields that end in ``_s`` are durations; fields that end in ``deadline`` are
+readings of this instance's monotonic clock. Fields that end in ``_tokens`` are sizes in tokens of
+the requested model.
 """
 
 import math
@@ -71,7 +71,10 @@
 
 
 class Pool(NamedTuple):
-    """A set of endpoints of one service with the same initial role."""
+    """A set of endpoints of one service with the same initial role.
+
+    ``checks_fences`` states whether the endpoints refuse commands with a stale fencing token.
+    """
 
     name: str
     service: str
@@ -199,7 +202,21 @@
 
 
 class LoadReport(NamedTuple):
-    """State of an endpoint as the endpoint last reported it; may be out of date."""
+    """State of an endpoint as the endpoint last reported it; may be out of date.
+
+    Attributes:
+        endpoint: Name of the endpoint.
+        incarnation: Identifier of the endpoint's process; empty if it reports none.
+        role: Role of the endpoint.
+        slots: Maximum number of concurrent requests.
+        running: Number of decodes in progress; 0 if it reports none.
+        waiting_tokens: Prompt tokens of the prefills that are queued or in progress.
+        memory_tokens: Size of the KV cache, in tokens.
+        memory_free_tokens: Free part of the KV cache, in tokens.
+        leaving: Whether the endpoint accepts no new work.
+        prefill_tokens_per_s: Prefill throughput.
+        fence: Highest fencing token that the endpoint accepted.
+    """
 
     endpoint: str
     incarnation: str
@@ -247,7 +264,21 @@
 
 
 class Request(NamedTuple):
-    """A classified request that is not yet assigned to endpoints."""
+    """A classified request that is not yet assigned to endpoints.
+
+    Attributes:
+        name: Identifier of the request.
+        organisation: Name of the calling organisation.
+        service: Service that the request is sent to.
+        model: Requested model; empty for a plain call.
+        request_class: Name of the request's class.
+        prompt_tokens: Tokens of the prompt; 0 for a plain call.
+        max_output_tokens: Maximum number of tokens of the answer; 0 for a plain call.
+        prefix_hash: Hash of the prompt's prefix, to find endpoints that have it in their cache.
+        deadline: Time at which the request is given up.
+        first_token_deadline: Latest time of the first token; infinite if a request may run even
+            if it misses its target.
+    """
 
     name: str
     organisation: str
@@ -282,7 +313,7 @@
 
 
 class Refusal(NamedTuple):
-    """Reason why a request is refused; ``errors.ANSWERS`` maps its kind to a response."""
+    """Reason why a request is refused; ``errors.ERROR_RESPONSES`` maps its kind to a response."""
 
     kind: ErrorKind
     detail: str
--- a/cleatlink/core/decoding.py
+++ b/cleatlink/core/decoding.py
@@ -12,7 +12,7 @@
 __all__ = ["ReadFaultKind", "ReadFault", "UnreadableError", "decode_base64", "decode_json"]
 
 _Value = TypeVar("_Value")
-# Error detail may quote input from an untrusted source; this limits its length, in characters.
+# In characters; the detail of an error may quote untrusted input of any length.
 _MAX_DETAIL_LENGTH = 160
 
 
@@ -41,14 +41,14 @@
         self.fault = ReadFault(kind, detail[:_MAX_DETAIL_LENGTH])
 
 
-def decode_json(data: bytes, kind: type[_Value]) -> _Value:
+def decode_json(data: bytes, value_type: type[_Value]) -> _Value:
     """Decode JSON into a typed value.
 
     Raises:
         UnreadableError: The data is not valid JSON, or its fields don't match the type.
     """
     try:
-        return msgspec.json.decode(data, type=kind)
+        return msgspec.json.decode(data, type=value_type)
     except msgspec.ValidationError as error:
         raise UnreadableError(ReadFaultKind.FIELDS, str(error)) from error
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
--- a/cleatlink/core/errors.py
+++ b/cleatlink/core/errors.py
@@ -1,7 +1,7 @@
 """All error kinds, the response to the caller for each kind, and the exception classes.
 
 An error response must state three things: what happened, whether the request ran, and
-whether and when to retry. ``ANSWERS`` is the only place that defines them. A kind whose
+whether and when to retry. ``ERROR_RESPONSES`` is the only place that defines them. A kind whose
 ``ran`` is ``no`` may be used only if no byte of the request can have been sent to an
 endpoint, or if the endpoint refused the request.
 """
@@ -95,7 +95,7 @@
     ErrorKind.ENDPOINT_REFUSED: ErrorResponse(503, "no", 1.0),
     ErrorKind.ENDPOINT_FAILED: ErrorResponse(502, "unknown", 1.0),
     ErrorKind.STREAM_BROKEN: ErrorResponse(502, "yes", 1.0),
-    # The caller can't see any error in its request, and it may retry the request.
+    # A 503, not a 4xx: the caller can't correct anything in its request, and may retry it later.
     ErrorKind.QUARANTINED: ErrorResponse(503, "no", 300.0),
     ErrorKind.KEY_MISMATCH: ErrorResponse(422, "no", None),
     # This request did not run, but another one with the same idempotency key may have run.
@@ -155,7 +155,7 @@
         Args:
             detail: Reason that the endpoint reported.
             leaving: Whether the endpoint is shutting down and accepts no new work.
-            rest_s: Back-off that the endpoint requested, in seconds; 0 if it requested none.
+            rest_s: Backoff that the endpoint requested, in seconds; 0 if it requested none.
         """
         super().__init__(detail)
         self.leaving = leaving
--- a/cleatlink/core/notices.py
+++ b/cleatlink/core/notices.py
@@ -9,9 +9,9 @@
 _SECONDS = re.compile(rb"[0-9]{1,18}(\.[0-9]{1,18})?")
 _RATE = re.compile(rb"[0-9]{1,18}(\.[0-9]{0,18})?|\.[0-9]{1,18}")
 # Limits how long an absurdly large header value can exclude an endpoint.
-_MAX_BACK_OFF_S = 300.0
-# In calls per second. An endpoint that announces a limit of 0 still gets a call at this rate, to
-# learn whether the limit has changed.
+_MAX_BACKOFF_S = 300.0
+# In calls per second. An endpoint that announces a limit of 0 still gets calls at this rate, so
+# that the instances learn when the limit changes.
 _MIN_RATE_PER_S = 0.1
 # In calls per second; higher than the rate that any endpoint can serve.
 _MAX_RATE_PER_S = 1e6
@@ -22,7 +22,7 @@
 
     Attributes:
         leaving: Whether the endpoint accepts no new work and shuts down soon.
-        rest_s: Back-off that the endpoint requests from the instance that it responds to,
+        rest_s: Backoff that the endpoint requests from the instance that it responds to,
             in seconds; 0 if it requests none.
         rate_per_s: Limit on calls per second from all instances together; None if the
             endpoint announces no limit, or one that can't be parsed.
@@ -39,17 +39,17 @@
 
 
 def parse_backoff_s(values: Iterable[bytes]) -> float:
-    """Parse the back-off that an endpoint requests, in seconds.
+    """Parse the backoff that an endpoint requests, in seconds.
 
     Args:
-        values: Values of all header fields that contain a back-off.
+        values: Values of all header fields that contain a backoff.
 
     Returns:
-        The longest back-off, limited to a maximum. Values that are not a number of seconds,
+        The longest backoff, limited to a maximum. Values that are not a number of seconds,
         such as a date or a negative number, are ignored; 0 if no value is left.
     """
     times = (float(value) for value in values if _SECONDS.fullmatch(value.strip()))
-    return min(_MAX_BACK_OFF_S, max(times, default=0.0))
+    return min(_MAX_BACKOFF_S, max(times, default=0.0))
 
 
 def parse_rate_limit_per_s(values: Iterable[bytes]) -> float | None:
--- a/cleatlink/core/routes.py
+++ b/cleatlink/core/routes.py
@@ -1,8 +1,8 @@
 """Data types of the relay: route tables, routed endpoints and received requests.
 
-A route table defines which service serves a host and path, how often a call may be sent
-and how long it may take. The types are immutable. Names of durations end in ``_s``, for
-seconds; sizes are in tokens or bytes.
+A route table defines which service serves a host and path, to how many endpoints a call
+may be sent and how long it may take. The types are immutable. Names of durations end in ``_s``,
+for seconds; sizes are in tokens or bytes.
 """
 
 import hashlib
--- a/cleatlink/core/table_reader.py
+++ b/cleatlink/core/table_reader.py
@@ -20,14 +20,14 @@
         self._tables = tables
         self.faults: list[str] = []
 
-    def value(self, path: str, kind: type | tuple[type, ...]) -> Any:
+    def value(self, path: str, expected_type: type | tuple[type, ...]) -> Any:
         """Return a value, or record an error and return None if it is missing or invalid."""
         setting: Any = self._tables
         for key in path.split("."):
             setting = setting.get(key) if isinstance(setting, dict) else None
         if setting is None:
             self.faults.append(f"{path} is missing")
-        elif isinstance(setting, bool) or not isinstance(setting, kind):
+        elif isinstance(setting, bool) or not isinstance(setting, expected_type):
             self.faults.append(f"{path} has the wrong type, {type(setting).__name__}")
             setting = None
         return setting
