--- a/cleatlink/config/loader.py
+++ b/cleatlink/config/loader.py
@@ -228,9 +228,9 @@
                 section.add_fault(f"model {model!r} already belongs to {owner}", "models")
 
 
-def _parse_member(kind: type[_EnumMember], value: str, fallback: _EnumMember) -> _EnumMember:
+def _parse_member(enum_type: type[_EnumMember], value: str, fallback: _EnumMember) -> _EnumMember:
     """Return the enum member; the fallback is for values with an error already recorded."""
     try:
-        return kind(value)
+        return enum_type(value)
     except ValueError:
         return fallback
--- a/cleatlink/config/revision.py
+++ b/cleatlink/config/revision.py
@@ -23,7 +23,15 @@
 
 
 class OfferResult(StrEnum):
-    """Result of offering a configuration."""
+    """Result of offering a configuration.
+
+    Attributes:
+        ADOPTED: It is valid and newer than the active one, which it replaced.
+        KNOWN: It is the active one.
+        OLDER: Its revision is lower than the active one.
+        INVALID: It is newer than the active one but has errors, so it was rejected.
+        CONFLICT: It has the active revision but a different text, so it was rejected.
+    """
 
     ADOPTED = "adopted"
     KNOWN = "known"
--- a/cleatlink/config/revision_test.py
+++ b/cleatlink/config/revision_test.py
@@ -21,23 +21,23 @@
 
 @given(st.lists(st.sampled_from(sorted(TEXTS)), max_size=30))
 def test_active_revision_is_the_highest_valid_one_offered(revisions: list[int]) -> None:
-    adopter, offered = ActiveConfiguration(), []
+    active, offered = ActiveConfiguration(), []
     for revision in revisions:
-        previous_revision = adopter.revision
-        adopter.offer(PublishedConfiguration(revision, TEXTS[revision]))
-        assert adopter.revision >= previous_revision
+        previous_revision = active.revision
+        active.offer(PublishedConfiguration(revision, TEXTS[revision]))
+        assert active.revision >= previous_revision
         offered.append(revision)
-    assert adopter.revision == max([0, *(VALID_REVISIONS & set(offered))])
-    if adopter.configuration is not None:
-        assert adopter.configuration.revision == adopter.revision
+    assert active.revision == max([0, *(VALID_REVISIONS & set(offered))])
+    if active.configuration is not None:
+        assert active.configuration.revision == active.revision
 
 
 def test_each_result_of_an_offer_is_returned() -> None:
-    adopter = ActiveConfiguration()
-    assert adopter.offer(PublishedConfiguration(2, TEXTS[2])) is OfferResult.ADOPTED
-    assert adopter.offer(PublishedConfiguration(2, TEXTS[2])) is OfferResult.KNOWN
-    assert adopter.offer(PublishedConfiguration(2, TEXTS[1])) is OfferResult.CONFLICT
-    assert adopter.offer(PublishedConfiguration(1, TEXTS[1])) is OfferResult.OLDER
-    assert adopter.offer(PublishedConfiguration(3, TEXTS[3])) is OfferResult.INVALID
-    assert adopter.faults
-    assert (adopter.revision, adopter.highest_validated_revision) == (2, 3)
+    active = ActiveConfiguration()
+    assert active.offer(PublishedConfiguration(2, TEXTS[2])) is OfferResult.ADOPTED
+    assert active.offer(PublishedConfiguration(2, TEXTS[2])) is OfferResult.KNOWN
+    assert active.offer(PublishedConfiguration(2, TEXTS[1])) is OfferResult.CONFLICT
+    assert active.offer(PublishedConfiguration(1, TEXTS[1])) is OfferResult.OLDER
+    assert active.offer(PublishedConfiguration(3, TEXTS[3])) is OfferResult.INVALID
+    assert active.faults
+    assert (active.revision, active.highest_validated_revision) == (2, 3)
