--- a/cleatlink/organisations/access.py
+++ b/cleatlink/organisations/access.py
@@ -65,9 +65,9 @@
             return ANONYMOUS if route.public else None
         return CallerIdentity(organisation, digest)
 
-    def is_key_valid(self, holder: CallerIdentity) -> bool:
+    def is_key_valid(self, caller: CallerIdentity) -> bool:
         """Check whether the request's key still belongs to the same organisation."""
-        if self._keys is None or holder.organisation is None:
+        if self._keys is None or caller.organisation is None:
             return True
-        owner = self._keys.find(holder.digest)
-        return owner is not None and owner.name == holder.name
+        owner = self._keys.find(caller.digest)
+        return owner is not None and owner.name == caller.name
--- a/cleatlink/organisations/limits.py
+++ b/cleatlink/organisations/limits.py
@@ -43,8 +43,8 @@
         """
         window_s = self.window_s
         tolerance = self.overshoot * (limit.rate * window_s + limit.burst) + self.slack
-        undetected = PEER_TIMEOUT_S * limit.rate
-        usable = ((1 - _IN_TRANSIT_SHARE) * tolerance - undetected) / (
+        units_before_detection = PEER_TIMEOUT_S * limit.rate
+        usable = ((1 - _IN_TRANSIT_SHARE) * tolerance - units_before_detection) / (
             1 + PEER_TIMEOUT_S / window_s
         )
         return RateLimit(limit.rate + max(0.0, usable) / window_s, limit.burst)
--- a/cleatlink/organisations/limits_test.py
+++ b/cleatlink/organisations/limits_test.py
@@ -31,12 +31,15 @@
         self.limits = OrganisationLimits(tolerance, now)
         self.limits.use_table([organisation()])
 
-    def ask(self, tokens: int, now: float) -> bool:
+    def try_admit(self, tokens: int, now: float) -> bool:
         return self.limits.admit(organisation(), tokens, now).granted
 
-    def totals_message(self, now: float, *, whole: bool = False) -> PeerTotals:
+    def totals_message(self, now: float, *, include_unchanged: bool = False) -> PeerTotals:
         limits = self.limits
-        totals, age_s = limits.totals(now, include_unchanged=whole), limits.uptime_s(now)
+        totals, age_s = (
+            limits.totals(now, include_unchanged=include_unchanged),
+            limits.uptime_s(now),
+        )
         return PeerTotals(self.name, self.incarnation, totals, limits.used_name_count, age_s)
 
     def level(self, now: float) -> float:
@@ -59,34 +62,34 @@
 
 def test_retry_after_is_when_the_bucket_holds_the_needed_units() -> None:
     one = Instance("1", 0.0)
-    assert one.ask(1900, 10.0)
+    assert one.try_admit(1900, 10.0)
     refused = one.limits.admit(organisation(), 1500, 10.0)
     assert not refused.granted
     assert refused.retry_after_s == pytest.approx((1500 - 100) / RATE)
-    assert not one.ask(1500, 10.0 + refused.retry_after_s - 0.01)
-    assert one.ask(1500, 10.0 + refused.retry_after_s)
+    assert not one.try_admit(1500, 10.0 + refused.retry_after_s - 0.01)
+    assert one.try_admit(1500, 10.0 + refused.retry_after_s)
 
 
 def test_small_requests_are_admitted_while_a_large_one_is_rejected() -> None:
     one = Instance("1", 0.0)
-    assert one.ask(1500, 10.0)
-    assert not one.ask(1500, 10.0)
-    assert all(one.ask(20, 10.0 + 0.01 * step) for step in range(10))
+    assert one.try_admit(1500, 10.0)
+    assert not one.try_admit(1500, 10.0)
+    assert all(one.try_admit(20, 10.0 + 0.01 * step) for step in range(10))
 
 
 def test_request_larger_than_the_burst_is_admitted_when_the_bucket_is_full() -> None:
     one = Instance("1", 0.0)
-    assert one.ask(5000, 10.0)
-    assert not one.ask(20, 10.0)
-    assert not one.ask(20, 12.9)
-    assert one.ask(20, 13.1)
+    assert one.try_admit(5000, 10.0)
+    assert not one.try_admit(20, 10.0)
+    assert not one.try_admit(20, 12.9)
+    assert one.try_admit(20, 13.1)
 
 
 def test_refunded_units_are_not_reported_to_peers_twice() -> None:
     one, two = Instance("1", 0.0), Instance("2", 0.0)
-    assert one.ask(1900, 10.0)
+    assert one.try_admit(1900, 10.0)
     one.limits.refund(organisation(), 1900)
-    assert one.ask(1900, 10.0)
+    assert one.try_admit(1900, 10.0)
     two.limits.take_totals(one.totals_message(10.0), 10.0)
     assert one.totals_message(10.0).totals == {"a": 1900}
 
@@ -97,7 +100,7 @@
         two.limits.take_totals(one.totals_message(0.5 * step), 0.5 * step)
     messages = []
     for step in range(5):
-        assert one.ask(100, 2.0 + 0.1 * step)
+        assert one.try_admit(100, 2.0 + 0.1 * step)
         messages.append(one.totals_message(2.0 + 0.1 * step))
     for message in (messages[4], messages[1], messages[4], messages[0]):
         two.limits.take_totals(message, 2.5)
@@ -108,10 +111,10 @@
     one, two = Instance("1", 0.0), Instance("2", 0.0)
     for step in range(8):
         two.limits.take_totals(one.totals_message(step), step)
-    assert one.ask(1500, 7.5)
+    assert one.try_admit(1500, 7.5)
     two.limits.take_totals(one.totals_message(7.5), 7.5)
     restarted = Instance("1", 8.0)
-    assert restarted.ask(400, 8.0)
+    assert restarted.try_admit(400, 8.0)
     two.limits.take_totals(restarted.totals_message(8.0), 8.0)
     assert two.level(8.0) == pytest.approx(min(BURST, BURST - 1500 + 500) - 400)
     # A delayed message of the earlier incarnation is not attributed to the new one.
@@ -121,7 +124,7 @@
 
 def test_starting_instance_adopts_levels_of_the_oldest_peer() -> None:
     old, new = Instance("old", 0.0), Instance("new", 10.0)
-    assert old.ask(1900, 10.0)
+    assert old.try_admit(1900, 10.0)
     new.limits.adopt_levels(old.limits.levels(10.0), old.limits.uptime_s(10.0), 10.0)
     assert new.level(10.0) == pytest.approx(100)
     newer = OrganisationLimits(EXACT, 9.9)
@@ -133,28 +136,28 @@
 def test_instance_that_reaches_part_of_the_fleet_enforces_that_share_of_the_limit() -> None:
     one = Instance("1", 0.0)
     one.limits.set_reachable_share(0.5, 0.0)
-    assert one.ask(2000, 4.0)
+    assert one.try_admit(2000, 4.0)
     assert one.level(5.0) == pytest.approx(0.5 * RATE)
 
 
 def test_units_spent_across_a_partition_are_not_charged_when_it_heals() -> None:
     one, two = Instance("1", 0.0), Instance("2", 0.0)
     two.limits.take_totals(one.totals_message(0.0), 0.0)
-    assert two.ask(20, 0.0)
+    assert two.try_admit(20, 0.0)
     two.limits.set_reachable_share(0.5, 2.0)
-    assert one.ask(1500, 5.0)
+    assert one.try_admit(1500, 5.0)
     two.limits.set_reachable_share(1.0, 6.0)
     before = two.level(6.0)
     two.limits.take_totals(one.totals_message(6.0), 6.0)
     assert two.level(6.0) == before
-    assert one.ask(100, 6.1)
+    assert one.try_admit(100, 6.1)
     two.limits.take_totals(one.totals_message(6.2), 6.2)
     assert two.level(6.2) == pytest.approx(min(BURST, before + 200) - 100)
 
 
 def test_lowered_or_raised_limit_applies_immediately() -> None:
     one = Instance("1", 0.0)
-    assert one.ask(20, 10.0)
+    assert one.try_admit(20, 10.0)
     lower, higher = organisation(100, 200), organisation(1000, 2000)
     one.limits.use_table([lower])
     assert not one.limits.admit(lower, 199, 10.0).granted or one.level(10.0) <= 200
@@ -228,7 +231,7 @@
             if not (self.is_partitioned and 2 in (receiver, int(message.name))):
                 self.fleet[receiver].limits.take_totals(message, now)
 
-    def note_heard(self, now: float) -> None:
+    def update_reachable_shares(self, now: float) -> None:
         detected = self.is_partitioned and now - self.partitioned_at > PEER_TIMEOUT_S
         for number, instance in enumerate(self.fleet):
             share = (1 / 3 if number == 2 else 2 / 3) if detected else 1.0
@@ -245,7 +248,7 @@
         while heartbeat_at <= now:
             for sender in range(3):
                 network.send_totals(sender, heartbeat_at)
-            network.note_heard(heartbeat_at)
+            network.update_reachable_shares(heartbeat_at)
             heartbeat_at += 0.5
         if kind == "restart":
             network.fleet[number] = Instance(str(number), now, TYPICAL)
@@ -253,7 +256,7 @@
             if kind == "cut" and not network.is_partitioned:
                 network.partitioned_at = now
             network.is_partitioned = kind == "cut"
-        elif network.fleet[number].ask(tokens, now):
+        elif network.fleet[number].try_admit(tokens, now):
             admitted.append((now, tokens))
             network.send_totals(number, now)
     return admitted
@@ -291,8 +294,8 @@
     """Break one mechanism at a time, and check that a test above fails."""
     if fault == "counts duplicates":
 
-        def grown(self: Any, known: dict[str, int], name: str, figure: int) -> int:
-            return figure
+        def grown(self: Any, known: dict[str, int], name: str, total: int) -> int:
+            return total
 
         monkeypatch.setattr("cleatlink.limits.shared._PeerAccount.grown", grown)
         with pytest.raises(AssertionError):
