--- a/cleatlink/platform/boundary_test.py
+++ b/cleatlink/platform/boundary_test.py
@@ -18,8 +18,9 @@
     r"|cleatlink_boot|draining\"",
     re.IGNORECASE,
 )
-# Modules that make decisions (placement, budgets, drivers); the adapter must not import them.
-DECIDES = (
+# Modules that make decisions (such as placement and retry budgets); the adapter must not import
+# them.
+POLICY_MODULES = (
     "relay_placement",
     "capacity",
     "shared_retry_budget",
@@ -54,5 +55,5 @@
     for path in source_files(FOLDER):
         for node in ast.walk(ast.parse(path.read_text())):
             if isinstance(node, ast.ImportFrom) and node.module:
-                assert node.module.rpartition(".")[2] not in DECIDES, path
+                assert node.module.rpartition(".")[2] not in POLICY_MODULES, path
                 assert node.module not in ("random", "time"), path
--- a/cleatlink/platform/configuration.py
+++ b/cleatlink/platform/configuration.py
@@ -24,9 +24,9 @@
 # The platform's callers abandon a stream after a period without events. The period is the largest
 # of a minimum, a multiple of the route's target latency and a multiple of its target gap between
 # events. The platform defines these values.
-_MIN_PATIENCE_S = 2.0
-_PATIENCE_TARGET_FACTOR = 4.0
-_PATIENCE_GAPS_FACTOR = 8.0
+_MIN_ABANDON_AFTER_S = 2.0
+_ABANDON_TARGET_FACTOR = 4.0
+_ABANDON_EVENT_GAP_FACTOR = 8.0
 # The platform's callers honour a Retry-After up to this share of their remaining time.
 _HONOURED_RETRY_SHARE = 1 / 3
 _DEFAULT_LIMITS = CallerLimits()
@@ -106,8 +106,8 @@
     limits, tenants = configuration.limits or _Limits(), configuration.tenants
     return RouteTable(
         revision=configuration.version,
-        routes=tuple(_read_route(entry) for entry in configuration.routes),
-        services={entry.name: _read_service(entry) for entry in configuration.services},
+        routes=tuple(_read_route(route) for route in configuration.routes),
+        services={service.name: _read_service(service) for service in configuration.services},
         limits=CallerLimits(
             limits.max_header_bytes,
             limits.max_body_bytes,
@@ -118,20 +118,22 @@
     )
 
 
-def _read_organisation(entry: _Tenant) -> Organisation:
+def _read_organisation(tenant: _Tenant) -> Organisation:
     limit = None
-    if entry.rate_per_s and entry.rate_per_s > 0:
-        counts_tokens = entry.unit == "tokens"
-        limit = UsageLimit(entry.rate_per_s, entry.burst or 0.0, counts_tokens, entry.plain_tokens)
-    digests = tuple(digest_key(key.encode()) for key in entry.api_keys)
-    return Organisation(entry.name, digests, entry.priority, limit)
+    if tenant.rate_per_s and tenant.rate_per_s > 0:
+        counts_tokens = tenant.unit == "tokens"
+        limit = UsageLimit(
+            tenant.rate_per_s, tenant.burst or 0.0, counts_tokens, tenant.plain_tokens
+        )
+    digests = tuple(digest_key(key.encode()) for key in tenant.api_keys)
+    return Organisation(tenant.name, digests, tenant.priority, limit)
 
 
-def _read_service(entry: _Service) -> RoutedService:
-    engine = entry.engine
-    traits = None
+def _read_service(service: _Service) -> RoutedService:
+    engine = service.engine
+    properties = None
     if engine is not None:
-        traits = EngineProperties(
+        properties = EngineProperties(
             engine.slots,
             engine.kv_cache_tokens,
             engine.handle_retention_s,
@@ -139,33 +141,33 @@
             engine.hold_ms / _MS,
             max(1, engine.stride),
         )
-    return RoutedService(entry.name, entry.connection_limit, traits)
+    return RoutedService(service.name, service.connection_limit, properties)
 
 
-def _read_route(entry: _Route) -> Route:
-    shares = entry.traffic_split or [_Share(entry.service or "", 1)]
-    target_ms = entry.timeout_ms if entry.target_latency_ms is None else entry.target_latency_ms
+def _read_route(route: _Route) -> Route:
+    shares = route.traffic_split or [_Share(route.service or "", 1)]
+    target_ms = route.timeout_ms if route.target_latency_ms is None else route.target_latency_ms
     target_s = target_ms / _MS
-    event_gap_s = math.inf if entry.gap_target_ms is None else entry.gap_target_ms / _MS
+    event_gap_s = math.inf if route.gap_target_ms is None else route.gap_target_ms / _MS
     return Route(
-        name=entry.name,
-        host=entry.host,
-        path_prefix=entry.path_prefix,
-        kind=entry.kind,
-        timeout_s=entry.timeout_ms / _MS,
+        name=route.name,
+        host=route.host,
+        path_prefix=route.path_prefix,
+        kind=route.kind,
+        timeout_s=route.timeout_ms / _MS,
         target_s=target_s,
-        priority=entry.priority,
+        priority=route.priority,
         shares=tuple(ServiceShare(share.service, share.weight) for share in shares),
-        max_attempts=entry.attempts,
-        resumable=entry.resumable,
+        max_attempts=route.attempts,
+        resumable=route.resumable,
         event_gap_target_s=event_gap_s,
-        abandon_after_s=_patience_s(target_s, event_gap_s),
+        abandon_after_s=_abandon_after_s(target_s, event_gap_s),
         max_retry_after_share=_HONOURED_RETRY_SHARE,
-        public=entry.public,
+        public=route.public,
     )
 
 
-def _patience_s(target_s: float, event_gap_s: float) -> float:
-    """Return the silence after which the platform's callers abandon a stream, in seconds."""
-    gaps_s = _PATIENCE_GAPS_FACTOR * event_gap_s if math.isfinite(event_gap_s) else 0.0
-    return max(_MIN_PATIENCE_S, _PATIENCE_TARGET_FACTOR * target_s, gaps_s)
+def _abandon_after_s(target_s: float, event_gap_s: float) -> float:
+    """Return the seconds without an event after which the platform's callers abandon a stream."""
+    gaps_s = _ABANDON_EVENT_GAP_FACTOR * event_gap_s if math.isfinite(event_gap_s) else 0.0
+    return max(_MIN_ABANDON_AFTER_S, _ABANDON_TARGET_FACTOR * target_s, gaps_s)
--- a/cleatlink/platform/entries.py
+++ b/cleatlink/platform/entries.py
@@ -27,7 +27,8 @@
 
 CONFIG_KEY = "op/config"
 WORKERS_PREFIX = "servers/"
-# Well above any entry; the configuration has its own limit, which the store's largest one fits.
+# Well above the size of any worker's entry. The configuration has its own limit, above the size of
+# the largest one in the store.
 _MAX_ENTRY_BYTES = 65_536
 # Integers up to here are exact in JSON parsers that store numbers as doubles.
 _MAX_EXACT_INTEGER = 2**53
--- a/cleatlink/platform/entries_test.py
+++ b/cleatlink/platform/entries_test.py
@@ -59,7 +59,7 @@
     assert (record.endpoint.name, record.endpoint.registered_name) == ("i-1", "i-1")
 
 
-def test_incarnations_have_distinct_names_but_the_same_instance_id() -> None:
+def test_incarnations_have_distinct_names_but_the_same_registered_name() -> None:
     names = set()
     for born in (0, 1700000000000, 1700000000001):
         endpoint = decode_record(encode_item(encode_entry(born=born or None))).endpoint
--- a/cleatlink/platform/settings.py
+++ b/cleatlink/platform/settings.py
@@ -68,7 +68,7 @@
         history_s=reader.number("platform.history_s"),
         limit_tolerance=_read_tolerance(reader),
         memory_mb=reader.optional_number("limits.memory_mb", 0.0),
-        size=_read_size(reader),
+        size=_read_core_count(reader),
         crossing_share=reader.optional_number("routing.crossing_share", CROSSING_SHARE),
     )
     if reader.faults:
@@ -86,7 +86,7 @@
     )
 
 
-def _read_size(reader: TableReader) -> float:
+def _read_core_count(reader: TableReader) -> float:
     """Return the number of processor cores for the process; the settings are optional."""
     share = reader.optional_number("limits.cpu_share", 1.0)
     return share * reader.optional_number("limits.cores", 1.0) or 1.0
--- a/cleatlink/platform/store.py
+++ b/cleatlink/platform/store.py
@@ -50,7 +50,7 @@
         self._client = StoreClient(address, _ERA_HEADER)
         # A connection carries one call at a time, and a long watch would block reads of the table.
         self._table_client = StoreClient(address, _ERA_HEADER)
-        self._whole_read = FullRead(self._read_page, self._read_table_of_era)
+        self._full_read = FullRead(self._read_page, self._read_table_of_era)
 
     @property
     def is_receiving(self) -> bool:
@@ -59,7 +59,7 @@
 
     async def read(self) -> SourceChange:
         """Read table and entries, all of one era; after a failure, read only what is missing."""
-        return await self._whole_read.run()
+        return await self._full_read.run()
 
     async def read_table(self) -> SourceTable:
         """Read only the configuration."""
