--- a/cleatlink/clock_test.py
+++ b/cleatlink/clock_test.py
@@ -53,26 +53,26 @@
 
 def test_clock_advances_and_counts_suspensions() -> None:
     clock = SuspendAwareClock()
-    first = clock.current_time()
-    assert 0 <= clock.current_time() - first < 1
+    started_at = clock.current_time()
+    assert 0 <= clock.current_time() - started_at < 1
     assert abs(clock.current_time() - time.clock_gettime(time.CLOCK_BOOTTIME)) < 1
     assert 0.9 < clock.deadline_to_sleep_time(clock.current_time() + 1) <= 1
     assert abs(unix_ms() / 1000 - time.time()) < 1
 
 
 def test_only_the_clock_module_reads_the_time() -> None:
-    faults = []
+    violations = []
     for path in sorted(ROOT.rglob("*.py")):
         if path.name.endswith("_test.py") or path == ROOT / "clock.py":
             continue
         for node in ast.walk(ast.parse(path.read_text())):
             if isinstance(node, ast.Import) and any(item.name == "time" for item in node.names):
-                faults.append(f"{path}:{node.lineno}")
+                violations.append(f"{path}:{node.lineno}")
             if isinstance(node, ast.ImportFrom) and node.module in ("time", "datetime"):
-                faults.append(f"{path}:{node.lineno}")
+                violations.append(f"{path}:{node.lineno}")
             if isinstance(node, ast.Attribute) and node.attr in TIME_FUNCTIONS - {"time"}:
-                faults.append(f"{path}:{node.lineno}")
-    assert faults == []
+                violations.append(f"{path}:{node.lineno}")
+    assert violations == []
 
 
 def test_running_call_ends_at_its_deadline() -> None:
