--- a/bench/limits.py
+++ b/bench/limits.py
@@ -213,7 +213,7 @@
 
     def receive(self, sender: int, message: Any, now: float) -> None:
         """Apply a peer's totals."""
-        self._limits.take_totals(message, now)
+        self._limits.record_peer_totals(message, now)
 
     def set_reachable(self, reachable: list[int], now: float) -> None:
         """Set the share of all instances that is reachable."""
--- a/cleatlink/core/errors.py
+++ b/cleatlink/core/errors.py
@@ -149,17 +149,17 @@
 class EndpointRefusedError(EndpointError):
     """The endpoint refused the call, so the call did not run."""
 
-    def __init__(self, detail: str, leaving: bool = False, rest_s: float = 0.0) -> None:
+    def __init__(self, detail: str, leaving: bool = False, backoff_s: float = 0.0) -> None:
         """Record the reason for the refusal.
 
         Args:
             detail: Reason that the endpoint reported.
             leaving: Whether the endpoint is shutting down and accepts no new work.
-            rest_s: Backoff that the endpoint requested, in seconds; 0 if it requested none.
+            backoff_s: Backoff that the endpoint requested, in seconds; 0 if it requested none.
         """
         super().__init__(detail)
         self.leaving = leaving
-        self.rest_s = rest_s
+        self.backoff_s = backoff_s
 
 
 class StaleFenceError(EndpointRefusedError):
--- a/cleatlink/core/notices.py
+++ b/cleatlink/core/notices.py
@@ -22,7 +22,7 @@
 
     Attributes:
         leaving: Whether the endpoint accepts no new work and shuts down soon.
-        rest_s: Backoff that the endpoint requests from the instance that it responds to,
+        backoff_s: Backoff that the endpoint requests from the instance that it responds to,
             in seconds; 0 if it requests none.
         rate_per_s: Limit on calls per second from all instances together; None if the
             endpoint announces no limit, or one that can't be parsed.
@@ -30,7 +30,7 @@
     """
 
     leaving: bool = False
-    rest_s: float = 0.0
+    backoff_s: float = 0.0
     rate_per_s: float | None = None
     has_rate_limit: bool = False
 
--- a/cleatlink/limits/shared.py
+++ b/cleatlink/limits/shared.py
@@ -71,7 +71,7 @@
         self.totals: dict[str, int] = {}
         self.returned: dict[str, int] = {}
 
-    def grown(self, last_totals: dict[str, int], name: str, total: int) -> int:
+    def record_total(self, last_totals: dict[str, int], name: str, total: int) -> int:
         """Record a total that only grows; return its increase, or 0 if that is not known.
 
         Args:
@@ -203,7 +203,7 @@
         account.reported_at = now
         return True
 
-    def take_totals(self, report: PeerTotals, now: float) -> None:
+    def record_peer_totals(self, report: PeerTotals, now: float) -> None:
         """Update the buckets by what a peer took and returned since its last report."""
         account = self._peers.get(report.name)
         if account is not None and report.incarnation < account.incarnation:
@@ -217,9 +217,9 @@
             account.forget()
         account.reported_at = now
         for name, total in report.totals.items():
-            self._debit(name, account.grown(account.totals, name, total), now)
+            self._debit(name, account.record_total(account.totals, name, total), now)
         for name, returned in report.returned.items():
-            self._refund(name, account.grown(account.returned, name, returned), now)
+            self._refund(name, account.record_total(account.returned, name, returned), now)
         account.is_complete = len(account.totals) >= report.used_name_count
 
     def _debit(self, name: str, units: int, now: float) -> None:
--- a/cleatlink/organisations/levels_before_table_test.py
+++ b/cleatlink/organisations/levels_before_table_test.py
@@ -38,9 +38,9 @@
 
 def test_units_spent_by_peers_before_the_table_are_deducted() -> None:
     limits = limits_without_table()
-    limits.take_totals(PeerTotals("n1", 1, {"a": 400}, 1, 500.0), 1.0)
+    limits.record_peer_totals(PeerTotals("n1", 1, {"a": 400}, 1, 500.0), 1.0)
     limits.adopt_levels({"a": 60.0}, 500.0, 1.0)
-    limits.take_totals(PeerTotals("n1", 1, {"a": 450}, 1, 500.5), 1.5)
+    limits.record_peer_totals(PeerTotals("n1", 1, {"a": 450}, 1, 500.5), 1.5)
     limits.use_table([ORGANISATION])
     assert level(limits, 2.0) == pytest.approx(60.0 - 50.0 + RATE)
 
--- a/cleatlink/organisations/limits_test.py
+++ b/cleatlink/organisations/limits_test.py
@@ -90,35 +90,35 @@
     assert one.try_admit(1900, 10.0)
     one.limits.refund(organisation(), 1900)
     assert one.try_admit(1900, 10.0)
-    two.limits.take_totals(one.totals_message(10.0), 10.0)
+    two.limits.record_peer_totals(one.totals_message(10.0), 10.0)
     assert one.totals_message(10.0).totals == {"a": 1900}
 
 
 def test_duplicated_late_or_lost_totals_do_not_corrupt_the_level() -> None:
     one, two = Instance("1", 0.0), Instance("2", 0.0)
     for step in range(4):
-        two.limits.take_totals(one.totals_message(0.5 * step), 0.5 * step)
+        two.limits.record_peer_totals(one.totals_message(0.5 * step), 0.5 * step)
     messages = []
     for step in range(5):
         assert one.try_admit(100, 2.0 + 0.1 * step)
         messages.append(one.totals_message(2.0 + 0.1 * step))
     for message in (messages[4], messages[1], messages[4], messages[0]):
-        two.limits.take_totals(message, 2.5)
+        two.limits.record_peer_totals(message, 2.5)
     assert two.level(2.5) == pytest.approx(BURST - 500)
 
 
 def test_restarted_peer_is_accounted_for_from_its_start() -> None:
     one, two = Instance("1", 0.0), Instance("2", 0.0)
     for step in range(8):
-        two.limits.take_totals(one.totals_message(step), step)
+        two.limits.record_peer_totals(one.totals_message(step), step)
     assert one.try_admit(1500, 7.5)
-    two.limits.take_totals(one.totals_message(7.5), 7.5)
+    two.limits.record_peer_totals(one.totals_message(7.5), 7.5)
     restarted = Instance("1", 8.0)
     assert restarted.try_admit(400, 8.0)
-    two.limits.take_totals(restarted.totals_message(8.0), 8.0)
+    two.limits.record_peer_totals(restarted.totals_message(8.0), 8.0)
     assert two.level(8.0) == pytest.approx(min(BURST, BURST - 1500 + 500) - 400)
     # A delayed message of the earlier incarnation is not attributed to the new one.
-    two.limits.take_totals(one.totals_message(7.5), 8.0)
+    two.limits.record_peer_totals(one.totals_message(7.5), 8.0)
     assert two.level(8.0) == pytest.approx(BURST - 1400)
 
 
@@ -142,16 +142,16 @@
 
 def test_units_spent_across_a_partition_are_not_charged_when_it_heals() -> None:
     one, two = Instance("1", 0.0), Instance("2", 0.0)
-    two.limits.take_totals(one.totals_message(0.0), 0.0)
+    two.limits.record_peer_totals(one.totals_message(0.0), 0.0)
     assert two.try_admit(20, 0.0)
     two.limits.set_reachable_share(0.5, 2.0)
     assert one.try_admit(1500, 5.0)
     two.limits.set_reachable_share(1.0, 6.0)
     before = two.level(6.0)
-    two.limits.take_totals(one.totals_message(6.0), 6.0)
+    two.limits.record_peer_totals(one.totals_message(6.0), 6.0)
     assert two.level(6.0) == before
     assert one.try_admit(100, 6.1)
-    two.limits.take_totals(one.totals_message(6.2), 6.2)
+    two.limits.record_peer_totals(one.totals_message(6.2), 6.2)
     assert two.level(6.2) == pytest.approx(min(BURST, before + 200) - 100)
 
 
@@ -225,11 +225,11 @@
                 self.delayed.append((receiver, message))
             elif draw > 0.15:
                 for _ in range(1 + (draw > 0.9)):
-                    self.fleet[receiver].limits.take_totals(message, now)
+                    self.fleet[receiver].limits.record_peer_totals(message, now)
         while self.delayed and self.rng.random() < 0.3:
             receiver, message = self.delayed.pop()
             if not (self.is_partitioned and 2 in (receiver, int(message.name))):
-                self.fleet[receiver].limits.take_totals(message, now)
+                self.fleet[receiver].limits.record_peer_totals(message, now)
 
     def update_reachable_shares(self, now: float) -> None:
         detected = self.is_partitioned and now - self.partitioned_at > PEER_TIMEOUT_S
@@ -294,14 +294,14 @@
     """Break one mechanism at a time, and check that a test above fails."""
     if fault == "counts duplicates":
 
-        def grown(self: Any, known: dict[str, int], name: str, total: int) -> int:
+        def record_total(self: Any, last_totals: dict[str, int], name: str, total: int) -> int:
             return total
 
-        monkeypatch.setattr("cleatlink.limits.shared._PeerAccount.grown", grown)
+        monkeypatch.setattr("cleatlink.limits.shared._PeerAccount.record_total", record_total)
         with pytest.raises(AssertionError):
             test_duplicated_late_or_lost_totals_do_not_corrupt_the_level()
     elif fault == "forgets peers":
-        monkeypatch.setattr(OrganisationLimits, "take_totals", lambda *_: None)
+        monkeypatch.setattr(OrganisationLimits, "record_peer_totals", lambda *_: None)
         with pytest.raises(AssertionError):
             test_duplicated_late_or_lost_totals_do_not_corrupt_the_level()
     else:
--- a/cleatlink/relay/callers/service.py
+++ b/cleatlink/relay/callers/service.py
@@ -58,7 +58,7 @@
     revision: int
     route: Route
     service: RoutedService
-    holder: CallerIdentity
+    caller: CallerIdentity
 
 
 class RelayService(Handler):
@@ -69,7 +69,7 @@
         self._index: RouteIndex | None = None
         self._newer_table_wait = NewerTableWait(parts.table_tracker, parts.planned_stop)
         self._stream_admission = DecodeAdmission(parts)
-        self._plain_gate = PlainCallAdmission(parts)
+        self._plain_admission = PlainCallAdmission(parts)
         self._in_flight = 0
         self._call_scopes: set[trio.CancelScope] = set()
 
@@ -96,7 +96,7 @@
     def use_table(self, table: RouteTable) -> None:
         """Use a route table for requests that arrive from now on."""
         self._index = RouteIndex(table)
-        self._parts.organisation_gate.use_table(table.organisations)
+        self._parts.organisation_access.use_table(table.organisations)
         for route in table.routes:
             for share in route.shares:
                 self._set_initial_service_rate(route, table.services.get(share.service))
@@ -176,9 +176,9 @@
                 exchange, inbound, Refusal(ErrorKind.NOT_READY, detail, _BODY_RETRY_S)
             )
             return
-        inbound = inbound._replace(organisation=routed.holder.name)
+        inbound = inbound._replace(organisation=routed.caller.name)
         call = Call(
-            inbound, routed.route, routed.service, routed.revision, parts, holder=routed.holder
+            inbound, routed.route, routed.service, routed.revision, parts, holder=routed.caller
         )
         parts.metrics.count_request(routed.route.kind.value)
         early_refusal = call.find_send_refusal()
@@ -190,7 +190,7 @@
             refusal = Refusal(ErrorKind.OVER_LIMIT, "its limit", admission.retry_after_s)
             await self._refuse_call(call, exchange, refusal)
             return
-        parts.retry_budget(routed.service.name).count_request(now)
+        parts.get_retry_budget(routed.service.name).count_request(now)
         await self._run(call, exchange)
 
     def _read_inbound(self, raw: RawRequest, arrived_at: float) -> InboundRequest:
@@ -200,20 +200,20 @@
             raw.headers,
             raw.body,
             arrived_at,
-            removes_api_key=self._parts.organisation_gate.judges_keys,
+            removes_api_key=self._parts.organisation_access.checks_api_keys,
         )
 
     def _identify(self, headers: Headers, route: Route) -> CallerIdentity | None:
         """Return the sender of a request, or None if it has no sender that may call its route."""
         credentials = self._parts.protocol.read_credentials(headers)
-        return self._parts.organisation_gate.identify(credentials, route)
+        return self._parts.organisation_access.identify(credentials, route)
 
     def _admit(self, call: Call, now: float) -> Admission:
         """Check a call against its organisation's rate limit, and log a call above the limit."""
-        organisation = call.holder.organisation
+        organisation = call.caller.organisation
         if organisation is None or organisation.limit is None:
             return Admission(True, 0)
-        limits = self._parts.organisation_gate.limits
+        limits = self._parts.organisation_access.limits
         tokens = call.inbound.prompt_tokens + call.inbound.max_output_tokens
         admission = limits.admit(organisation, tokens, now)
         call.admission = admission
@@ -325,7 +325,7 @@
 
     async def _dispatch(self, call: Call, exchange: Exchange) -> None:
         if call.service.engine is None:
-            result = await PlainCall(call, self._plain_gate, self._parts).run()
+            result = await PlainCall(call, self._plain_admission, self._parts).run()
             if isinstance(result, Refusal):
                 await self._refuse_call(call, exchange, result)
             else:
--- a/cleatlink/relay/calls/call.py
+++ b/cleatlink/relay/calls/call.py
@@ -43,7 +43,7 @@
         holder: CallerIdentity = ANONYMOUS,
     ) -> None:
         self.inbound = inbound
-        self.holder = holder
+        self.caller = holder
         self.route = route
         self.service = service
         self.deadline = min(inbound.deadline, inbound.arrived_at + route.timeout_s)
@@ -94,7 +94,7 @@
     @property
     def priority(self) -> int:
         """Priority of the organisation, or else of the route, from 0, the most urgent."""
-        organisation = self.holder.organisation
+        organisation = self.caller.organisation
         if organisation is None or organisation.priority is None:
             return self.route.priority
         return organisation.priority
@@ -102,7 +102,7 @@
     @property
     def group_urgency(self) -> int:
         """Urgency in the order that all instances share; a larger value goes first."""
-        organisation = self.holder.organisation
+        organisation = self.caller.organisation
         if organisation is None or organisation.priority is None:
             return urgency_of(self.priority)
         return urgency_of(self.priority, self.route.priority)
@@ -119,7 +119,7 @@
         """Whether the caller's key is still valid, or the call may have run and so continues."""
         return (
             self.ran is not ExecutionStatus.NO
-            or self._components.organisation_gate.is_key_valid(self.holder)
+            or self._components.organisation_access.is_key_valid(self.caller)
         )
 
     @property
@@ -139,9 +139,9 @@
 
     def refund_admission(self) -> None:
         """Refund the admission cost of a call that did not run to its organisation's limit."""
-        organisation, admission = self.holder.organisation, self.admission
+        organisation, admission = self.caller.organisation, self.admission
         if organisation is not None and admission.granted and admission.cost:
-            self._components.organisation_gate.limits.refund(organisation, admission.cost)
+            self._components.organisation_access.limits.refund(organisation, admission.cost)
             self.admission = Admission(True, 0)
 
     def placement_context(self) -> PlacementContext:
@@ -212,7 +212,7 @@
     def take_retry(self, reason: str) -> bool:
         """Take one retry from the shared budget; return False if the budget is empty."""
         now = trio.current_time()
-        is_granted = self._components.retry_budget(self.service.name).try_spend(
+        is_granted = self._components.get_retry_budget(self.service.name).try_spend(
             self._components.count_members(), now
         )
         self._components.metrics.count_retry(reason if is_granted else "budget_empty")
@@ -243,7 +243,7 @@
     def note_refused(self, endpoint: RoutedEndpoint, head: ResponseHead) -> None:
         """Record an endpoint's report that it did not run the call, with its reason."""
         capacity = self._components.capacity
-        backoff_s = self._components.protocol.read_notice(head).rest_s
+        backoff_s = self._components.protocol.read_notice(head).backoff_s
         self.log(
             "endpoint reports that it did not run the request",
             endpoint=endpoint.name,
@@ -408,8 +408,8 @@
         """Log the result of the call with its last endpoint, its organisation and its cost."""
         if self._last_endpoint:
             fields.update(endpoint=self._last_endpoint)
-        if self.holder.organisation is not None:
-            fields.update(organisation=self.holder.name, cost=self.admission.cost)
+        if self.caller.organisation is not None:
+            fields.update(organisation=self.caller.name, cost=self.admission.cost)
         self.log(outcome, **fields)
 
     def make_refusal(self, detail: str, retry_after_s: float | None = None) -> Refusal:
--- a/cleatlink/relay/calls/components.py
+++ b/cleatlink/relay/calls/components.py
@@ -28,11 +28,11 @@
         pool: Connections to endpoints.
         capacity: Known state of the endpoints.
         planned_stop: The planned stop of this instance.
-        organisation_gate: Checks API keys and the limits of organisations.
+        organisation_access: Checks API keys and the limits of organisations.
         table_tracker: The revision of the route table in force, and that of the newest one known.
         metrics: Counters and histograms.
         rng: The seeded random generator.
-        retry_budget: Returns the retry budget of a service.
+        get_retry_budget: Returns the retry budget of a service.
         count_members: Returns the number of instances that may share a retry budget.
         on_reservations_changed: Called with the keys of this instance's reservations that changed.
         on_limit_nearly_used: Called when little is left of an organisation's limit.
@@ -49,11 +49,11 @@
     pool: ConnectionPool
     capacity: Capacity
     planned_stop: PlannedStop
-    organisation_gate: OrganisationAccess
+    organisation_access: OrganisationAccess
     table_tracker: TableTracker
     metrics: RelayMetrics
     rng: random.Random
-    retry_budget: Callable[[str], SharedRetryBudget]
+    get_retry_budget: Callable[[str], SharedRetryBudget]
     count_members: Callable[[], int]
     on_reservations_changed: Callable[..., None]
     on_limit_nearly_used: Callable[[], None]
--- a/cleatlink/relay/calls/endpoint_reservation.py
+++ b/cleatlink/relay/calls/endpoint_reservation.py
@@ -83,7 +83,7 @@
             output_tokens: Estimated length of the answer, in tokens.
         """
         engine_properties = self._call.service.engine
-        is_enabled = self._components.capacity.switches.is_enabled(Mechanism.HOLDS)
+        is_enabled = self._components.capacity.switches.is_enabled(Mechanism.CAPACITY_RESERVATIONS)
         if engine_properties is None or not engine_properties.hold_s or not is_enabled:
             return ReservationOutcome.NOT_OFFERED
         if self._components.capacity.endpoint_limits.rate_per_s(endpoint.name) is not None:
--- a/cleatlink/relay/calls/endpoint_reservation_test.py
+++ b/cleatlink/relay/calls/endpoint_reservation_test.py
@@ -102,7 +102,7 @@
     async with open_fleet() as fleet:
         prefill, first, second = engines()
         await start_with_holds(fleet, prefill, first, second)
-        fleet.start_instance("a", Mechanism.HOLDS)
+        fleet.start_instance("a", Mechanism.CAPACITY_RESERVATIONS)
         await fleet.ready()
         reply = await fleet.caller(1).ask("/stream/x", "POST", body=b"p", headers=STREAM)
         assert (reply.status, first.held, second.held) == (200, [], [])
--- a/cleatlink/relay/endpoints/protocol.py
+++ b/cleatlink/relay/endpoints/protocol.py
@@ -346,11 +346,11 @@
             return EMPTY_NOTICE
         names = self.names
         leaving = b"1" in head.get_all(names.leaving)
-        rest_s = 0.0
+        backoff_s = 0.0
         if head.status in REJECTION_STATUSES:
-            rest_s = parse_backoff_s(head.get_all(names.retry_after_s))
+            backoff_s = parse_backoff_s(head.get_all(names.retry_after_s))
         rates = head.get_all(names.rate_per_s)
-        return EndpointNotice(leaving, rest_s, parse_rate_limit_per_s(rates), bool(rates))
+        return EndpointNotice(leaving, backoff_s, parse_rate_limit_per_s(rates), bool(rates))
 
     def belongs(self, head: ResponseHead, inbound: InboundRequest) -> bool:
         """Check whether a response carries the identifier of this request."""
--- a/cleatlink/relay/endpoints/response_notices.py
+++ b/cleatlink/relay/endpoints/response_notices.py
@@ -108,8 +108,8 @@
             return
         if notice.leaving:
             self._record_leaving(endpoint, head.status, now)
-        if notice.rest_s:
-            self._record_backoff(endpoint, notice.rest_s, now)
+        if notice.backoff_s:
+            self._record_backoff(endpoint, notice.backoff_s, now)
 
     def _log_unknown_headers(self, endpoint: RoutedEndpoint, head: ResponseHead) -> None:
         """Log headers that the relay does not read, since they may carry an unsupported notice."""
@@ -140,16 +140,16 @@
                 status=status,
             )
 
-    def _record_backoff(self, endpoint: RoutedEndpoint, rest_s: float, now: float) -> None:
+    def _record_backoff(self, endpoint: RoutedEndpoint, backoff_s: float, now: float) -> None:
         self._metrics.count_endpoint_notice("rest")
-        is_new = self._notices.note_backoff(endpoint.name, rest_s, now)
+        is_new = self._notices.note_backoff(endpoint.name, backoff_s, now)
         self._on_backoff(endpoint.name)
         if is_new and self._backoff_log_quota.allow(now):
             eliot.log_message(
                 message_type="endpoint: asks for a back-off",
                 endpoint=endpoint.name,
                 service=endpoint.service,
-                rest_s=rest_s,
+                rest_s=backoff_s,
             )
 
     def _record_limit(
--- a/cleatlink/relay/endpoints/response_notices_test.py
+++ b/cleatlink/relay/endpoints/response_notices_test.py
@@ -36,9 +36,9 @@
         (500, ((b"server-leaving", b" 1 "),), EndpointNotice(leaving=True)),
         (200, ((b"Server-Leaving", b"0"),), EMPTY_NOTICE),
         (200, ((b"Server-Leaving", b""),), EMPTY_NOTICE),
-        (503, (rest(b"3"),), EndpointNotice(rest_s=3.0)),
-        (503, (rest(b"0.25"), LEAVING), EndpointNotice(leaving=True, rest_s=0.25)),
-        (429, (rest(b"2"),), EndpointNotice(rest_s=2.0)),
+        (503, (rest(b"3"),), EndpointNotice(backoff_s=3.0)),
+        (503, (rest(b"0.25"), LEAVING), EndpointNotice(leaving=True, backoff_s=0.25)),
+        (429, (rest(b"2"),), EndpointNotice(backoff_s=2.0)),
         (200, (rest(b"3"),), EMPTY_NOTICE),
         (500, (rest(b"3"),), EMPTY_NOTICE),
         (200, (limit(b"3.6"),), EndpointNotice(rate_per_s=3.6, has_rate_limit=True)),
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize(
-    ("values", "rest_s"),
+    ("values", "backoff_s"),
     [
         ([b"-1"], 0.0),
         ([b"nan"], 0.0),
@@ -72,10 +72,10 @@
     ],
 )
 def test_malformed_backoff_is_ignored_and_a_long_one_is_capped(
-    values: list[bytes], rest_s: float
+    values: list[bytes], backoff_s: float
 ) -> None:
     head = ResponseHead(503, tuple(rest(value) for value in values))
-    assert PROTOCOL.read_notice(head).rest_s == rest_s
+    assert PROTOCOL.read_notice(head).backoff_s == backoff_s
 
 
 @pytest.mark.parametrize(
--- a/cleatlink/relay/peers/endpoint_limit_channel.py
+++ b/cleatlink/relay/peers/endpoint_limit_channel.py
@@ -120,4 +120,4 @@
             message.age_s,
             message.returned_totals,
         )
-        self._limits.take_totals(totals, now)
+        self._limits.record_peer_totals(totals, now)
--- a/cleatlink/relay/peers/organisation_usage_channel.py
+++ b/cleatlink/relay/peers/organisation_usage_channel.py
@@ -131,7 +131,7 @@
             heartbeat.limited_endpoint_count,
             heartbeat.age_s,
         )
-        self._endpoint_limits.take_totals(endpoint_totals, now)
+        self._endpoint_limits.record_peer_totals(endpoint_totals, now)
 
     def _record_totals(self, message: HeartbeatMessage | OrganisationUsage, now: float) -> None:
         totals = PeerTotals(
@@ -141,7 +141,7 @@
             message.used_name_count,
             message.age_s,
         )
-        self._limits.take_totals(totals, now)
+        self._limits.record_peer_totals(totals, now)
 
     def update_reachable_share(self, now: float) -> None:
         """Update the share of instances that are reachable now, on which the limits depend."""
--- a/cleatlink/relay/role_controller.py
+++ b/cleatlink/relay/role_controller.py
@@ -183,7 +183,7 @@
                 "most_rate": round(max(demand.rates, default=0.0), 2),
                 "prompt_s": round(demand.prompt_s, 4),
                 "stream_s": round(demand.stream_s, 3),
-                "places": round(demand.slots_per_decode, 1),
+                "places": round(demand.streams_per_decode, 1),
                 "late_share": round(demand.late_share(prefills, decodes), 3),
                 "seconds": demand.window_s,
             }
--- a/cleatlink/request/call_machine.py
+++ b/cleatlink/request/call_machine.py
@@ -119,7 +119,9 @@
                 self._in_flight = True
                 return [SendCall(self._attempt, endpoint)]
             case PlacementFailed(refusal):
-                return self._refuse(refusal if self._ran is ExecutionStatus.NO else self._failure())
+                return self._refuse(
+                    refusal if self._ran is ExecutionStatus.NO else self._failure_refusal()
+                )
             case AnswerReceived():
                 return self._finish(event)
             case OrderFailed():
@@ -139,16 +141,16 @@
         if event.cause is FailureCause.UNKNOWN:
             self._ran = ExecutionStatus.UNKNOWN
             if not self._repeatable:
-                return self._refuse(self._failure())
+                return self._refuse(self._failure_refusal())
         if self._attempt + 1 >= self._limits.max_attempts or not self._budget.try_spend():
-            return self._refuse(self._failure())
+            return self._refuse(self._failure_refusal())
         return [CountRetry(event.cause.value), FindPlacement(frozenset(self._excluded_names))]
 
     def _refuse(self, refusal: Refusal) -> list[CallAction]:
         self._is_done = True
         return [Refuse(refusal)]
 
-    def _failure(self) -> Refusal:
+    def _failure_refusal(self) -> Refusal:
         if self._ran is ExecutionStatus.NO:
             return Refusal(ErrorKind.ENDPOINT_REFUSED, "no endpoint accepted the call")
         return Refusal(ErrorKind.ENDPOINT_FAILED, "the call left, but no answer came")
--- a/cleatlink/request/idempotency_keys.py
+++ b/cleatlink/request/idempotency_keys.py
@@ -113,7 +113,7 @@
         if entry is not None:
             return self._compare_entry(entry, fingerprint)
         created_at = parse_key_time(key)
-        if created_at is None or not self._is_ours(created_at, owner_since, now):
+        if created_at is None or not self._is_grantable(created_at, owner_since, now):
             return ClaimResult(ClaimState.UNKNOWN)
         if len(self._entries) >= self._max_keys:
             return ClaimResult(ClaimState.FULL)
@@ -139,7 +139,7 @@
         return ClaimResult(ClaimState.DONE, entry.answer)
 
     @staticmethod
-    def _is_ours(created_at: float, owner_since: float, now: float) -> bool:
+    def _is_grantable(created_at: float, owner_since: float, now: float) -> bool:
         """Check that no other instance can have granted a key created at a given time."""
         is_recent = now - KEY_LIFETIME_S + MAX_CLOCK_SKEW_S < created_at < now + MAX_CLOCK_SKEW_S
         return is_recent and created_at - MAX_CLOCK_SKEW_S > owner_since
--- a/cleatlink/routing/demand.py
+++ b/cleatlink/routing/demand.py
@@ -58,7 +58,7 @@
             slot: a shorter burst occupies only part of the slots.
         prompt_s: Mean seconds that a prefill engine takes for a prompt.
         stream_s: Mean seconds for which a stream occupies a slot of a decode engine.
-        slots_per_decode: Number of streams of mean size that a decode engine runs at once.
+        streams_per_decode: Number of streams of mean size that a decode engine runs at once.
         slack_s: Seconds by which a stream may be delayed and still meet its target.
         decodes_compute_prompts: Whether decode engines may compute prompts besides prefill engines.
         requests: Number of streams that were counted.
@@ -68,7 +68,7 @@
     slot_rates: tuple[float, ...]
     prompt_s: float
     stream_s: float
-    slots_per_decode: float
+    streams_per_decode: float
     slack_s: float
     decodes_compute_prompts: bool
     requests: int
@@ -111,7 +111,7 @@
             prompt_s,
             DECODE_PROMPT_FACTOR * self.prompt_s / decode_speed,
             self.stream_s / decode_speed,
-            self.slots_per_decode,
+            self.streams_per_decode,
             self.slack_s - (prompt_s - self.prompt_s),
             self.slack_s,
             self.decodes_compute_prompts,
@@ -138,7 +138,7 @@
     prompt_s: float
     decode_prompt_s: float
     stream_s: float
-    slots_per_decode: float
+    streams_per_decode: float
     prompt_slack_s: float
     slack_s: float
     decodes_compute_prompts: bool
@@ -172,7 +172,7 @@
     shares = _DECODE_PROMPT_SHARES if demand.decodes_compute_prompts else (0.0,)
     if not prefills:
         shares = (1.0,)
-    slots = max(1, round(demand.slots_per_decode * decodes))
+    slots = max(1, round(demand.streams_per_decode * decodes))
     prompt_share_in_time = {
         rate: max(demand.prompts_in_time(rate, share, prefills, decodes) for share in shares)
         for rate in set(demand.rates)
--- a/cleatlink/routing/endpoint_limits_test.py
+++ b/cleatlink/routing/endpoint_limits_test.py
@@ -268,7 +268,7 @@
             self.received_at[receiver][sender] = now
             for report in reports:
                 self.instances[receiver].note_peer_announcement(report, now)
-            self.instances[receiver].take_totals(totals, now)
+            self.instances[receiver].record_peer_totals(totals, now)
         if int(now / self.TICK_S) % 20 == 0:
             for number, limits in enumerate(self.instances):
                 reachable = sum(now - at <= 1.6 for at in self.received_at[number])
--- a/cleatlink/routing/expected_retries.py
+++ b/cleatlink/routing/expected_retries.py
@@ -65,7 +65,7 @@
             The expected retry, or None if the stream is no retry, or not the first one.
         """
         key = _key(inbound)
-        work = self._capacity.find(key)
+        work = self._capacity.find_reservation(key)
         if work is None or work.ends_at <= now or key in self._arrived:
             return None
         self._arrived[key] = work
--- a/cleatlink/routing/mechanisms.py
+++ b/cleatlink/routing/mechanisms.py
@@ -30,7 +30,7 @@
     # Delay role changes while a lost endpoint may return.
     ROLE_CHANGE_DELAY = "shift-patience"
     # Reserve capacity at the decode before the prompt is computed.
-    HOLDS = "holds"
+    CAPACITY_RESERVATIONS = "holds"
     # Avoid endpoints that peers reported as slow or unreachable.
     PEER_REPORTS = "hints"
     # Prefer decodes of the own data centre.
--- a/cleatlink/routing/mechanisms_test.py
+++ b/cleatlink/routing/mechanisms_test.py
@@ -45,7 +45,9 @@
 
 def test_all_mechanisms_are_in_use_by_default() -> None:
     assert all(MechanismSwitches().is_enabled(mechanism) for mechanism in Mechanism)
-    switches = MechanismSwitches(frozenset({Mechanism.HOLDS, Mechanism.EXPECTED_RETRIES}))
+    switches = MechanismSwitches(
+        frozenset({Mechanism.CAPACITY_RESERVATIONS, Mechanism.EXPECTED_RETRIES})
+    )
     assert switches.disabled_names == ["holds", "returns"]
     assert [item for item in Mechanism if not switches.is_enabled(item)] == ["returns", "holds"]
 
--- a/cleatlink/routing/rejection_bounds_test.py
+++ b/cleatlink/routing/rejection_bounds_test.py
@@ -46,7 +46,9 @@
     def count_attempts(without: frozenset[Mechanism]) -> int:
         instances = [capacity_with("e1", without=without) for _ in range(82)]
         for instance in instances:
-            instance.add_peer_reservation("p", "k", Reservation("e1", Role.DECODE, 20_000, 9.0, 9.0))
+            instance.add_peer_reservation(
+                "p", "k", Reservation("e1", Role.DECODE, 20_000, 9.0, 9.0)
+            )
         count = 0
         for step in range(82):
             now = 1.0 + step * 0.01
--- a/cleatlink/routing/role_planner_test.py
+++ b/cleatlink/routing/role_planner_test.py
@@ -271,8 +271,8 @@
     prompt, output = int(kind.mean_prompt_tokens or 3000), 9 * int(kind.mean_output_events or 71)
     assert demand.prompt_s == pytest.approx(prompt / (kind.prompt_tokens_per_ms or 33.0) / 1000)
     assert demand.stream_s > output * (kind.decode_step_ms or 5.0) / 1000
-    assert demand.slots_per_decode <= traits.slots
-    assert demand.slots_per_decode * (prompt + output / 2) <= traits.memory_tokens * 1.01
+    assert demand.streams_per_decode <= traits.slots
+    assert demand.streams_per_decode * (prompt + output / 2) <= traits.memory_tokens * 1.01
 
 
 @pytest.mark.parametrize("kind", ENGINE_PROFILES, ids=lambda kind: kind.name)
--- a/cleatlink/routing/workload.py
+++ b/cleatlink/routing/workload.py
@@ -104,7 +104,7 @@
             for key in overdue:
                 self.remove_peer_reservation(peer, key)
 
-    def find(self, key: str) -> Reservation | None:
+    def find_reservation(self, key: str) -> Reservation | None:
         """Return the work under a key, of this instance or else of a peer."""
         sources = (self._own, *self._peers.values())
         return next((source[key] for source in sources if key in source), None)
--- a/cleatlink/serving/model_request_driver.py
+++ b/cleatlink/serving/model_request_driver.py
@@ -381,8 +381,8 @@
             view.note_failure(endpoint.name, now)
         elif error.leaving:
             view.note_leaving_refusal(endpoint.name, now)
-        elif error.rest_s:
-            view.note_backoff(endpoint.name, error.rest_s, now)
+        elif error.backoff_s:
+            view.note_backoff(endpoint.name, error.backoff_s, now)
         return OrderFailed(attempt, endpoint, classify_failure(error))
 
     def _build_order(self, endpoint: Endpoint, attempt: int, position: int) -> Order:
--- a/cleatlink/serving/outdated_configuration_test.py
+++ b/cleatlink/serving/outdated_configuration_test.py
@@ -41,10 +41,10 @@
 def block_new_configuration(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
     """Publish a new configuration that entry e2 knows of from heartbeats but can't fetch."""
 
-    async def ask(self: FakeLink, address: str, path: str, body: bytes) -> bytes:
+    async def send_request(self: FakeLink, address: str, path: str, body: bytes) -> bytes:
         raise PeerError("no answer")
 
-    monkeypatch.setattr(FakeLink, "send_request", ask)
+    monkeypatch.setattr(FakeLink, "send_request", send_request)
     world.entries["e2"].platform.cut = True
     world.platform.publish("config", _NEW_CONFIGURATION)
 
--- a/cleatlink/serving/refusals_test.py
+++ b/cleatlink/serving/refusals_test.py
@@ -25,7 +25,7 @@
 ) -> None:
     refusal = await _parse_error_response(httpx.Response(503, headers=headers, json=BODY))
     assert isinstance(refusal, EndpointRefusedError)
-    assert (refusal.rest_s, refusal.leaving) == (backoff_s, False)
+    assert (refusal.backoff_s, refusal.leaving) == (backoff_s, False)
 
 
 async def test_answer_of_a_call_that_may_have_run_is_not_a_refusal() -> None:
--- a/soak/ablations.py
+++ b/soak/ablations.py
@@ -113,7 +113,7 @@
 
 
 def _read_notice_without_backoff(self: Protocol, head: Any) -> EndpointNotice:
-    return _original_read_notice(self, head)._replace(rest_s=0.0)
+    return _original_read_notice(self, head)._replace(backoff_s=0.0)
 
 
 def _return_era_zero(self: StoreClient, head: Any) -> int:
@@ -219,7 +219,7 @@
         (FaultKind.LIMIT,),
     ),
     "key-withheld": Ablation(
-        _make_patch(OrganisationAccess, "judges_keys", False),
+        _make_patch(OrganisationAccess, "checks_api_keys", False),
         "workers are told whose a request is",
         (FaultKind.INSTANCE_RELOAD,),
     ),
--- a/standins/ablations.py
+++ b/standins/ablations.py
@@ -156,7 +156,9 @@
         "at most one execution",
     ),
     "key-age": Ablation(
-        _replace_attribute(IdempotencyKeyRegistry, "_is_ours", staticmethod(_accept_every_key)),
+        _replace_attribute(
+            IdempotencyKeyRegistry, "_is_grantable", staticmethod(_accept_every_key)
+        ),
         "owner_of_the_key_dies or all_entries_are_replaced",
         "at most one execution",
     ),
@@ -171,7 +173,7 @@
         "at most one execution",
     ),
     "ran-memory": Ablation(
-        _replace_attribute(CallMachine, "_failure", _report_not_run),
+        _replace_attribute(CallMachine, "_failure_refusal", _report_not_run),
         "connection_to_the_endpoint_fails and (during or after)",
         "'not run' is never reported for a call that may have run",
     ),
