--- a/cleatlink/relay/callers/newer_table_wait.py
+++ b/cleatlink/relay/callers/newer_table_wait.py
@@ -55,15 +55,15 @@
     @property
     def can_refuse_finally(self) -> bool:
         """Whether the table in force is up to date, so that a refusal by it may be final."""
-        return self._standing is TableFreshness.CURRENT
+        return self._freshness is TableFreshness.CURRENT
 
     @property
     def expects_newer_table(self) -> bool:
         """Whether a newer table exists that this instance has not received yet."""
-        return self._standing is TableFreshness.BEHIND
+        return self._freshness is TableFreshness.BEHIND
 
     @property
-    def _standing(self) -> TableFreshness:
+    def _freshness(self) -> TableFreshness:
         return self._tables.freshness(trio.current_time())
 
     def recheck_requests(self) -> None:
@@ -75,7 +75,7 @@
         """Replace a final refusal by a retryable one while the table may be out of date."""
         if refusal.kind not in _FINAL_KINDS or self.can_refuse_finally:
             return refusal
-        return Refusal(ErrorKind.NOT_READY, _RETRYABLE_DETAILS[self._standing])
+        return Refusal(ErrorKind.NOT_READY, _RETRYABLE_DETAILS[self._freshness])
 
     async def wait_and_route(
         self,
@@ -93,7 +93,7 @@
         Returns:
             The routed request, or its last refusal.
         """
-        if refusal.kind not in _FINAL_KINDS or self._standing is not TableFreshness.BEHIND:
+        if refusal.kind not in _FINAL_KINDS or self._freshness is not TableFreshness.BEHIND:
             return self.to_retryable(refusal)
         now = trio.current_time()
         behind_s = self._tables.behind_s(now)
@@ -130,7 +130,7 @@
     def _may_change(self, result: object) -> bool:
         """Check whether a newer table that is known to exist may change a result."""
         is_final = isinstance(result, Refusal) and result.kind in _FINAL_KINDS
-        return is_final and self._standing is TableFreshness.BEHIND
+        return is_final and self._freshness is TableFreshness.BEHIND
 
     async def _wait_for_change(self, until: float) -> bool:
         """Wait for a change until a time; return whether there was one."""
--- a/cleatlink/relay/callers/server.py
+++ b/cleatlink/relay/callers/server.py
@@ -107,8 +107,8 @@
         Args:
             data: The part of the request that has been received.
         """
-        size = max(self._handler.limits.header_bytes, _MIN_HEAD_BYTES) + _UNCOUNTED_HEAD_BYTES
-        parser = h11.Connection(h11.SERVER, max_incomplete_event_size=size)
+        max_bytes = max(self._handler.limits.header_bytes, _MIN_HEAD_BYTES) + _UNCOUNTED_HEAD_BYTES
+        parser = h11.Connection(h11.SERVER, max_incomplete_event_size=max_bytes)
         if data:
             parser.receive_data(data)
         return parser
@@ -149,8 +149,8 @@
 
     async def _watch(self, scope: trio.CancelScope) -> None:
         """Cancel the handler when the caller closes; buffer requests sent ahead."""
-        size = 0
-        while size < _READ_AHEAD_BYTES:
+        read_ahead_bytes = 0
+        while read_ahead_bytes < _READ_AHEAD_BYTES:
             try:
                 data = await self._stream.receive_some(_MAX_READ_BYTES)
             except (trio.BrokenResourceError, trio.ClosedResourceError):
@@ -159,7 +159,7 @@
                 self._must_close = True
                 scope.cancel()
                 return
-            size += len(data)
+            read_ahead_bytes += len(data)
             self._parser.receive_data(data)
 
     async def _read_request(self) -> RawRequest | None:
@@ -167,15 +167,15 @@
         head = await self._read_head()
         if head is None:
             return None
-        size = sum(len(name) + len(value) + 4 for name, value in head.headers)
-        if size + len(head.target) > self._handler.limits.header_bytes:
+        fields_bytes = sum(len(name) + len(value) + 4 for name, value in head.headers)
+        if fields_bytes + len(head.target) > self._handler.limits.header_bytes:
             raise _BadRequestError(431)
         target, headers = to_origin_form(head.target, tuple(head.headers.raw_items()))
         is_stored = not self._has_body(head) or self._handler.should_store_body(target, headers)
         body = b""
         if is_stored or not self._parser.they_are_waiting_for_100_continue:
             body = await self._read_body(is_stored)
-        return RawRequest(head.method, target, headers, body, is_whole=is_stored)
+        return RawRequest(head.method, target, headers, body, is_body_complete=is_stored)
 
     @staticmethod
     def _has_body(head: h11.Request) -> bool:
--- a/cleatlink/relay/callers/service.py
+++ b/cleatlink/relay/callers/service.py
@@ -53,12 +53,12 @@
 
 
 class _RoutedRequest(NamedTuple):
-    """A request's route, service and sender, according to one revision of the route table."""
+    """A request's route, service and caller, according to one revision of the route table."""
 
     revision: int
     route: Route
     service: RoutedService
-    holder: CallerIdentity
+    caller: CallerIdentity
 
 
 class RelayService(Handler):
@@ -68,8 +68,8 @@
         self._parts = parts
         self._index: RouteIndex | None = None
         self._newer_table_wait = NewerTableWait(parts.table_tracker, parts.planned_stop)
-        self._stream_admission = DecodeAdmission(parts)
-        self._plain_gate = PlainCallAdmission(parts)
+        self._decode_admission = DecodeAdmission(parts)
+        self._plain_admission = PlainCallAdmission(parts)
         self._in_flight = 0
         self._call_scopes: set[trio.CancelScope] = set()
 
@@ -91,7 +91,7 @@
     @property
     def decode_admission(self) -> DecodeAdmission:
         """Wait queue and admission of streams to decode endpoints."""
-        return self._stream_admission
+        return self._decode_admission
 
     def use_table(self, table: RouteTable) -> None:
         """Use a route table for requests that arrive from now on."""
@@ -168,17 +168,17 @@
                 await self._refuse_unrouted(exchange, inbound, routed)
                 return
             now = trio.current_time()
-            # Read again: the table also decides whether the key may be forwarded.
+            # Parse again: the newer table also decides whether the API key may be forwarded.
             inbound = self._read_inbound(raw, arrived_at)
-        if not raw.is_whole:
+        if not raw.is_body_complete:
             detail = "its route or key was not known yet when its head came"
             await self._refuse_unrouted(
                 exchange, inbound, Refusal(ErrorKind.NOT_READY, detail, _BODY_RETRY_S)
             )
             return
-        inbound = inbound._replace(organisation=routed.holder.name)
+        inbound = inbound._replace(organisation=routed.caller.name)
         call = Call(
-            inbound, routed.route, routed.service, routed.revision, parts, holder=routed.holder
+            inbound, routed.route, routed.service, routed.revision, parts, holder=routed.caller
         )
         parts.metrics.count_request(routed.route.kind.value)
         early_refusal = call.find_send_refusal()
@@ -204,7 +204,7 @@
         )
 
     def _identify(self, headers: Headers, route: Route) -> CallerIdentity | None:
-        """Return the sender of a request, or None if it has no sender that may call its route."""
+        """Return the caller of a request, or None if its route needs a known API key."""
         credentials = self._parts.protocol.read_credentials(headers)
         return self._parts.organisation_gate.identify(credentials, route)
 
@@ -252,7 +252,7 @@
         await self._send_refusal(exchange, refusal, request_id=inbound.request_id)
 
     def _route_request(self, inbound: InboundRequest, headers: Headers) -> _RoutedRequest | Refusal:
-        """Find a request's route, service and sender in the route table in force."""
+        """Find a request's route, service and caller in the route table in force."""
         index = self._index
         if index is None:
             return Refusal(ErrorKind.NOT_READY, "no route table is known yet")
@@ -262,10 +262,10 @@
         service = choose_service(route, self._parts.rng.random())
         if service is None or service not in index.table.services:
             return Refusal(ErrorKind.NO_ENDPOINT, "no service", _NO_SERVICE_RETRY_S)
-        holder = self._identify(headers, route)
-        if holder is None:
+        caller = self._identify(headers, route)
+        if caller is None:
             return Refusal(ErrorKind.UNKNOWN_KEY, "no organisation holds the request's key")
-        return _RoutedRequest(index.table.revision, route, index.table.services[service], holder)
+        return _RoutedRequest(index.table.revision, route, index.table.services[service], caller)
 
     async def _run(self, call: Call, exchange: Exchange) -> None:
         """Run a call until it is answered, its deadline passes or the planned stop ends."""
@@ -325,13 +325,13 @@
 
     async def _dispatch(self, call: Call, exchange: Exchange) -> None:
         if call.service.engine is None:
-            result = await PlainCall(call, self._plain_gate, self._parts).run()
+            result = await PlainCall(call, self._plain_admission, self._parts).run()
             if isinstance(result, Refusal):
                 await self._refuse_call(call, exchange, result)
             else:
                 await self._send_answer(call, exchange, result)
             return
-        outcome = await StreamCall(call, exchange, self._stream_admission, self._parts).run()
+        outcome = await StreamCall(call, exchange, self._decode_admission, self._parts).run()
         if outcome.refusal is not None:
             await self._refuse_call(call, exchange, outcome.refusal)
         elif not outcome.is_complete:
--- a/cleatlink/relay/callers/unusual_requests_test.py
+++ b/cleatlink/relay/callers/unusual_requests_test.py
@@ -49,8 +49,8 @@
 
 
 CASES = {
-    "the largest_head head": SentRequest((largest_head(),)),
-    "the largest_head head in parts": SentRequest((largest_head()[:-1], largest_head()[-1:])),
+    "the largest head": SentRequest((largest_head(),)),
+    "the largest head in parts": SentRequest((largest_head()[:-1], largest_head()[-1:])),
     "a target with percent-encoding": SentRequest(
         (request_head(target=b"/safe/%41%2Fb%25"),), target="/safe/%41%2Fb%25"
     ),
--- a/cleatlink/relay/exchange.py
+++ b/cleatlink/relay/exchange.py
@@ -18,14 +18,14 @@
         target: Path and query as received.
         headers: Headers as received.
         body: The body; empty if it was not kept.
-        is_whole: Whether ``body`` is the complete body that the caller sent.
+        is_body_complete: Whether ``body`` is the complete body that the caller sent.
     """
 
     method: bytes
     target: bytes
     headers: Headers
     body: bytes
-    is_whole: bool = True
+    is_body_complete: bool = True
 
 
 class AnswerStream(ABC):
