--- a/cleatlink/relay/endpoints/connection.py
+++ b/cleatlink/relay/endpoints/connection.py
@@ -78,7 +78,7 @@
                 fails.
             timeout_s: Seconds within which the connection must be established.
             on_head: Called with the head of each response, and with trailers after a body.
-            on_send: Called for each request that is sent.
+            on_send: Called before each request is sent.
 
         Raises:
             EndpointUnreachableError: The connection was not established.
@@ -249,7 +249,7 @@
             silence_timeout_s: Longest time without any byte of the body.
 
         Raises:
-            EndpointTimeoutError: No byte arrived for ``silence_s``.
+            EndpointTimeoutError: No byte arrived for ``silence_timeout_s``.
             StreamBrokenError: The body ended early or is longer than ``max_bytes``.
         """
         parts: list[bytes] = []
@@ -261,12 +261,14 @@
                 raise StreamBrokenError("the response body exceeds the size limit")
         return b"".join(parts)
 
-    async def _read_chunk_with_timeout(self, silence_s: float) -> bytes | None:
+    async def _read_chunk_with_timeout(self, silence_timeout_s: float) -> bytes | None:
         try:
-            with trio.fail_after(silence_s):
+            with trio.fail_after(silence_timeout_s):
                 return await self.read_chunk()
         except trio.TooSlowError as error:
-            raise EndpointTimeoutError(f"no byte of the response body for {silence_s} s") from error
+            raise EndpointTimeoutError(
+                f"no byte of the response body for {silence_timeout_s} s"
+            ) from error
 
     async def _next_event(self) -> object:
         while True:
--- a/cleatlink/relay/endpoints/connection_test.py
+++ b/cleatlink/relay/endpoints/connection_test.py
@@ -185,13 +185,13 @@
 
 
 @pytest.mark.virtual_time
-async def test_pause_longer_than_the_silence_limit_raises_endpoint_silent() -> None:
+async def test_pause_longer_than_the_silence_timeout_raises_endpoint_timeout() -> None:
     async with pausing_connection(0.6) as connection:
         with pytest.raises(EndpointTimeoutError):
             await connection.read_body(1000, silence_timeout_s=0.5)
 
 
 @pytest.mark.virtual_time
-async def test_pause_shorter_than_the_silence_limit_is_accepted() -> None:
+async def test_pause_shorter_than_the_silence_timeout_is_accepted() -> None:
     async with pausing_connection(0.4) as connection:
         assert await connection.read_body(1000, silence_timeout_s=0.5) == b"ok"
--- a/cleatlink/relay/endpoints/pool.py
+++ b/cleatlink/relay/endpoints/pool.py
@@ -60,7 +60,7 @@
             on_head: Called with the head of each response of an endpoint.
             is_leaving: Returns whether an incarnation is shutting down; no idle connections are
                 kept to it.
-            on_send: Called for each request that is sent to an endpoint.
+            on_send: Called before each request is sent to an endpoint.
         """
         self._on_send = on_send
         self._is_leaving = is_leaving
@@ -137,7 +137,7 @@
         return Response(head, body)
 
     def return_unused(self, endpoint: RoutedEndpoint, connection: EndpointConnection) -> None:
-        """Return a connection to the pool that was taken but not used."""
+        """Return to the pool a connection that was acquired but not used."""
         idle = self._idle.setdefault(endpoint.name, deque())
         if connection.is_reusable and len(idle) < self._max_idle(endpoint):
             idle.append(connection)
@@ -163,40 +163,41 @@
     def close_expired(self) -> None:
         """Close connections whose idle time exceeds ``IDLE_LIMIT_S``."""
         now = trio.current_time()
-        for name in list(self._idle):
-            idle = self._idle[name]
+        for incarnation in list(self._idle):
+            idle = self._idle[incarnation]
             while idle and not idle[0].is_within_idle_limit(now, IDLE_LIMIT_S):
                 idle.popleft().close()
             if not idle:
-                del self._idle[name]
+                del self._idle[incarnation]
         self._known_connections = {
-            name: connections
-            for name, connections in self._known_connections.items()
+            incarnation: connections
+            for incarnation, connections in self._known_connections.items()
             if connections
         }
 
-    def has_open_connection(self, name: str) -> bool:
+    def has_open_connection(self, incarnation: str) -> bool:
         """Check whether any known connection to an incarnation is still open."""
         return any(
-            connection.is_open_without_input for connection in self._known_connections.get(name, ())
+            connection.is_open_without_input
+            for connection in self._known_connections.get(incarnation, ())
         )
 
-    def abort_connections(self, name: str) -> None:
+    def abort_connections(self, incarnation: str) -> None:
         """Close all connections to an incarnation that has ended, including those in use.
 
         Otherwise a stream that is stuck behind a network partition would last until the
-        detection of silence ends it.
+        silence timeout ends it.
         """
-        for connection in self._known_connections.pop(name, ()):
+        for connection in self._known_connections.pop(incarnation, ()):
             connection.close()
-        self._idle.pop(name, None)
+        self._idle.pop(incarnation, None)
 
-    def close_idle(self, name: str) -> None:
+    def close_idle(self, incarnation: str) -> None:
         """Close the idle connections to an incarnation that no longer exists."""
-        for connection in self._idle.pop(name, ()):
+        for connection in self._idle.pop(incarnation, ()):
             connection.close()
 
     def close(self) -> None:
         """Close all idle connections."""
-        for name in list(self._idle):
-            self.close_idle(name)
+        for incarnation in list(self._idle):
+            self.close_idle(incarnation)
--- a/cleatlink/relay/endpoints/protocol.py
+++ b/cleatlink/relay/endpoints/protocol.py
@@ -218,10 +218,10 @@
             last_event=None if last_event is None else int(_parse_number(last_event, 0)),
         )
 
-    def _filter_request_headers(self, headers: Headers, withholds_key: bool) -> Headers:
+    def _filter_request_headers(self, headers: Headers, removes_api_key: bool) -> Headers:
         """Drop hop-by-hop headers, those listed in Connection, and those that the relay sets."""
         dropped = set(self._never_forwarded)
-        if withholds_key:
+        if removes_api_key:
             dropped.add(self.names.credentials)
         for name, value in headers:
             if name.lower() == b"connection":
--- a/cleatlink/relay/endpoints/response_notices.py
+++ b/cleatlink/relay/endpoints/response_notices.py
@@ -93,8 +93,8 @@
         self._unknown_headers: set[bytes] = set()
         self._notices = notices
         self._metrics = metrics
-        self._backoff_log_quota = LogRateLimit(_MAX_LOG_LINES, _LOG_WINDOW_S)
-        self._limit_log_quota = LogRateLimit(_MAX_LOG_LINES, _LOG_WINDOW_S)
+        self._backoff_log_limit = LogRateLimit(_MAX_LOG_LINES, _LOG_WINDOW_S)
+        self._limit_change_log_limit = LogRateLimit(_MAX_LOG_LINES, _LOG_WINDOW_S)
 
     def process_head(self, endpoint: RoutedEndpoint, head: ResponseHead) -> None:
         """Process the notice in a response of an endpoint; most responses carry none."""
@@ -140,16 +140,16 @@
                 status=status,
             )
 
-    def _record_backoff(self, endpoint: RoutedEndpoint, rest_s: float, now: float) -> None:
+    def _record_backoff(self, endpoint: RoutedEndpoint, backoff_s: float, now: float) -> None:
         self._metrics.count_endpoint_notice("rest")
-        is_new = self._notices.note_backoff(endpoint.name, rest_s, now)
+        is_new = self._notices.note_backoff(endpoint.name, backoff_s, now)
         self._on_backoff(endpoint.name)
-        if is_new and self._backoff_log_quota.allow(now):
+        if is_new and self._backoff_log_limit.allow(now):
             eliot.log_message(
                 message_type="endpoint: asks for a back-off",
                 endpoint=endpoint.name,
                 service=endpoint.service,
-                rest_s=rest_s,
+                rest_s=backoff_s,
             )
 
     def _record_limit(
@@ -171,7 +171,7 @@
         if not self._limits.note_answer(endpoint.name, notice.rate_per_s, now):
             return
         self._on_limit_changed(endpoint.name)
-        if self._limit_log_quota.allow(now):
+        if self._limit_change_log_limit.allow(now):
             eliot.log_message(
                 message_type="endpoint: rate limit changed",
                 endpoint=endpoint.name,
--- a/cleatlink/relay/endpoints/response_notices_test.py
+++ b/cleatlink/relay/endpoints/response_notices_test.py
@@ -18,12 +18,12 @@
 LEAVING = (b"Server-Leaving", b"1")
 
 
-def rest(value: bytes) -> tuple[bytes, bytes]:
+def backoff_header(value: bytes) -> tuple[bytes, bytes]:
     """Return the header with which an endpoint asks for a back-off."""
     return (b"Retry-After", value)
 
 
-def limit(value: bytes) -> tuple[bytes, bytes]:
+def limit_header(value: bytes) -> tuple[bytes, bytes]:
     """Return the header with which an endpoint names a rate limit."""
     return (b"Server-Limit", value)
 
@@ -36,16 +36,20 @@
         (500, ((b"server-leaving", b" 1 "),), EndpointNotice(leaving=True)),
         (200, ((b"Server-Leaving", b"0"),), EMPTY_NOTICE),
         (200, ((b"Server-Leaving", b""),), EMPTY_NOTICE),
-        (503, (rest(b"3"),), EndpointNotice(rest_s=3.0)),
-        (503, (rest(b"0.25"), LEAVING), EndpointNotice(leaving=True, rest_s=0.25)),
-        (429, (rest(b"2"),), EndpointNotice(rest_s=2.0)),
-        (200, (rest(b"3"),), EMPTY_NOTICE),
-        (500, (rest(b"3"),), EMPTY_NOTICE),
-        (200, (limit(b"3.6"),), EndpointNotice(rate_per_s=3.6, has_rate_limit=True)),
-        (500, (limit(b"3"), LEAVING), EndpointNotice(True, 0.0, 3.0, has_rate_limit=True)),
-        (503, (limit(b"2"), rest(b"1")), EndpointNotice(False, 1.0, 2.0, has_rate_limit=True)),
+        (503, (backoff_header(b"3"),), EndpointNotice(rest_s=3.0)),
+        (503, (backoff_header(b"0.25"), LEAVING), EndpointNotice(leaving=True, rest_s=0.25)),
+        (429, (backoff_header(b"2"),), EndpointNotice(rest_s=2.0)),
+        (200, (backoff_header(b"3"),), EMPTY_NOTICE),
+        (500, (backoff_header(b"3"),), EMPTY_NOTICE),
+        (200, (limit_header(b"3.6"),), EndpointNotice(rate_per_s=3.6, has_rate_limit=True)),
+        (500, (limit_header(b"3"), LEAVING), EndpointNotice(True, 0.0, 3.0, has_rate_limit=True)),
+        (
+            503,
+            (limit_header(b"2"), backoff_header(b"1")),
+            EndpointNotice(False, 1.0, 2.0, has_rate_limit=True),
+        ),
         # Another endpoint answers at the address: its headers say nothing about the one called.
-        (421, (LEAVING, rest(b"3"), limit(b"1")), EMPTY_NOTICE),
+        (421, (LEAVING, backoff_header(b"3"), limit_header(b"1")), EMPTY_NOTICE),
     ],
 )
 def test_notice_is_read_from_status_and_headers(
@@ -74,7 +78,7 @@
 def test_malformed_backoff_is_ignored_and_a_long_one_is_capped(
     values: list[bytes], rest_s: float
 ) -> None:
-    head = ResponseHead(503, tuple(rest(value) for value in values))
+    head = ResponseHead(503, tuple(backoff_header(value) for value in values))
     assert PROTOCOL.read_notice(head).rest_s == rest_s
 
 
@@ -99,7 +103,7 @@
 def test_malformed_limit_is_ignored_and_extreme_ones_are_bounded(
     values: list[bytes], rate_per_s: float | None
 ) -> None:
-    notice = PROTOCOL.read_notice(ResponseHead(200, tuple(limit(value) for value in values)))
+    notice = PROTOCOL.read_notice(ResponseHead(200, tuple(limit_header(value) for value in values)))
     assert notice == EndpointNotice(rate_per_s=rate_per_s, has_rate_limit=True)
 
 
@@ -118,17 +122,17 @@
                 assert (await fleet.caller().ask("/safe/x")).status == 200
     finally:
         eliot.remove_destination(collect)
-    found = [
+    changes = [
         (line["before"], line["per_s"])
         for line in lines
         if line.get("message_type") == "endpoint: rate limit changed"
         and line["endpoint"] == worker.name
     ]
-    assert found == [(None, 50.0), (50.0, 20.0), (20.0, None)]
+    assert changes == [(None, 50.0), (50.0, 20.0), (20.0, None)]
 
 
 async def test_unknown_header_is_logged_once() -> None:
-    """Endpoints named a limit for days in a header that no instance read, and none logged it."""
+    """Guards against a limit in a header that no instance reads or logs; this lasted for days."""
     lines: list[dict[str, Any]] = []
     collect = lines.append
     eliot.add_destinations(collect)
@@ -198,12 +202,12 @@
             metrics = fleet.instances[0].render_metrics().decode()
     finally:
         eliot.remove_destination(collect)
-    found = [
+    leaving_lines = [
         line
         for line in lines
         if line.get("message_type")
         == "endpoint: response says that it is shutting down; it gets no new work"
         and line["endpoint"] == worker.name
     ]
-    assert len(found) == 1
+    assert len(leaving_lines) == 1
     assert 'cleatlink_relay_endpoint_notices_total{kind="leaving"}' in metrics
--- a/cleatlink/relay/endpoints/unacknowledged_bytes_test.py
+++ b/cleatlink/relay/endpoints/unacknowledged_bytes_test.py
@@ -33,7 +33,7 @@
 
     def fail(*_: Any) -> bytes:
         queries.append(1)
-        raise OSError("not served")
+        raise OSError("not supported")
 
     monkeypatch.setattr(
         unacknowledged_bytes, "_platform_support", unacknowledged_bytes._PlatformSupport()
--- a/cleatlink/relay/sockets.py
+++ b/cleatlink/relay/sockets.py
@@ -15,23 +15,25 @@
 _BACKLOG = 512
 
 
-def set_connection_options(sock: socket.socket | trio.socket.SocketType, silence_s: float) -> None:
+def set_connection_options(
+    sock: socket.socket | trio.socket.SocketType, ack_timeout_s: float
+) -> None:
     """Disable Nagle's algorithm, and detect unresponsive peers.
 
     Args:
         sock: The socket of a connection.
-        silence_s: Time without an acknowledgement of sent data after which the kernel closes the
-            connection, in seconds.
+        ack_timeout_s: Seconds that sent data may stay unacknowledged before the kernel closes the
+            connection.
     """
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(1000 * silence_s))
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(1000 * ack_timeout_s))
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _KEEPALIVE_IDLE_S)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _KEEPALIVE_IDLE_S)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _KEEPALIVE_PROBES)
 
 
-async def connect(host: str, port: int, silence_s: float) -> trio.SocketStream:
+async def connect(host: str, port: int, ack_timeout_s: float) -> trio.SocketStream:
     """Connect to an IP address.
 
     Raises:
@@ -39,7 +41,7 @@
     """
     sock = trio.socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
-        set_connection_options(sock, silence_s)
+        set_connection_options(sock, ack_timeout_s)
         await sock.connect((host, port))
     except BaseException:
         sock.close()
