--- a/cleatlink/relay/daemon.py
+++ b/cleatlink/relay/daemon.py
@@ -18,14 +18,14 @@
 
 
 async def run_relay(
-    load: Callable[[], RelaySettings],
+    load_settings: Callable[[], RelaySettings],
     protocol: Protocol,
     open_source: Callable[[RelaySettings], ConfigurationSource],
 ) -> None:
     """Run a relay instance.
 
     Args:
-        load: Loads the settings; called again on SIGHUP.
+        load_settings: Loads the settings; called again on SIGHUP.
         protocol: Names of headers and paths on the wire.
         open_source: Opens the client of the configuration service.
 
@@ -34,7 +34,7 @@
     """
     # Open the receiver before loading the settings, so that no SIGHUP for a later change is missed.
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
-        settings = load()
+        settings = load_settings()
         writer = install_log_writer()
         incarnation = unix_ms()
         instance = RelayInstance(settings, protocol, open_source(settings), incarnation, writer)
@@ -46,16 +46,16 @@
                 nursery.cancel_scope.cancel()
 
             nursery.start_soon(serve)
-            async for number in signals:
-                if number == signal.SIGHUP:
-                    _reload(load, instance)
+            async for signal_number in signals:
+                if signal_number == signal.SIGHUP:
+                    _reload(load_settings, instance)
                 else:
                     stop.set()
 
 
-def _reload(load: Callable[[], RelaySettings], instance: RelayInstance) -> None:
+def _reload(load_settings: Callable[[], RelaySettings], instance: RelayInstance) -> None:
     try:
-        instance.reload(load())
+        instance.reload(load_settings())
     except ConfigurationError as error:
         eliot.log_message(
             message_type="instance: new settings are invalid, keeps the current settings",
--- a/cleatlink/relay/daemon_test.py
+++ b/cleatlink/relay/daemon_test.py
@@ -91,8 +91,8 @@
             "instance: begins a planned stop",
             "instance: completed its planned stop",
         ]
-        found = [text for text in message_types if text.startswith("instance: ")]
-        assert found == expected
+        instance_events = [text for text in message_types if text.startswith("instance: ")]
+        assert instance_events == expected
         assert "source: configuration service answers" in message_types
         assert "relay: is answered" in message_types
 
--- a/cleatlink/relay/endpoint_incarnations_test.py
+++ b/cleatlink/relay/endpoint_incarnations_test.py
@@ -95,8 +95,8 @@
             assert (await fleet.caller().ask("/unsafe/x", "POST", body=b"x")).status == 502
         restarted = await restart_as(fleet, worker, Worker("plain"))
         capacity = fleet.instances[0].capacity
-        reached = capacity.reachable_endpoints("plain", Role.PLAIN, trio.current_time())
-        assert [endpoint.born for endpoint in reached] == [restarted.born]
+        reachable = capacity.reachable_endpoints("plain", Role.PLAIN, trio.current_time())
+        assert [endpoint.born for endpoint in reachable] == [restarted.born]
         assert (await fleet.caller().ask("/unsafe/x", "POST", body=b"x")).status == 200
         assert len(restarted.runs) == 1
 
--- a/cleatlink/relay/endpoints/crash_detector_test.py
+++ b/cleatlink/relay/endpoints/crash_detector_test.py
@@ -22,9 +22,9 @@
 def record_crashes(fleet: Fleet, monkeypatch: pytest.MonkeyPatch) -> list[Crash]:
     """Record the crashes that the first instance reports."""
     reported: list[Crash] = []
-    crash_watch = fleet.instances[0]._crash_watch
+    crash_detector = fleet.instances[0]._crash_detector
     monkeypatch.setattr(
-        crash_watch,
+        crash_detector,
         "_on_crash",
         lambda endpoint, requests: reported.append((endpoint.name, requests)),
     )
@@ -100,7 +100,7 @@
 
 async def test_silent_address_is_not_a_crash(nursery: trio.Nursery) -> None:
     reported: list[Crash] = []
-    crash_watch = CrashDetector(
+    crash_detector = CrashDetector(
         ConnectionPool(),
         RelayMetrics(),
         spawn=nursery.start_soon,
@@ -117,7 +117,7 @@
             await sock.connect(("127.0.0.1", port))
     address = f"127.0.0.1:{port}"
     endpoint = RoutedEndpoint("e", address, "a", "plain", Role.PLAIN, slots=1)
-    crash_watch.report_broken_request(endpoint, b"x", 0.1)
+    crash_detector.report_broken_request(endpoint, b"x", 0.1)
     await trio.sleep(0.9)
     assert reported == []
     for sock in (*backlog, listener):
--- a/cleatlink/relay/final_refusals_test.py
+++ b/cleatlink/relay/final_refusals_test.py
@@ -160,7 +160,7 @@
         assert "authorization" not in worker.arrivals[0].headers
 
 
-async def test_unknown_key_is_not_denied_with_outdated_table() -> None:
+async def test_unknown_key_gets_no_final_refusal_from_outdated_table() -> None:
     async with open_fleet() as fleet:
         fleet.organisations = organisations("k-old")
         await start(fleet, Worker("plain"))
@@ -177,11 +177,11 @@
     async with open_fleet() as fleet:
         await start(fleet, Worker("plain"))
         report_newer_table(fleet.instances[0])
-        for deadline_ms, least_ms, most_ms in ((400, 100, 150), (60_000, 500, 600)):
+        for deadline_ms, min_ms, max_ms in ((400, 100, 150), (60_000, 500, 600)):
             headers = {"Deadline-Milliseconds": str(deadline_ms)}
             reply = await fleet.caller().ask("/new/x", headers=headers)
             assert reply.status == 503
-            assert least_ms <= wait_lines[-1]["waited_ms"] <= most_ms
+            assert min_ms <= wait_lines[-1]["waited_ms"] <= max_ms
             assert wait_lines[-1]["outcome"] == "not_ready"
 
 
@@ -217,7 +217,7 @@
         assert [line["outcome"] for line in wait_lines] == ["stopping"]
 
 
-async def test_newest_table_without_route_denies_waiting_request(
+async def test_newest_table_without_route_refuses_waiting_request_finally(
     wait_lines: list[dict[str, Any]],
 ) -> None:
     async with open_fleet() as fleet:
@@ -232,7 +232,7 @@
         assert [line["outcome"] for line in wait_lines] == ["not_found"]
 
 
-async def test_current_table_denies_without_wait(wait_lines: list[dict[str, Any]]) -> None:
+async def test_current_table_refuses_finally_without_wait(wait_lines: list[dict[str, Any]]) -> None:
     async with open_fleet() as fleet:
         fleet.organisations = organisations("k-old")
         await start(fleet, Worker("plain"))
@@ -288,8 +288,8 @@
 
 
 @pytest.mark.parametrize("mode", [StoreMode.BUSY, StoreMode.SILENT, StoreMode.RESET])
-async def test_no_final_denial_while_no_instance_reaches_service(mode: StoreMode) -> None:
-    """Guards against denying routes and keys added while the service was unreachable."""
+async def test_no_final_refusal_while_no_instance_reaches_service(mode: StoreMode) -> None:
+    """Guards against final refusals of routes and keys added while the service was unreachable."""
     async with open_fleet() as fleet:
         fleet.organisations = organisations("k-old")
         await start(fleet, Worker("plain"))
@@ -310,7 +310,7 @@
         assert (await fleet.caller(1).ask("/new/x")).status == 404
 
 
-async def test_no_final_denial_with_table_received_only_from_peer() -> None:
+async def test_no_final_refusal_with_table_received_only_from_peer() -> None:
     async with open_fleet() as fleet:
         await start(fleet, Worker("plain"))
         fleet.store.mode = StoreMode.RESET
@@ -321,7 +321,7 @@
         assert (await fleet.caller(1).ask("/new/x")).status == 503
 
 
-async def test_peer_in_contact_with_service_allows_final_denial() -> None:
+async def test_peer_in_contact_with_service_allows_final_refusal() -> None:
     async with open_fleet() as fleet:
         await start(fleet, Worker("plain"))
         fleet.start_instance()
@@ -331,7 +331,7 @@
         assert (await fleet.caller(1).ask("/new/x")).status == 404
 
 
-async def test_final_denials_continue_across_long_polls() -> None:
+async def test_final_refusals_continue_across_long_polls() -> None:
     async with open_fleet() as fleet:
         await start(fleet, Worker("plain"))
         caller = fleet.caller()
--- a/cleatlink/relay/fleet_test.py
+++ b/cleatlink/relay/fleet_test.py
@@ -48,7 +48,7 @@
     async with open_fleet() as fleet:
         first, second = Worker("plain"), Worker("plain")
         await start(fleet, first, second)
-        # A refused watch would mark the source as lost, and the removal as doubtful.
+        # A watch that fails counts as an outage of the store, after which removals are delayed.
         await fleet.until(lambda: fleet.store.watching)
         fleet.store.mode = StoreMode.BUSY
         await trio.sleep(0.1)
@@ -188,7 +188,7 @@
         assert 2.0 < trio.current_time() - stopped_at < 2.9
 
 
-async def test_removal_right_after_store_outage_is_doubted_only_briefly() -> None:
+async def test_removal_right_after_store_outage_is_delayed_only_briefly() -> None:
     async with open_fleet() as fleet:
         expired, removed, leaving = Worker("plain"), Worker("plain"), Worker("plain")
         await start(fleet, expired, removed, leaving)
--- a/cleatlink/relay/following/early_response_head_test.py
+++ b/cleatlink/relay/following/early_response_head_test.py
@@ -14,5 +14,5 @@
     for unresponsive.
     """
     async with open_client(SlowStore(0.0, parts=1, pause_s=1.5)) as client:
-        found = await client.get("/kv-watch", 3.0)
-        assert found.body == BODY
+        store_answer = await client.get("/kv-watch", 3.0)
+        assert store_answer.body == BODY
--- a/cleatlink/relay/following/follower.py
+++ b/cleatlink/relay/following/follower.py
@@ -108,18 +108,18 @@
         pool: ConnectionPool,
         metrics: RelayMetrics,
         *,
-        tables: TableTracker,
+        table_tracker: TableTracker,
         rng: random.Random,
         hooks: FollowerHooks,
-        leaving_s: float,
+        endpoint_leave_s: float,
     ) -> None:
         self.records = FleetRecords()
-        self._tables = tables
+        self._table_tracker = table_tracker
         self._source = source
         self._metrics = metrics
         self._rng = rng
         self._hooks = hooks
-        self._leaving_s = leaving_s
+        self._endpoint_leave_s = endpoint_leave_s
         self._registrations = Registrations(
             self.records,
             capacity,
@@ -127,10 +127,10 @@
             metrics,
             spawn=hooks.spawn,
             on_change=hooks.on_endpoints_change,
-            leaving_s=leaving_s,
+            endpoint_leave_s=endpoint_leave_s,
         )
         # Full reads because of missing history, since the last incremental change.
-        self._consecutive_rereads = 0
+        self._consecutive_full_reads = 0
         self._connected = False
         # Whether this instance watched the service at its last check.
         self._has_watched = True
@@ -153,7 +153,7 @@
 
     async def run(self) -> None:
         """Read everything, then watch for changes; read everything again if history is missing."""
-        pause_s = _MIN_RETRY_S
+        retry_delay_s = _MIN_RETRY_S
         needs_full_read = True
         while True:
             try:
@@ -165,16 +165,16 @@
                 continue
             except PlatformError as error:
                 self._mark_disconnected(error)
-                await self._sleep_until_retry(pause_s * (0.5 + self._rng.random()))
-                pause_s = min(self._max_retry_s(), 2 * pause_s)
+                await self._sleep_until_retry(retry_delay_s * (0.5 + self._rng.random()))
+                retry_delay_s = min(self._max_retry_s(), 2 * retry_delay_s)
                 continue
             if change is None:
                 continue
             self._mark_connected(change)
-            pause_s = _MIN_RETRY_S
+            retry_delay_s = _MIN_RETRY_S
             needs_full_read = False
             if not change.is_full:
-                self._consecutive_rereads = 0
+                self._consecutive_full_reads = 0
             revision_before = self.records.complete_revision
             self._apply_change(change)
             self._hooks.announce(
@@ -185,14 +185,14 @@
 
     def _log_history_gone(self, error: HistoryUnavailableError) -> None:
         self._metrics.count_configuration_call("history_gone")
-        self._consecutive_rereads += 1
+        self._consecutive_full_reads += 1
         revision = self.records.complete_revision
         eliot.log_message(
             message_type="source: history is no longer available, reads everything again",
             error=str(error),
             after=revision.number,
             era=revision.era,
-            times=self._consecutive_rereads,
+            times=self._consecutive_full_reads,
         )
 
     def _reread_pause_s(self) -> float:
@@ -202,13 +202,13 @@
         from a copy. With it they make 10.
         """
         spread_s = min(_MAX_FULL_READ_SPREAD_S, self._hooks.count_instances() / _FULL_READS_PER_S)
-        pause_s = 0.0
-        if self._consecutive_rereads > 1:
-            pause_s = min(
+        delay_s = 0.0
+        if self._consecutive_full_reads > 1:
+            delay_s = min(
                 _MAX_FULL_READ_DELAY_S,
-                _MIN_FULL_READ_DELAY_S * 2 ** min(self._consecutive_rereads - 2, 8),
+                _MIN_FULL_READ_DELAY_S * 2 ** min(self._consecutive_full_reads - 2, 8),
             )
-        return pause_s + spread_s * self._rng.random()
+        return delay_s + spread_s * self._rng.random()
 
     async def _delay_next_call(self) -> None:
         delay_s = self._batch_delay_s()
@@ -221,7 +221,7 @@
         if instances <= _FULL_BATCH_INSTANCES:
             size_range = _FULL_BATCH_INSTANCES - _NO_BATCH_INSTANCES
             return _BATCH_DELAY_S * (instances - _NO_BATCH_INSTANCES) / size_range
-        max_s = max(_BATCH_DELAY_S, _MAX_BATCH_SHARE * self._leaving_s)
+        max_s = max(_BATCH_DELAY_S, _MAX_BATCH_SHARE * self._endpoint_leave_s)
         return min(max_s, _BATCH_DELAY_S * instances / _FULL_BATCH_INSTANCES)
 
     def poll_service(self) -> None:
@@ -308,7 +308,7 @@
 
     def _mark_connected(self, change: SourceChange) -> None:
         self._metrics.count_configuration_call("answered")
-        self._tables.note_service_response(trio.current_time())
+        self._table_tracker.note_service_response(trio.current_time())
         if not self._connected:
             self._connected = True
             self._reconnected_at = trio.current_time()
@@ -402,7 +402,7 @@
         if not self._connected:
             return
         try:
-            found = await self._source.read_table()
+            source_table = await self._source.read_table()
         except PlatformError as error:
             self._metrics.count_configuration_call("failed")
             eliot.log_message(
@@ -411,30 +411,30 @@
             )
             return
         self._metrics.count_configuration_call("table")
-        self._log_table_fault(found.fault)
-        if found.fault is not None:
+        self._log_table_fault(source_table.fault)
+        if source_table.fault is not None:
             return
-        revision = found.table.revision if found.table is not None else 0
-        self._tables.note_service_revision(revision, trio.current_time())
-        if found.table is not None:
-            self.take_table(found.table, "source")
+        revision = source_table.table.revision if source_table.table is not None else 0
+        self._table_tracker.note_service_revision(revision, trio.current_time())
+        if source_table.table is not None:
+            self.take_table(source_table.table, "source")
 
-    def note_peer_table(self, revision: int, peer: str, finds_source: bool = False) -> None:
+    def note_peer_table(self, revision: int, peer: str, is_service_reachable: bool = False) -> None:
         """Record the table revision that a peer has in force.
 
         Args:
             revision: The revision.
             peer: The peer's name.
-            finds_source: Whether the service answered the peer's last call.
+            is_service_reachable: Whether the service answered the peer's last call.
         """
         now = trio.current_time()
-        if finds_source and revision >= self._tables.revision_in_force:
-            self._tables.note_service_response(now)
-        if self._tables.note_revision(revision, now) and self._tables.is_behind:
+        if is_service_reachable and revision >= self._table_tracker.revision_in_force:
+            self._table_tracker.note_service_response(now)
+        if self._table_tracker.note_revision(revision, now) and self._table_tracker.is_behind:
             eliot.log_message(
                 message_type="source: a peer reports a newer route table",
                 revision=revision,
-                in_force=self._tables.revision_in_force,
+                in_force=self._table_tracker.revision_in_force,
                 peer=peer,
             )
 
@@ -444,8 +444,8 @@
         if not self.records.offer_table(table):
             return
         now = trio.current_time()
-        behind_s = self._tables.behind_s(now)
-        self._tables.set_in_force(table.revision, now)
+        behind_s = self._table_tracker.behind_s(now)
+        self._table_tracker.set_in_force(table.revision, now)
         self._hooks.apply_table(table)
         self._metrics.set_revision(table.revision)
         eliot.log_message(
--- a/cleatlink/relay/following/follower_test.py
+++ b/cleatlink/relay/following/follower_test.py
@@ -52,7 +52,7 @@
 
 
 def create_follower(
-    source: ConfigurationSource, members: int, leaving_s: float = 2.0, seed: int = 1
+    source: ConfigurationSource, members: int, endpoint_leave_s: float = 2.0, seed: int = 1
 ) -> Follower:
     """Create a follower in a fleet of ``members`` instances."""
     hooks = FollowerHooks(
@@ -63,10 +63,10 @@
         Capacity(),
         ConnectionPool(),
         RelayMetrics(),
-        tables=TableTracker(),
+        table_tracker=TableTracker(),
         rng=random.Random(seed),
         hooks=hooks,
-        leaving_s=leaving_s,
+        endpoint_leave_s=endpoint_leave_s,
     )
 
 
@@ -97,15 +97,15 @@
 
 
 @pytest.mark.parametrize(
-    ("members", "leaving_s", "min_calls", "max_calls"),
+    ("members", "endpoint_leave_s", "min_calls", "max_calls"),
     [(8, 2.0, 20, 1000), (62, 2.0, 1, 3), (195, 4.0, 1, 1), (195, 2.0, 2, 3)],
 )
 async def test_large_fleet_delays_calls_to_batch_changes(
-    members: int, leaving_s: float, min_calls: int, max_calls: int
+    members: int, endpoint_leave_s: float, min_calls: int, max_calls: int
 ) -> None:
     source = ChangingEachCallSource()
     with trio.move_on_after(0.4):
-        await create_follower(source, members, leaving_s).run()
+        await create_follower(source, members, endpoint_leave_s).run()
     assert min_calls <= len(source.waits_s) <= max_calls
 
 
@@ -241,10 +241,10 @@
             Capacity(),
             ConnectionPool(),
             RelayMetrics(),
-            tables=TableTracker(),
+            table_tracker=TableTracker(),
             rng=random.Random(number),
             hooks=hooks,
-            leaving_s=3.0,
+            endpoint_leave_s=3.0,
         )
 
     async def run(self) -> None:
--- a/cleatlink/relay/following/registrations.py
+++ b/cleatlink/relay/following/registrations.py
@@ -52,7 +52,7 @@
         *,
         spawn: Callable[..., None],
         on_change: Callable[[], None],
-        leaving_s: float,
+        endpoint_leave_s: float,
     ) -> None:
         """Initialise without registrations.
 
@@ -63,7 +63,7 @@
             metrics: Counters.
             spawn: Starts a background task that runs once.
             on_change: Called after endpoints changed.
-            leaving_s: Time after which a leaving endpoint must get no more requests.
+            endpoint_leave_s: Time after which a leaving endpoint must get no more requests.
         """
         self._records = records
         self._capacity = capacity
@@ -72,7 +72,7 @@
         self._spawn = spawn
         self._on_change = on_change
         self._reconnected_at = -RECOVERY_S
-        self._removal_delay_s = min(_MAX_REMOVAL_DELAY_S, _REMOVAL_DELAY_SHARE * leaving_s)
+        self._removal_delay_s = min(_MAX_REMOVAL_DELAY_S, _REMOVAL_DELAY_SHARE * endpoint_leave_s)
         self._fault_line_limit = LogRateLimit(_MAX_FAULT_LINES, _FAULT_LINES_WINDOW_S)
 
     def note_reconnected(self) -> None:
@@ -108,18 +108,18 @@
         return is_removed and not self._capacity.is_registered(endpoint)
 
     def _register(
-        self, record: EndpointRecord, endpoint: RoutedEndpoint, known: RoutedEndpoint | None
+        self, record: EndpointRecord, endpoint: RoutedEndpoint, previous: RoutedEndpoint | None
     ) -> None:
-        replaced = self._capacity.set_endpoint(endpoint)
-        if replaced is not None:
-            self._pool.abort_connections(replaced)
+        replaced_incarnation = self._capacity.set_endpoint(endpoint)
+        if replaced_incarnation is not None:
+            self._pool.abort_connections(replaced_incarnation)
             _log(
                 "source: an endpoint was restarted, closed connections to its previous incarnation",
                 record,
                 endpoint=endpoint.name,
-                before=replaced,
+                before=replaced_incarnation,
             )
-        if known != endpoint:
+        if previous != endpoint:
             _log(
                 "source: registered an endpoint",
                 record,
@@ -145,9 +145,9 @@
     def _handle_removal(
         self, record: EndpointRecord, before: EndpointRecord, *, is_era_changed: bool
     ) -> None:
-        known = before.endpoint
+        endpoint = before.endpoint
         delay_s = 0.0
-        if known is not None and not known.leaving:
+        if endpoint is not None and not endpoint.leaving:
             if is_era_changed:
                 delay_s = _RESTORE_REMOVAL_DELAY_S
             elif self._is_recovering():
--- a/cleatlink/relay/following/store_client_test.py
+++ b/cleatlink/relay/following/store_client_test.py
@@ -64,8 +64,8 @@
     Each call for it failed after a second.
     """
     async with open_client(SlowStore(0.5, parts=12, pause_s=0.25)) as client:
-        found = await client.get("/", TIMEOUT_S)
-        assert found.body == BODY
+        store_answer = await client.get("/", TIMEOUT_S)
+        assert store_answer.body == BODY
 
 
 async def test_connection_is_reused_after_slow_body() -> None:
--- a/cleatlink/relay/full_read.py
+++ b/cleatlink/relay/full_read.py
@@ -74,9 +74,13 @@
     async def _read_missing(self) -> SourceChange:
         while self._has_more:
             self._add_page(await self._read_page(self._last_key))
-        found = await self._read_table(self._revision.era)
+        source_table = await self._read_table(self._revision.era)
         return SourceChange(
-            found.table, self._records, self._revision, is_full=True, table_fault=found.fault
+            source_table.table,
+            self._records,
+            self._revision,
+            is_full=True,
+            table_fault=source_table.fault,
         )
 
     def _add_page(self, page: ListPage) -> None:
--- a/cleatlink/relay/full_read_test.py
+++ b/cleatlink/relay/full_read_test.py
@@ -17,7 +17,7 @@
 
     Attributes:
         pages: Pages that are not read yet.
-        requested_after: Key of each requested page.
+        requested_after: Key after which each requested page begins, in order of the requests.
     """
 
     def __init__(self, *pages: ListPage) -> None:
--- a/cleatlink/relay/instance.py
+++ b/cleatlink/relay/instance.py
@@ -48,8 +48,8 @@
 __all__ = ["RelayInstance"]
 
 
-# Mean interval between checks of idle connections and overdue work. Waiting calls are retried, too:
-# the capacity that they need can become free without an event.
+# Mean interval between checks of idle connections and overdue work. The checks also retry waiting
+# calls: the capacity that they need can become free without an event.
 _HOUSEKEEPING_S = 0.25
 # The platform checks readiness every second and removes an instance after two failed checks.
 _MIN_STOP_S = 2.2
@@ -66,8 +66,8 @@
 # Memory of a small machine, assumed if the machine's memory is not known.
 _DEFAULT_MEMORY_MB = 128.0
 _BYTES_PER_MB = 1_000_000
-# Number of instances assumed before any peer is heard from.
-_ASSUMED_INITIAL_MEMBERS = 12
+# Number of instances assumed until the first heartbeat of a peer arrives.
+_ASSUMED_INITIAL_INSTANCES = 12
 
 
 class RelayInstance:
@@ -89,31 +89,31 @@
         self._capacity.spill_over.crossing_share = settings.crossing_share
         self._metrics = RelayMetrics()
         notices = self._capacity.notices
-        self._answer_notices = ResponseNoticeReader(
+        self._notice_reader = ResponseNoticeReader(
             protocol,
             notices,
             self._capacity.endpoint_limits,
             metrics=self._metrics,
             on_leaving=self._handle_leaving,
-            on_backoff=self._announce_back_off,
+            on_backoff=self._announce_backoff,
             on_limit_changed=self._announce_limit,
         )
         self._pool = ConnectionPool(
             self._connection_limit,
-            self._answer_notices.process_head,
+            self._notice_reader.process_head,
             notices.is_leaving,
-            self._record_sent,
+            self._count_sent_call,
         )
         self._budgets = ServiceBudgets(settings)
         self._caller_memory = BufferedBytes(_caller_memory_limit_bytes(settings.memory_mb))
         self._planned_stop = PlannedStop()
         limits = OrganisationLimits(settings.limit_tolerance, trio.current_time())
-        self._gate = OrganisationAccess(limits)
-        self._tables = TableTracker()
+        self._organisation_access = OrganisationAccess(limits)
+        self._table_tracker = TableTracker()
         rng = random.Random(incarnation)
         self._quarantine = SharedQuarantine(settings.name, rng)
-        self._shared_notices = EndpointNoticeChannel(settings.name, notices, rng)
-        self._crash_watch = CrashDetector(
+        self._notice_channel = EndpointNoticeChannel(settings.name, notices, rng)
+        self._crash_detector = CrashDetector(
             self._pool, self._metrics, spawn=self._spawn, on_crash=self._quarantine.record_crash
         )
         self._parts = RelayComponents(
@@ -122,17 +122,17 @@
             self._pool,
             self._capacity,
             self._planned_stop,
-            self._gate,
-            self._tables,
+            self._organisation_access,
+            self._table_tracker,
             self._metrics,
             rng,
             self._budgets.get_budget,
-            self._estimate_members,
+            self._estimate_instance_count,
             self._announce_work,
-            self._announce_spending,
+            self._announce_usage,
             self._send_hint,
             self._announce_rejected_tokens,
-            self._crash_watch,
+            self._crash_detector,
             self._quarantine,
             self._spawn,
         )
@@ -140,7 +140,7 @@
         follower_hooks = FollowerHooks(
             self._service.use_table,
             self._announce_new_table,
-            self._offer_capacity,
+            self._place_waiting_streams,
             self._spawn,
             lambda: self._peers.live_instances,
             lambda: self._peers.must_watch(),  # noqa: PLW0108
@@ -151,17 +151,17 @@
             self._capacity,
             self._pool,
             self._metrics,
-            tables=self._tables,
+            table_tracker=self._table_tracker,
             rng=self._parts.rng,
             hooks=follower_hooks,
-            leaving_s=settings.endpoint_leave_s,
+            endpoint_leave_s=settings.endpoint_leave_s,
         )
         self._encoded_parts = EncodedParts(self._follower.records)
         hooks = PeerHooks(
-            self._known_state,
+            self._advertised_state,
             self._follower.poll_service,
             self._follower.apply_snapshot,
-            self._offer_capacity,
+            self._place_waiting_streams,
             self._record_peer_demand,
             self._close_connections,
             self._follower.apply_peer_update,
@@ -172,9 +172,9 @@
             settings,
             incarnation,
             self._capacity,
-            self._gate.limits,
+            self._organisation_access.limits,
             quarantine=self._quarantine,
-            notices=self._shared_notices,
+            notices=self._notice_channel,
             metrics=self._metrics,
             hooks=hooks,
         )
@@ -185,8 +185,8 @@
             capacity=self._capacity,
             peers=self._peers,
             metrics=self._metrics,
-            table=lambda: self._follower.records.table,
-            stopping=lambda: self._planned_stop.has_begun,
+            get_table=lambda: self._follower.records.table,
+            is_stopping=lambda: self._planned_stop.has_begun,
         )
         self._nursery: trio.Nursery | None = None
 
@@ -261,8 +261,8 @@
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             for listener, handler in listeners:
-                held = self._caller_memory if handler is self._service else None
-                nursery.start_soon(serve_connections, listener, handler, held)
+                memory = self._caller_memory if handler is self._service else None
+                nursery.start_soon(serve_connections, listener, handler, memory)
             self._peers.start(self._start_supervised, self._spawn)
             for task in (self._follower.run, self._run_housekeeping, self._role_controller.run):
                 self._start_supervised(task)
@@ -283,7 +283,7 @@
         self._settings = settings
         self._budgets.apply_settings(settings)
         self._capacity.spill_over.crossing_share = settings.crossing_share
-        self._gate.limits.set_tolerance(settings.limit_tolerance)
+        self._organisation_access.limits.set_tolerance(settings.limit_tolerance)
         eliot.log_message(message_type="instance: applies reloaded settings", name=settings.name)
 
     async def _stop(self) -> None:
@@ -315,7 +315,7 @@
 
     def _announce_new_table(self) -> None:
         self._peers.send_heartbeat()
-        self._offer_capacity()
+        self._place_waiting_streams()
 
     def _connection_limit(self, endpoint: RoutedEndpoint) -> float:
         """Return this instance's share of an endpoint's connection limit."""
@@ -323,32 +323,36 @@
         service = table.services.get(endpoint.service) if table is not None else None
         if service is None or not service.connection_limit:
             return math.inf
-        return service.connection_limit / self._estimate_members()
+        return service.connection_limit / self._estimate_instance_count()
 
     def _close_connections(self, incarnation: str) -> None:
         self._pool.close_idle(incarnation)
 
     def _handle_leaving(self, incarnation: str) -> None:
         self._close_connections(incarnation)
-        self._shared_notices.report_leaving(incarnation)
+        self._notice_channel.report_leaving(incarnation)
 
-    def _announce_back_off(self, incarnation: str) -> None:
-        self._shared_notices.report_backoff(incarnation)
+    def _announce_backoff(self, incarnation: str) -> None:
+        self._notice_channel.report_backoff(incarnation)
 
     def _announce_limit(self, incarnation: str) -> None:
         self._peers.announce_limit(incarnation)
 
-    def _record_sent(self, endpoint: RoutedEndpoint) -> None:
+    def _count_sent_call(self, endpoint: RoutedEndpoint) -> None:
         self._capacity.endpoint_limits.count_sent_call(endpoint.name, trio.current_time())
 
-    def _estimate_members(self) -> int:
-        known = self._peers.peak_live_instances
-        return max(known + 1, _ASSUMED_INITIAL_MEMBERS if known == 1 else 0)
+    def _estimate_instance_count(self) -> int:
+        """Return the assumed number of instances: one more than the highest number seen live.
+
+        Until a heartbeat of a peer has arrived, a larger number is assumed.
+        """
+        peak = self._peers.peak_live_instances
+        return max(peak + 1, _ASSUMED_INITIAL_INSTANCES if peak == 1 else 0)
 
     def _announce_work(self, *keys: str) -> None:
         self._peers.announce_work(*keys)
 
-    def _announce_spending(self) -> None:
+    def _announce_usage(self) -> None:
         self._peers.announce_usage()
 
     def _announce_rejected_tokens(self, endpoint: str, tokens: int) -> None:
@@ -357,7 +361,7 @@
     def _send_hint(self, endpoint: str, kind: HintKind) -> None:
         self._peers.announce_hint(endpoint, kind)
 
-    def _offer_capacity(self) -> None:
+    def _place_waiting_streams(self) -> None:
         self._service.decode_admission.place_waiting()
 
     def _start_supervised(self, task: Task) -> None:
@@ -368,7 +372,7 @@
         if self._nursery is not None:
             self._nursery.start_soon(run_and_log_errors, task, *args)
 
-    def _known_state(self) -> AdvertisedState:
+    def _advertised_state(self) -> AdvertisedState:
         records = self._follower.records
         return AdvertisedState(
             self._planned_stop.has_begun,
@@ -409,7 +413,7 @@
     def render_metrics(self) -> bytes:
         """Return the metrics as text."""
         if self._writer is not None:
-            self._metrics.set_dropped_log_lines(self._writer.dropped)
+            self._metrics.set_dropped_log_lines(self._writer.dropped_lines)
         self._metrics.set_held_bytes(self._caller_memory)
         return self._metrics.render()
 
--- a/cleatlink/relay/instance_pauses_test.py
+++ b/cleatlink/relay/instance_pauses_test.py
@@ -79,7 +79,7 @@
 
 
 async def test_pause_of_instance_does_not_make_endpoint_count_as_silent() -> None:
-    """Guards against avoiding an endpoint whose answer lay unread: 59 callers were refused."""
+    """Guards against avoiding an endpoint whose answer waits unread: 59 callers were refused."""
     async with open_fleet() as fleet:
         workers = Worker("plain"), Worker("plain")
         caller = await start_with_known_pace(fleet, *workers)
--- a/cleatlink/relay/logs.py
+++ b/cleatlink/relay/logs.py
@@ -48,17 +48,17 @@
 
     def __init__(self, descriptor: int, max_lines: int = _MAX_QUEUED_LINES) -> None:
         self._descriptor = descriptor
-        self._most_lines = max_lines
+        self._max_lines = max_lines
         self._lines: deque[bytes] = deque()
         self._pending = b""
         self._poll = select.poll()
         self._poll.register(descriptor, select.POLLOUT)
-        self.dropped = 0
+        self.dropped_lines = 0
 
     def __call__(self, message: dict[str, Any]) -> None:
         """Queue a message; this makes the writer an eliot destination."""
-        if len(self._lines) >= self._most_lines:
-            self.dropped += 1
+        if len(self._lines) >= self._max_lines:
+            self.dropped_lines += 1
             return
         message.pop("task_uuid", None)
         message.pop("task_level", None)
--- a/cleatlink/relay/metrics.py
+++ b/cleatlink/relay/metrics.py
@@ -150,9 +150,9 @@
         """Count a request that was cut off by the end of a planned stop."""
         self._cut_by_stop.inc({"kind": kind})
 
-    def count_kv_handle(self, fate: str) -> None:
+    def count_kv_handle(self, outcome: str) -> None:
         """Count a handle, which refers to a prefill's result, by its outcome."""
-        self._handles.inc({"fate": fate})
+        self._handles.inc({"fate": outcome})
 
     def count_configuration_call(self, outcome: str) -> None:
         """Count a call to the configuration service."""
@@ -213,10 +213,10 @@
             for which, speed in figures.items():
                 self._speeds.set({"which": which}, round(speed, 3))
 
-    def set_held_bytes(self, held: BufferedBytes) -> None:
+    def set_held_bytes(self, memory: BufferedBytes) -> None:
         """Set the bytes held for callers that read or send slowly, by kind."""
         for kind in BufferKind:
-            self._held_bytes.set({"kind": kind.value}, held.buffered(kind))
+            self._held_bytes.set({"kind": kind.value}, memory.buffered(kind))
 
     def set_dropped_log_lines(self, count: int) -> None:
         """Set the number of dropped log lines."""
--- a/cleatlink/relay/newer_route_table_refusals_test.py
+++ b/cleatlink/relay/newer_route_table_refusals_test.py
@@ -14,7 +14,7 @@
 
 
 async def start_with_outdated_table(fleet: Fleet) -> RelayInstance:
-    """Start an instance that was told of a newer table which does not exist."""
+    """Start an instance, and report to it a newer table that does not exist."""
     fleet.limits.update(_LIMITS)
     fleet.organisations = [{"name": "first", "api_keys": ["k-first"]}]
     fleet.add_route("/open/", "safe", "plain", public=True)
@@ -29,7 +29,7 @@
     assert float(reply.headers["retry-after"]) > 0.0
 
 
-async def test_unknown_key_is_not_denied_while_newer_table_is_missing() -> None:
+async def test_unknown_key_gets_no_final_refusal_while_newer_table_is_missing() -> None:
     """Guards against a 401 from a table that is known to be outdated."""
     async with open_fleet() as fleet:
         await start_with_outdated_table(fleet)
@@ -38,14 +38,14 @@
         )
 
 
-async def test_large_body_is_not_denied_while_newer_table_is_missing() -> None:
+async def test_large_body_gets_no_final_refusal_while_newer_table_is_missing() -> None:
     """Guards against a 413 from a table that is known to be outdated."""
     async with open_fleet() as fleet:
         await start_with_outdated_table(fleet)
         check_asks_for_retry(await fleet.caller().ask("/open/x", "POST", body=5_000 * b"b"))
 
 
-async def test_large_head_is_not_denied_while_newer_table_is_missing() -> None:
+async def test_large_head_gets_no_final_refusal_while_newer_table_is_missing() -> None:
     """Guards against a 431 from a table that is known to be outdated."""
     async with open_fleet() as fleet:
         await start_with_outdated_table(fleet)
--- a/cleatlink/relay/newer_route_table_test.py
+++ b/cleatlink/relay/newer_route_table_test.py
@@ -104,13 +104,13 @@
             snapshots.append,
             lambda: None,
             lambda work: None,
-            lambda life: None,
+            lambda incarnation: None,
             lambda update: None,
         )
-        received = LivePeers("n2", [], trio.current_time())
-        received.record_heartbeat(make_heartbeat(peer.address, 9), trio.current_time())
+        live_peers = LivePeers("n2", [], trio.current_time())
+        live_peers.record_heartbeat(make_heartbeat(peer.address, 9), trio.current_time())
         catch_up = CatchUp(
-            "a", hooks, received, RelayMetrics(), random.Random(1), must_watch=lambda: False
+            "a", hooks, live_peers, RelayMetrics(), random.Random(1), must_watch=lambda: False
         )
         for _ in range(5):
             catch_up.handle_heartbeat(make_heartbeat(peer.address, 9), nursery.start_soon)
@@ -120,7 +120,7 @@
     assert [item.table.revision for item in snapshots if item.table is not None] == [9]
 
 
-async def test_unknown_route_is_not_denied_while_newer_table_is_missing() -> None:
+async def test_unknown_route_gets_no_final_refusal_while_newer_table_is_missing() -> None:
     """Guards against a 404 from a table that is known to be outdated."""
     async with open_fleet() as fleet:
         await start(fleet, Worker("plain"))
--- a/cleatlink/relay/operations_test.py
+++ b/cleatlink/relay/operations_test.py
@@ -79,12 +79,12 @@
         ]
         assert (rows[-1]["kind"], rows[-1]["sends"]) == ("no_room", 0)
         assert rows[-1]["revision"] == 5
-        room = next(
+        reservation_line = next(
             row
             for row in log_file.lines_of(first_request)
             if row["message_type"] == "relay: decode capacity reserved"
         )
-        assert (room["endpoint"], room["reserved"]) == (decode.name, 150)
+        assert (reservation_line["endpoint"], reservation_line["reserved"]) == (decode.name, 150)
 
 
 async def test_timed_out_request_logs_its_endpoint(log_file: LogFile) -> None:
@@ -183,7 +183,7 @@
         for number in range(3000):
             writer({"message_type": "relay: x", "number": number, "text": "y" * 200})
             writer.flush()
-        assert writer.dropped > 0
+        assert writer.dropped_lines > 0
         size = len(os.read(reading, 1_000_000))
         assert size > 0
         writer.flush()
--- a/cleatlink/relay/outdated_route_table_test.py
+++ b/cleatlink/relay/outdated_route_table_test.py
@@ -27,7 +27,7 @@
             await trio.sleep(1 / 3)
 
 
-async def test_unknown_route_is_denied_once_service_has_no_newer_table() -> None:
+async def test_unknown_route_gets_final_refusal_once_service_has_no_newer_table() -> None:
     """Guards against a lost peer's claim overriding the configuration service forever."""
     async with open_fleet() as fleet:
         await start(fleet, Worker("plain"))
@@ -64,7 +64,7 @@
         assert reply.status == 200
 
 
-async def test_unknown_route_is_not_denied_during_long_service_outage() -> None:
+async def test_unknown_route_gets_no_final_refusal_during_long_service_outage() -> None:
     """Guards against instances with a shared watch confirming stale tables for a minute."""
     async with open_fleet() as fleet:
         await start(fleet, Worker("plain"))
--- a/cleatlink/relay/role_controller.py
+++ b/cleatlink/relay/role_controller.py
@@ -35,7 +35,7 @@
 _ELECTION_INTERVAL_S = 0.25
 # Timeout of an order. Engines answer at once; after a timeout the order may have been accepted.
 _ORDER_TIMEOUT_S = 1.0
-# Far above the size of an answer, which is a few bytes.
+# Far above the size of an answer to an order, which is a few bytes.
 _MAX_REPLY_BYTES = 65_536
 # Allowance beyond the time of a role change. An endpoint that does not report its new role by then
 # has not accepted the order.
@@ -61,8 +61,8 @@
         capacity: Capacity,
         peers: PeerGroup,
         metrics: RelayMetrics,
-        table: Callable[[], RouteTable | None],
-        stopping: Callable[[], bool],
+        get_table: Callable[[], RouteTable | None],
+        is_stopping: Callable[[], bool],
     ) -> None:
         self._settings = settings
         self._protocol = protocol
@@ -70,17 +70,17 @@
         self._capacity = capacity
         self._peers = peers
         self._metrics = metrics
-        self._table = table
-        self._stopping = stopping
-        self._leads = False
+        self._get_table = get_table
+        self._is_stopping = is_stopping
+        self._is_leader = False
         self._next_plan_at: dict[str, float] = {}
         self._target_roles: dict[str, Role] = {}
-        self._presence_watches: dict[str, EndpointLossTracker] = {}
+        self._loss_trackers: dict[str, EndpointLossTracker] = {}
 
     @property
     def is_leader(self) -> bool:
         """Whether this instance is the leader now, which sends role orders."""
-        return self._leads
+        return self._is_leader
 
     async def run(self) -> None:
         """Elect the leader, and plan and order role changes, until cancelled."""
@@ -92,16 +92,16 @@
         )
         while True:
             await trio.sleep(_ELECTION_INTERVAL_S)
-            heard_state = self._peers.leader_election_input()
-            leads = leadership.update(heard_state, trio.current_time()) and not self._stopping()
+            peer_reports = self._peers.leader_election_input()
+            leads = leadership.update(peer_reports, trio.current_time()) and not self._is_stopping()
             self._peers.members, self._peers.vote = leadership.known, leadership.vote
-            if leads is not self._leads:
-                self._leads = leads
+            if leads is not self._is_leader:
+                self._is_leader = leads
                 eliot.log_message(
                     message_type="orders: became the leader"
                     if leads
                     else "orders: is no longer the leader",
-                    heard=len(heard_state.votes),
+                    heard=len(peer_reports.votes),
                     members=len(leadership.known),
                     vote=leadership.vote,
                 )
@@ -116,66 +116,66 @@
         self._peers.fence = max(self._peers.fence + 1, unix_ms())
 
     async def _plan_all(self) -> None:
-        table = self._table()
+        table = self._get_table()
         if table is None:
             return
         for service in table.services.values():
             if service.engine is None:
                 continue
-            shifts = self._plan_service(service.name, service.engine, table)
+            changes = self._plan_service(service.name, service.engine, table)
             async with trio.open_nursery() as nursery:
-                for shift in shifts:
-                    nursery.start_soon(self._send_order, service.name, shift, service.engine)
+                for change in changes:
+                    nursery.start_soon(self._send_order, service.name, change, service.engine)
 
     def _plan_service(
-        self, service: str, traits: EngineProperties, table: RouteTable
+        self, service: str, engine: EngineProperties, table: RouteTable
     ) -> list[RoleChange]:
         capacity, now = self._capacity, trio.current_time()
         prefills = capacity.reachable_endpoints(service, Role.PREFILL, now)
         decodes = capacity.reachable_endpoints(service, Role.DECODE, now)
         endpoints = [*prefills, *decodes]
-        watch = self._presence_watches.setdefault(service, EndpointLossTracker())
-        watch.update({item.name for item in endpoints}, capacity.leaving(service), now)
+        loss_tracker = self._loss_trackers.setdefault(service, EndpointLossTracker())
+        loss_tracker.update({item.name for item in endpoints}, capacity.leaving(service), now)
         if now < self._next_plan_at.get(service, 0.0):
             return []
         self._next_plan_at[service] = now + _PLAN_INTERVAL_S
         changing = capacity.role_changes_left_s(now).keys() & {item.name for item in endpoints}
         # The target role of an engine that an earlier leader ordered to change is not known here.
-        unknown = changing - self._target_roles.keys()
+        unknown_targets = changing - self._target_roles.keys()
         max_changes = max_simultaneous_changes(len(endpoints)) - len(changing)
-        if unknown or max_changes <= 0:
+        if unknown_targets or max_changes <= 0:
             return []
         target_roles = {name: self._target_roles[name] for name in changing}
-        work = {endpoint.name: self._work_left_s(endpoint, now) for endpoint in endpoints}
-        demand = capacity.demand(service, traits, _latency_targets(service, table), now)
+        work_left_s = {endpoint.name: self._work_left_s(endpoint, now) for endpoint in endpoints}
+        demand = capacity.demand(service, engine, _latency_targets(service, table), now)
         requires_stability = capacity.switches.is_enabled(Mechanism.SHIFT_PATIENCE)
-        settled = not requires_stability or watch.is_stable(traits.role_switch_s, now)
-        change_s = traits.role_switch_s
+        is_stable = not requires_stability or loss_tracker.is_stable(engine.role_switch_s, now)
+        change_s = engine.role_switch_s
         planned = plan_role_changes(
             prefills,
             decodes,
             demand,
-            work,
+            work_left_s,
             target_roles,
             max_changes=max_changes,
             change_s=change_s,
-            is_stable=settled,
+            is_stable=is_stable,
             speeds={
                 endpoint.name: capacity.relative_speed(endpoint.name, now) for endpoint in endpoints
             },
         )
-        # Orders obey back-off as all calls do: no order is sent to an endpoint in back-off.
-        shifts = [
+        # Like all other calls, no order is sent to an endpoint during its back-off.
+        changes = [
             item for item in planned if capacity.accepts_work_at(item.endpoint.name, now) <= now
         ]
-        for shift in shifts:
-            self._log_plan(shift, len(prefills), len(decodes), demand)
-        return shifts
+        for change in changes:
+            self._log_plan(change, len(prefills), len(decodes), demand)
+        return changes
 
     def _log_plan(
-        self, shift: RoleChange, prefills: int, decodes: int, demand: RoleDemand | None
+        self, change: RoleChange, prefills: int, decodes: int, demand: RoleDemand | None
     ) -> None:
-        """Log a planned role change with the figures it is based on."""
+        """Log a planned role change, and the numbers of engines and the demand behind it."""
         demand_fields: dict[str, float] = {}
         if demand is not None:
             demand_fields = {
@@ -189,9 +189,11 @@
             }
         eliot.log_message(
             message_type="orders: plans a role change",
-            endpoint=shift.endpoint.name,
-            role=shift.role.value,
-            speed=round(self._capacity.relative_speed(shift.endpoint.name, trio.current_time()), 2),
+            endpoint=change.endpoint.name,
+            role=change.role.value,
+            speed=round(
+                self._capacity.relative_speed(change.endpoint.name, trio.current_time()), 2
+            ),
             prefills=prefills,
             decodes=decodes,
             **demand_fields,
@@ -201,19 +203,21 @@
         """Return the seconds until an endpoint has finished its work; it changes its role then."""
         return max(0.0, self._capacity.free_at(endpoint.name, endpoint.role, now) - now)
 
-    async def _send_order(self, service: str, shift: RoleChange, traits: EngineProperties) -> None:
+    async def _send_order(self, service: str, change: RoleChange, engine: EngineProperties) -> None:
         """Order a role change; an order without an answer may have been accepted."""
         fence = self._peers.fence
-        endpoint = shift.endpoint
+        endpoint = change.endpoint
         request = self._protocol.make_role_change_request(
-            endpoint, shift.role, self._settings.name, fence
+            endpoint, change.role, self._settings.name, fence
         )
         status = 0
         now = trio.current_time()
-        count = len(self._capacity.in_role(service, Role.PREFILL))
-        count += len(self._capacity.in_role(service, Role.DECODE))
+        engine_count = len(self._capacity.in_role(service, Role.PREFILL))
+        engine_count += len(self._capacity.in_role(service, Role.DECODE))
         self._next_plan_at[service] = now + (
-            _MANY_ENGINES_PAUSE_S if max_simultaneous_changes(count) > 1 else _FEW_ENGINES_PAUSE_S
+            _MANY_ENGINES_PAUSE_S
+            if max_simultaneous_changes(engine_count) > 1
+            else _FEW_ENGINES_PAUSE_S
         )
         try:
             with trio.fail_after(_ORDER_TIMEOUT_S):
@@ -229,15 +233,15 @@
             self._peers.fence = max(fence + 1, unix_ms())
         if status in (0, 200, 202):
             left_s = self._work_left_s(endpoint, now) if status == _STATUS_ACCEPTED else 0.0
-            until = now + left_s + traits.role_switch_s + _ROLE_CHANGE_MARGIN_S
-            self._target_roles[endpoint.name] = shift.role
-            self._capacity.note_role_change(endpoint.name, until)
+            expected_by = now + left_s + engine.role_switch_s + _ROLE_CHANGE_MARGIN_S
+            self._target_roles[endpoint.name] = change.role
+            self._capacity.note_role_change(endpoint.name, expected_by)
             self._peers.send_heartbeat()
         self._metrics.count_role_order(str(status))
         eliot.log_message(
             message_type="orders: sent a role order",
             endpoint=endpoint.name,
-            role=shift.role.value,
+            role=change.role.value,
             fence=fence,
             status=status,
         )
