--- a/bench/relay.py
+++ b/bench/relay.py
@@ -47,7 +47,7 @@
         )
         for worker in (prefill, decode, plain):
             await fleet.add_worker(worker)
-        decode.event_s = _EVENT_INTERVAL_S
+        decode.event_interval_s = _EVENT_INTERVAL_S
         fleet.add_route("/safe/", "safe", "plain", timeout_ms=60_000)
         fleet.add_route("/stream/", "streaming", "model", timeout_ms=60_000)
         fleet.configure({"slots": 500, "kv_cache_tokens": 10_000_000})
@@ -120,5 +120,5 @@
     caller = Caller(f"127.0.0.1:{ports.front}")
     reply = await caller.ask(path, "POST", body=b"prompt", headers=_HEADERS)
     caller.close()
-    if reply.status != 200 or not reply.whole:
+    if reply.status != 200 or not reply.is_complete:
         raise RuntimeError(f"request was rejected or its response was incomplete: {reply}")
--- a/cleatlink/analysis/report_test.py
+++ b/cleatlink/analysis/report_test.py
@@ -52,16 +52,16 @@
 async def test_streams_prompts_and_refusals_are_counted(log: Path) -> None:
     async with open_fleet() as fleet:
         prefill, decode, _ = engines()
-        decode.events, decode.event_s = 48, 0.05
+        decode.events, decode.event_interval_s = 48, 0.05
         await start(fleet, prefill, decode)
         for route in fleet.routes:
             route["timeout_ms"] = 9000
         version = fleet.configure({"kv_cache_tokens": 150})
-        await fleet.until(lambda: fleet.instances[0].records.table_revision == version)
+        await fleet.wait_until(lambda: fleet.instances[0].records.table_revision == version)
         first_caller = fleet.caller()
         headers = {**STREAM, "Deadline-Milliseconds": "9000"}
         await first_caller.send("/stream/x", "POST", body=b"p", headers=headers)
-        await fleet.until(lambda: bool(decode.runs))
+        await fleet.wait_until(lambda: bool(decode.runs))
         # The second call waits for at most 2 s, after which its caller would leave; the first
         # answer takes longer.
         refused = await fleet.caller().ask("/stream/x", "POST", body=b"mine", headers=headers)
@@ -69,7 +69,7 @@
         await trio.sleep(min(2.0, float(refused.headers["retry-after"])))
         retried = await fleet.caller().ask("/stream/x", "POST", body=b"mine", headers=headers)
         assert retried.status == 200
-        assert (await first_caller.receive()).whole
+        assert (await first_caller.receive()).is_complete
     report = read(log)
     totals = report.outcomes.totals()
     assert totals[Outcome.REFUSED] == 1
@@ -91,7 +91,7 @@
         workers = engines()
         await start(fleet, *workers)
         for worker in workers[1:]:
-            worker.faults = [Fault.CUT]
+            worker.faults = [Fault.TRUNCATED]
         await fleet.caller().ask("/stream/x", "POST", body=b"p", headers=STREAM)
         await trio.sleep(0.05)
     report = read(log)
@@ -195,8 +195,8 @@
 async def test_crashing_requests_are_listed_with_quarantine_decisions(log: Path) -> None:
     async with open_fleet() as fleet:
         worker = Worker("plain")
-        worker.crashes_on = b"crash"
-        fleet.keep_restarting(worker, 0.1)
+        worker.crash_marker = b"crash"
+        fleet.restart_after_crashes(worker, 0.1)
         await start(fleet, worker)
         for _ in range(6):
             await fleet.caller().ask("/unsafe/x", "POST", body=b"crash")
--- a/cleatlink/clock_test.py
+++ b/cleatlink/clock_test.py
@@ -78,11 +78,11 @@
 def test_running_call_ends_at_its_deadline() -> None:
     async def scenario(fleet: Fleet, clock: JumpingClock) -> None:
         worker = Worker("plain")
-        worker.work_s = 300.0
+        worker.run_duration_s = 300.0
         await start(fleet, worker)
         caller = fleet.caller()
         await caller.send("/unsafe/x", "POST", body=b"x")
-        await fleet.until(lambda: worker.runs)
+        await fleet.wait_until(lambda: worker.runs)
         clock.suspended_s += SUSPENSION_S
         with trio.fail_after(DETECTION_S):
             assert (await caller.receive()).status == 504
@@ -95,12 +95,12 @@
         prefill, first, second = engines()
         await start(fleet, prefill, first, second)
         fleet.configure({"slots": 1})
-        await fleet.until(lambda: fleet.instances[0].records.table_revision == 7)
+        await fleet.wait_until(lambda: fleet.instances[0].records.table_revision == 7)
         for decode in (first, second):
-            decode.silent_from, decode.silent_s = 3, 300.0
+            decode.silent_from_event, decode.silent_s = 3, 300.0
         for _ in range(2):
             await fleet.caller().send("/stream/x", "POST", body=b"x", headers=STREAM)
-        await fleet.until(lambda: len(first.runs) + len(second.runs) == 2)
+        await fleet.wait_until(lambda: len(first.runs) + len(second.runs) == 2)
         queued = fleet.caller()
         await queued.send("/stream/x", "POST", body=b"waits", headers=STREAM)
         await trio.sleep(0.05)
@@ -118,8 +118,8 @@
         await start(fleet, prefill, first, second)
         for _ in range(2):
             fleet.start_instance()
-        await fleet.ready()
-        await fleet.until(lambda: any(item.is_leader for item in fleet.instances), 15.0)
+        await fleet.wait_ready()
+        await fleet.wait_until(lambda: any(item.is_leader for item in fleet.instances), 15.0)
         has_leader: list[bool] = []
         clock.suspended_s += SUSPENSION_S
         # All three were suspended together: none may rely on messages received before.
@@ -128,8 +128,8 @@
                 has_leader.append(any(item.is_leader for item in fleet.instances))
                 await trio.sleep(0.01)
         assert False in has_leader
-        assert all(not worker.orders for worker in (prefill, first, second))
-        await fleet.until(lambda: any(item.is_leader for item in fleet.instances), 15.0)
+        assert all(not worker.role_changes for worker in (prefill, first, second))
+        await fleet.wait_until(lambda: any(item.is_leader for item in fleet.instances), 15.0)
 
     run(scenario)
 
@@ -155,7 +155,7 @@
         assert instance.capacity.role_changes_left_s(now) == {}
         assert instance.capacity.candidates("plain", Role.PLAIN, now)
         assert instance._quarantine.decide(identity).needs_trial
-        await fleet.until(lambda: not instance._pool._idle, DETECTION_S)
+        await fleet.wait_until(lambda: not instance._pool._idle, DETECTION_S)
 
     run(scenario)
 
@@ -163,20 +163,20 @@
 def test_planned_stop_ends_in_time_after_a_suspension() -> None:
     async def scenario(fleet: Fleet, clock: JumpingClock) -> None:
         worker = Worker("plain")
-        worker.work_s = 300.0
+        worker.run_duration_s = 300.0
         fleet.drain_s = 15.0
         await start(fleet, worker)
         caller = fleet.caller()
         await caller.send(
             "/unsafe/x", "POST", body=b"x", headers={"Deadline-Milliseconds": "90000"}
         )
-        await fleet.until(lambda: worker.runs)
-        fleet.stops[0].set()
+        await fleet.wait_until(lambda: worker.runs)
+        fleet.stop_events[0].set()
         await trio.sleep(0.1)
         clock.suspended_s += SUSPENSION_S
         with trio.fail_after(DETECTION_S):
             assert (await caller.receive()).status in (502, 504)
-            await fleet.ended[0].wait()
+            await fleet.end_events[0].wait()
 
     run(scenario)
 
@@ -185,11 +185,11 @@
     async def scenario(fleet: Fleet, clock: JumpingClock) -> None:
         workers = [Worker("plain"), Worker("plain")]
         for worker in workers:
-            worker.work_s, worker.faults = 0.3, [Fault.RESET_AFTER]
+            worker.run_duration_s, worker.faults = 0.3, [Fault.RESET_AFTER]
         await start(fleet, *workers)
         caller = fleet.caller()
         await caller.send("/safe/x")
-        await fleet.until(lambda: any(worker.runs for worker in workers))
+        await fleet.wait_until(lambda: any(worker.runs for worker in workers))
         clock.suspended_s += SUSPENSION_S
         with trio.fail_after(DETECTION_S):
             assert (await caller.receive()).status == 504
@@ -203,20 +203,20 @@
     async def scenario(fleet: Fleet, clock: JumpingClock) -> None:
         prefill, first, second = engines()
         for decode in (first, second):
-            decode.events, decode.event_s = 10, 0.05
+            decode.events, decode.event_interval_s = 10, 0.05
         await start(fleet, prefill, first, second)
         for route in fleet.routes:
             route["timeout_ms"] = 90_000
         version = fleet.configure()
-        await fleet.until(lambda: fleet.instances[0].records.table_revision == version)
+        await fleet.wait_until(lambda: fleet.instances[0].records.table_revision == version)
         caller = fleet.caller()
         headers_with_deadline = {**STREAM, "Deadline-Milliseconds": "90000"}
         await caller.send("/stream/x", "POST", body=b"x", headers=headers_with_deadline)
-        await fleet.until(lambda: first.runs or second.runs)
+        await fleet.wait_until(lambda: first.runs or second.runs)
         await trio.sleep(0.1)
         clock.suspended_s += SUSPENSION_S
         reply = await caller.receive()
-        assert (reply.status, reply.whole) == (200, True)
+        assert (reply.status, reply.is_complete) == (200, True)
         assert reply.body.count(b"id: ") == 10
 
     run(scenario)
@@ -226,12 +226,16 @@
     async def scenario(fleet: Fleet, clock: JumpingClock) -> None:
         backing_off, leaving = Worker("plain"), Worker("plain")
         await start(fleet, backing_off, leaving)
-        backing_off.sheds, backing_off.asks_rest_s, leaving.says_leaving = True, 10.0, True
+        backing_off.rejects_work, backing_off.requested_backoff_s, leaving.announces_leaving = (
+            True,
+            10.0,
+            True,
+        )
         while not (backing_off.arrivals and leaving.arrivals):
             await fleet.caller().ask("/unsafe/x", "POST", body=b"x")
         arrived = len(leaving.arrivals)
         assert (await fleet.caller().ask("/safe/x")).status == 503
-        backing_off.sheds = False
+        backing_off.rejects_work = False
         clock.suspended_s += SUSPENSION_S
         await trio.sleep(DETECTION_S)
         for _ in range(5):
@@ -254,7 +258,7 @@
         await fleet.add_worker(restarted)
         instance = fleet.instances[0]
         name = f"{restarted.name}@{restarted.born}"
-        await fleet.until(lambda: name in instance.capacity.endpoints, 3.0)
+        await fleet.wait_until(lambda: name in instance.capacity.endpoints, 3.0)
         for _ in range(5):
             assert (await fleet.caller().ask("/safe/x")).status == 200
         assert len(restarted.runs) == 5
--- a/cleatlink/platform/store_test.py
+++ b/cleatlink/platform/store_test.py
@@ -83,7 +83,7 @@
 @pytest.mark.parametrize("calls", [1, 2, 3])
 async def test_list_with_pages_of_two_eras_is_read_again(calls: int) -> None:
     store = RestoringStore(calls)
-    store.page_items = 1
+    store.max_page_items = 1
     async with open_client(store) as client:
         with pytest.raises(HistoryUnavailableError):
             await client.read()
--- a/cleatlink/relay/callers/server.py
+++ b/cleatlink/relay/callers/server.py
@@ -137,7 +137,7 @@
     async def _handle(self, exchange: Exchange) -> None:
         """Run the handler; cancel it when the caller closes the connection."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._watch, nursery.cancel_scope)
+            nursery.start_soon(self._cancel_on_close, nursery.cancel_scope)
             self._start_task = nursery.start_soon
             try:
                 await self._handler.handle(exchange)
@@ -147,7 +147,7 @@
                 self._start_task = None
             nursery.cancel_scope.cancel()
 
-    async def _watch(self, scope: trio.CancelScope) -> None:
+    async def _cancel_on_close(self, scope: trio.CancelScope) -> None:
         """Cancel the handler when the caller closes; buffer requests sent ahead."""
         read_ahead_bytes = 0
         while read_ahead_bytes < _READ_AHEAD_BYTES:
--- a/cleatlink/relay/callers/service.py
+++ b/cleatlink/relay/callers/service.py
@@ -64,12 +64,12 @@
 class RelayService(Handler):
     """Serves callers according to the route table in force."""
 
-    def __init__(self, parts: RelayComponents) -> None:
-        self._parts = parts
+    def __init__(self, components: RelayComponents) -> None:
+        self._components = components
         self._index: RouteIndex | None = None
-        self._newer_table_wait = NewerTableWait(parts.table_tracker, parts.planned_stop)
-        self._decode_admission = DecodeAdmission(parts)
-        self._plain_admission = PlainCallAdmission(parts)
+        self._newer_table_wait = NewerTableWait(components.table_tracker, components.planned_stop)
+        self._decode_admission = DecodeAdmission(components)
+        self._plain_admission = PlainCallAdmission(components)
         self._in_flight = 0
         self._call_scopes: set[trio.CancelScope] = set()
 
@@ -81,7 +81,7 @@
     @property
     def asks_to_close(self) -> bool:
         """Whether answers ask callers to close their connection."""
-        return self._parts.planned_stop.has_begun
+        return self._components.planned_stop.has_begun
 
     @property
     def in_flight(self) -> int:
@@ -96,7 +96,7 @@
     def use_table(self, table: RouteTable) -> None:
         """Use a route table for requests that arrive from now on."""
         self._index = RouteIndex(table)
-        self._parts.organisation_access.use_table(table.organisations)
+        self._components.organisation_access.use_table(table.organisations)
         for route in table.routes:
             for share in route.shares:
                 self._set_initial_service_rate(route, table.services.get(share.service))
@@ -106,7 +106,7 @@
         """Use a route's latency targets as the initial estimate of its engines' service rate."""
         if service is None or service.engine is None:
             return
-        service_rate = self._parts.capacity.service_times(service.name)
+        service_rate = self._components.capacity.service_times(service.name)
         service_rate.set_priors(
             route.target_s, route.event_gap_target_s, service.engine.event_tokens
         )
@@ -119,25 +119,25 @@
         """
         self._newer_table_wait.recheck_requests()
         for scope in self._call_scopes:
-            scope.deadline = min(scope.deadline, self._parts.planned_stop.answer_deadline)
+            scope.deadline = min(scope.deadline, self._components.planned_stop.answer_deadline)
 
     async def handle(self, exchange: Exchange) -> None:
         """Serve one request."""
         self._in_flight += 1
-        self._parts.metrics.set_in_flight(self._in_flight)
+        self._components.metrics.set_in_flight(self._in_flight)
         try:
             await self._serve(exchange)
         finally:
             self._in_flight -= 1
-            self._parts.metrics.set_in_flight(self._in_flight)
+            self._components.metrics.set_in_flight(self._in_flight)
 
     async def refuse(self, exchange: Exchange, status: int) -> None:
         """Answer input that could not be parsed as a request."""
         eliot.log_message(
             message_type="relay: can't parse a request, refuses it",
             status=status,
-            revision=self._parts.table_tracker.revision_in_force,
-            newest=self._parts.table_tracker.newest_revision,
+            revision=self._components.table_tracker.revision_in_force,
+            newest=self._components.table_tracker.newest_revision,
         )
         if status in _LIMIT_STATUSES and not self._newer_table_wait.can_refuse_finally:
             detail = "above a limit of a route table that may be out of date"
@@ -151,13 +151,13 @@
         if self._index is None:
             return False
         path = target.partition(b"?")[0].decode("latin-1")
-        route = self._index.find(self._parts.protocol.read_host(headers), path)
+        route = self._index.find(self._components.protocol.read_host(headers), path)
         if route is not None and self._identify(headers, route) is not None:
             return True
         return self._newer_table_wait.expects_newer_table
 
     async def _serve(self, exchange: Exchange) -> None:
-        raw, parts = exchange.request, self._parts
+        raw, components = exchange.request, self._components
         arrived_at = now = trio.current_time()
         inbound = self._read_inbound(raw, arrived_at)
         routed = self._route_request(inbound, raw.headers)
@@ -178,9 +178,9 @@
             return
         inbound = inbound._replace(organisation=routed.caller.name)
         call = Call(
-            inbound, routed.route, routed.service, routed.revision, parts, holder=routed.caller
+            inbound, routed.route, routed.service, routed.revision, components, holder=routed.caller
         )
-        parts.metrics.count_request(routed.route.kind.value)
+        components.metrics.count_request(routed.route.kind.value)
         early_refusal = call.find_send_refusal()
         if early_refusal is not None:
             await self._refuse_call(call, exchange, early_refusal)
@@ -190,34 +190,34 @@
             refusal = Refusal(ErrorKind.OVER_LIMIT, "its limit", admission.retry_after_s)
             await self._refuse_call(call, exchange, refusal)
             return
-        parts.get_retry_budget(routed.service.name).count_request(now)
+        components.get_retry_budget(routed.service.name).count_request(now)
         await self._run(call, exchange)
 
     def _read_inbound(self, raw: RawRequest, arrived_at: float) -> InboundRequest:
-        return self._parts.protocol.parse_inbound(
+        return self._components.protocol.parse_inbound(
             raw.method,
             raw.target,
             raw.headers,
             raw.body,
             arrived_at,
-            removes_api_key=self._parts.organisation_access.checks_api_keys,
+            removes_api_key=self._components.organisation_access.checks_api_keys,
         )
 
     def _identify(self, headers: Headers, route: Route) -> CallerIdentity | None:
         """Return the caller of a request, or None if its route needs a known API key."""
-        credentials = self._parts.protocol.read_credentials(headers)
-        return self._parts.organisation_access.identify(credentials, route)
+        credentials = self._components.protocol.read_credentials(headers)
+        return self._components.organisation_access.identify(credentials, route)
 
     def _admit(self, call: Call, now: float) -> Admission:
         """Check a call against its organisation's rate limit, and log a call above the limit."""
         organisation = call.caller.organisation
         if organisation is None or organisation.limit is None:
             return Admission(True, 0)
-        limits = self._parts.organisation_access.limits
+        limits = self._components.organisation_access.limits
         tokens = call.inbound.prompt_tokens + call.inbound.max_output_tokens
         admission = limits.admit(organisation, tokens, now)
         call.admission = admission
-        self._parts.metrics.count_admission(organisation.name, admission.granted)
+        self._components.metrics.count_admission(organisation.name, admission.granted)
         if not admission.granted:
             call.log(
                 "is above its organisation's rate limit",
@@ -232,7 +232,7 @@
                 retry_after_s=round(admission.retry_after_s, 3),
             )
         elif limits.is_level_low(organisation):
-            self._parts.on_limit_nearly_used()
+            self._components.on_limit_nearly_used()
         return admission
 
     async def _refuse_unrouted(
@@ -244,10 +244,10 @@
             message_type="relay: refuses a request before a call starts",
             request=inbound.request_id,
             kind=refusal.kind.value,
-            revision=self._parts.table_tracker.revision_in_force,
-            newest=self._parts.table_tracker.newest_revision,
-            behind_ms=int(_MS_PER_S * self._parts.table_tracker.behind_s(now)),
-            standing=self._parts.table_tracker.freshness(now).value,
+            revision=self._components.table_tracker.revision_in_force,
+            newest=self._components.table_tracker.newest_revision,
+            behind_ms=int(_MS_PER_S * self._components.table_tracker.behind_s(now)),
+            standing=self._components.table_tracker.freshness(now).value,
         )
         await self._send_refusal(exchange, refusal, request_id=inbound.request_id)
 
@@ -259,7 +259,7 @@
         route = index.find(inbound.host, inbound.path)
         if route is None:
             return Refusal(ErrorKind.NOT_FOUND, "no route serves this host and path")
-        service = choose_service(route, self._parts.rng.random())
+        service = choose_service(route, self._components.rng.random())
         if service is None or service not in index.table.services:
             return Refusal(ErrorKind.NO_ENDPOINT, "no service", _NO_SERVICE_RETRY_S)
         caller = self._identify(headers, route)
@@ -271,7 +271,7 @@
         """Run a call until it is answered, its deadline passes or the planned stop ends."""
         finished = False
         scope = trio.CancelScope(
-            deadline=min(call.deadline, self._parts.planned_stop.answer_deadline)
+            deadline=min(call.deadline, self._components.planned_stop.answer_deadline)
         )
         self._call_scopes.add(scope)
         try:
@@ -283,7 +283,7 @@
             raise
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             # The caller's connection broke during a write.
-            self._parts.metrics.count_disconnected_caller(call.route.kind.value)
+            self._components.metrics.count_disconnected_caller(call.route.kind.value)
             raise
         except Exception as error:
             # A bug in this program ends only this request, not the others in progress.
@@ -306,8 +306,8 @@
         """Finish a cancelled call: its caller disconnected, or a planned stop has ended."""
         if exchange.ended:
             return
-        if not self._parts.planned_stop.is_over:
-            self._parts.metrics.count_disconnected_caller(call.route.kind.value)
+        if not self._components.planned_stop.is_over:
+            self._components.metrics.count_disconnected_caller(call.route.kind.value)
             call.log_outcome("is cancelled because its caller disconnected", sends=call.send_count)
             return
         await self._finish_at_stop_end(call, exchange)
@@ -315,7 +315,7 @@
     async def _finish_at_stop_end(self, call: Call, exchange: Exchange) -> None:
         """Refuse a call that a planned stop ends; an answer that has started is cut off."""
         if exchange.started:
-            self._parts.metrics.count_request_cut_by_stop(call.route.kind.value)
+            self._components.metrics.count_request_cut_by_stop(call.route.kind.value)
             call.log_interrupted_by_stop()
             return
         refusal = Refusal(ErrorKind.ENDPOINT_FAILED, "this instance stopped before an answer came")
@@ -325,17 +325,17 @@
 
     async def _dispatch(self, call: Call, exchange: Exchange) -> None:
         if call.service.engine is None:
-            result = await PlainCall(call, self._plain_admission, self._parts).run()
+            result = await PlainCall(call, self._plain_admission, self._components).run()
             if isinstance(result, Refusal):
                 await self._refuse_call(call, exchange, result)
             else:
                 await self._send_answer(call, exchange, result)
             return
-        outcome = await StreamCall(call, exchange, self._decode_admission, self._parts).run()
+        outcome = await StreamCall(call, exchange, self._decode_admission, self._components).run()
         if outcome.refusal is not None:
             await self._refuse_call(call, exchange, outcome.refusal)
         elif not outcome.is_complete:
-            self._parts.metrics.count_broken_answer(call.route.kind.value)
+            self._components.metrics.count_broken_answer(call.route.kind.value)
             call.log_outcome("cuts its answer off", sends=call.send_count)
         else:
             call.log_outcome("is answered", sends=call.send_count)
@@ -344,7 +344,7 @@
         """Refuse a call whose deadline has passed; an answer that has started is cut off."""
         call.log_outcome("reached its deadline", sends=call.send_count, ran=call.ran.value)
         if exchange.started:
-            self._parts.metrics.count_broken_answer(call.route.kind.value)
+            self._components.metrics.count_broken_answer(call.route.kind.value)
             return
         if call.ran is ExecutionStatus.NO:
             refusal = Refusal(ErrorKind.NO_ROOM, "no endpoint took the call in time")
@@ -353,13 +353,13 @@
         await self._refuse_call(call, exchange, refusal)
 
     async def _send_answer(self, call: Call, exchange: Exchange, answer: Response) -> None:
-        metrics = self._parts.metrics
+        metrics = self._components.metrics
         status = answer.head.status
         metrics.count_answer(call.route.kind.value, status, call.age_s)
         call.log_outcome(
             "is answered", status=status, sends=call.send_count, in_time=call.is_in_time
         )
-        headers = self._parts.protocol.filter_response_headers(answer.head)
+        headers = self._components.protocol.filter_response_headers(answer.head)
         if exchange.request.method == b"HEAD":
             length = answer.head.get(b"content-length")
             headers = (*headers, (b"Content-Length", length)) if length else headers
@@ -381,7 +381,7 @@
         status: int | None = None,
         request_id: str = "",
     ) -> None:
-        self._parts.metrics.count_refusal(refusal.kind)
+        self._components.metrics.count_refusal(refusal.kind)
         answer = ERROR_RESPONSES[refusal.kind]
         retry_after_s = refusal.retry_after_s
         if retry_after_s is None:
@@ -393,7 +393,7 @@
         if refusal.kind is ErrorKind.UNKNOWN_KEY:
             headers += ((b"WWW-Authenticate", b"Bearer"),)
         if request_id:
-            headers += ((self._parts.protocol.names.request_id, request_id.encode()),)
+            headers += ((self._components.protocol.names.request_id, request_id.encode()),)
         if retry_after_s is not None:
             # Rounded up: a caller that retries slightly too early would be refused again.
             headers += ((b"Retry-After", b"%.2f" % (math.ceil(100 * retry_after_s) / 100)),)
@@ -403,7 +403,7 @@
         self, exchange: Exchange, status: int, headers: Headers, body: bytes
     ) -> None:
         """Send a complete answer; during a planned stop it is shielded from cancellation."""
-        is_stopping = self._parts.planned_stop.has_begun
+        is_stopping = self._components.planned_stop.has_begun
         # Shielded: otherwise the end of the stop could cut off an answer that is ready to be sent.
         with trio.CancelScope(shield=is_stopping) as scope:
             if is_stopping:
--- a/cleatlink/relay/calls/plain.py
+++ b/cleatlink/relay/calls/plain.py
@@ -280,7 +280,7 @@
         if components.protocol.reports_not_executed(head):
             self._note_refusal(endpoint, head)
             return None
-        if not components.protocol.belongs(head, call.inbound):
+        if not components.protocol.matches_request(head, call.inbound):
             raise OutcomeUnknownError("the answer belongs to another request")
         if head.status < 300 and not components.protocol.has_signature(head):
             raise OutcomeUnknownError("the answer has no signature")
--- a/cleatlink/relay/calls/plain_call_admission_test.py
+++ b/cleatlink/relay/calls/plain_call_admission_test.py
@@ -40,7 +40,7 @@
     """Refused unsafe calls never ran, and admitted ones ran exactly once."""
     async with open_fleet() as fleet:
         worker = Worker("plain", slots=2)
-        worker.work_s = 0.1
+        worker.run_duration_s = 0.1
         await start(fleet, worker)
         replies = await flood(fleet, "/unsafe/")
         refused = {name: reply for name, reply in replies.items() if reply.status == 503}
@@ -58,10 +58,10 @@
 async def test_peers_learn_of_the_load_and_refuse_calls_too() -> None:
     async with open_fleet() as fleet:
         worker = Worker("plain", slots=2)
-        worker.work_s = 0.1
+        worker.run_duration_s = 0.1
         await start(fleet, worker)
         second = fleet.start_instance()
-        await fleet.ready()
+        await fleet.wait_ready()
         await trio.sleep(0.3)
         statuses: list[int] = []
 
--- a/cleatlink/relay/calls/plain_test.py
+++ b/cleatlink/relay/calls/plain_test.py
@@ -7,7 +7,7 @@
 import trio
 
 from standins.relay import Fault, Worker
-from standins.relay.example_fleet import runs, start, start_with_known_pace
+from standins.relay.example_fleet import runs, start, start_with_measured_service_times
 from standins.relay.fleet import open_fleet
 from standins.relay.raw_client import Reply
 
@@ -20,7 +20,7 @@
         await start(fleet, worker)
         caller = fleet.caller()
         reply = await caller.ask("/safe/a%2Fb/?", "pUT", body=b"x\r\n", headers={"X-Own": "Yes"})
-        assert (reply.status, reply.body, reply.whole) == (200, b"served", True)
+        assert (reply.status, reply.body, reply.is_complete) == (200, b"served", True)
         assert reply.headers["server-stamp"] == f"stamp.{worker.name}"
         call = worker.arrivals[0]
         assert (call.method, call.target, call.body) == ("pUT", "/safe/a%2Fb/?", b"x\r\n")
@@ -61,13 +61,13 @@
         await trio.sleep(0.3)
         reply = await caller.ask("/safe/x")
         assert (reply.status, "retry-after" in reply.headers) == (503, True)
-        assert (await fleet.prober().ask("/")).status == 503
+        assert (await fleet.readiness_client().ask("/")).status == 503
         fleet.add_route("/safe/", "safe", "plain")
         fleet.configure()
-        await fleet.ready()
+        await fleet.wait_ready()
         assert (await caller.ask("/nowhere/x")).status == 404
         assert (await caller.ask("/safe/x", host="other.example")).status == 404
-        assert (await fleet.prober().ask("/")).status == 200
+        assert (await fleet.readiness_client().ask("/")).status == 200
 
 
 @pytest.mark.parametrize(
@@ -77,11 +77,11 @@
         Fault.FULL,
         Fault.RESET_BEFORE,
         Fault.RESET_AFTER,
-        Fault.MUTE,
+        Fault.NO_RESPONSE,
         Fault.GARBAGE,
-        Fault.FOREIGN,
+        Fault.WRONG_REQUEST_ID,
         Fault.UNSIGNED,
-        Fault.CUT,
+        Fault.TRUNCATED,
     ],
 )
 async def test_safe_call_is_retried_at_another_worker_after_a_fault(fault: Fault) -> None:
@@ -100,10 +100,10 @@
     [
         (Fault.RESET_AFTER, 502),
         (Fault.GARBAGE, 502),
-        (Fault.FOREIGN, 502),
+        (Fault.WRONG_REQUEST_ID, 502),
         (Fault.UNSIGNED, 502),
-        (Fault.CUT, 502),
-        (Fault.MUTE, 504),
+        (Fault.TRUNCATED, 502),
+        (Fault.NO_RESPONSE, 504),
         (Fault.ERROR, 500),
     ],
 )
@@ -116,7 +116,7 @@
         caller = fleet.caller()
         request = await caller.send("/unsafe2/x", "POST", body=b"b")
         reply = await caller.receive()
-        assert reply.status == status or (fault is Fault.MUTE and reply.status == 502)
+        assert reply.status == status or (fault is Fault.NO_RESPONSE and reply.status == 502)
         assert runs(fleet, request) == 1
         assert "retry-after" not in reply.headers or reply.status in (502, 504)
 
@@ -148,7 +148,7 @@
         await start(fleet, worker)
         caller = fleet.caller()
         for _ in range(5):
-            worker.faults = [Fault.EXTRA]
+            worker.faults = [Fault.EXTRA_RESPONSE]
             assert (await caller.ask("/safe/x")).body == b"served"
             assert (await caller.ask("/unsafe/x", "POST", body=b"b")).body == b"served"
 
@@ -156,26 +156,26 @@
 async def test_disconnect_of_the_caller_cancels_the_work() -> None:
     async with open_fleet() as fleet:
         worker = Worker("plain")
-        worker.work_s = 1.5
+        worker.run_duration_s = 1.5
         await start(fleet, worker)
         caller = fleet.caller()
         await caller.send("/unsafe/x", "POST", body=b"b")
-        await fleet.until(lambda: bool(worker.runs))
+        await fleet.wait_until(lambda: bool(worker.runs))
         disconnected_at = trio.current_time()
         caller.close()
-        await fleet.until(lambda: worker.runs[0].dropped)
+        await fleet.wait_until(lambda: worker.runs[0].connection_closed)
         assert trio.current_time() - disconnected_at < 0.4
 
 
 async def test_call_ends_at_the_route_timeout() -> None:
     async with open_fleet() as fleet:
         worker = Worker("plain")
-        worker.work_s = 5.0
+        worker.run_duration_s = 5.0
         await fleet.add_worker(worker)
         fleet.add_route("/slow/", "unsafe", "plain", timeout_ms=300)
         fleet.configure()
         fleet.start_instance()
-        await fleet.ready()
+        await fleet.wait_ready()
         started_at = trio.current_time()
         reply = await fleet.caller().ask("/slow/x", "POST", body=b"b")
         assert reply.status in (502, 504)
@@ -210,7 +210,7 @@
 async def test_calls_to_a_slow_service_are_not_sent_twice() -> None:
     async with open_fleet() as fleet:
         first, second = Worker("plain"), Worker("plain")
-        first.work_s = second.work_s = 0.3
+        first.run_duration_s = second.run_duration_s = 0.3
         await start(fleet, first, second)
         caller = fleet.caller()
         # The first safe call abandons a worker after 0.24 s; later calls know the usual duration.
@@ -233,9 +233,9 @@
         await start(fleet, *workers)
         fleet.add_route("/new/", "safe", "plain", target_latency_ms=target_ms)
         version = fleet.configure()
-        await fleet.until(lambda: fleet.instances[0].records.table_revision == version)
+        await fleet.wait_until(lambda: fleet.instances[0].records.table_revision == version)
         for worker in workers:
-            worker.faults = [Fault.MUTE]
+            worker.faults = [Fault.NO_RESPONSE]
         replies: list[Reply] = []
 
         async def ask() -> None:
@@ -243,7 +243,7 @@
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(ask)
-            await fleet.until(lambda: any(worker.arrivals for worker in workers))
+            await fleet.wait_until(lambda: any(worker.arrivals for worker in workers))
             for worker in workers:
                 worker.faults = []
         assert [reply.status for reply in replies] == [200]
@@ -257,8 +257,8 @@
         caller = fleet.caller()
         for _ in range(5):
             await caller.ask("/safe/x")
-        first.faults, second.faults = [Fault.MUTE], []
-        first.work_s = second.work_s = 0.01
+        first.faults, second.faults = [Fault.NO_RESPONSE], []
+        first.run_duration_s = second.run_duration_s = 0.01
         for _ in range(4):
             started_at = trio.current_time()
             assert (await caller.ask("/safe/x")).status == 200
@@ -272,8 +272,8 @@
     try:
         async with open_fleet() as fleet:
             first, second = Worker("plain"), Worker("plain")
-            caller = await start_with_known_pace(fleet, first, second)
-            first.faults = [Fault.MUTE]
+            caller = await start_with_measured_service_times(fleet, first, second)
+            first.faults = [Fault.NO_RESPONSE]
             while first.faults:
                 assert (await caller.ask("/safe/x")).status == 200
     finally:
@@ -290,10 +290,10 @@
     """Guards against abandoning a large answer on a slow link and retrying at another worker."""
     async with open_fleet() as fleet:
         first, second = Worker("plain"), Worker("plain")
-        caller = await start_with_known_pace(fleet, first, second)
+        caller = await start_with_measured_service_times(fleet, first, second)
         for worker in (first, second):
             worker.body = b"x" * 10_000
-            worker.answer_parts, worker.part_pause_s = 10, 0.1
+            worker.response_parts, worker.part_pause_s = 10, 0.1
         reply = await caller.ask("/safe/x")
         assert (reply.status, reply.body) == (200, first.body)
         assert len(first.arrivals) + len(second.arrivals) == 1
@@ -304,7 +304,7 @@
     async with open_fleet() as fleet:
         first, second = Worker("plain"), Worker("plain")
         for worker in (first, second):
-            worker.answer_parts, worker.part_pause_s = 10, 0.1
+            worker.response_parts, worker.part_pause_s = 10, 0.1
         await start(fleet, first, second)
         assert (await fleet.caller().ask("/safe/x")).status == 200
         assert len(first.arrivals) + len(second.arrivals) == 1
@@ -313,9 +313,9 @@
 async def test_worker_that_goes_silent_within_its_answer_is_abandoned() -> None:
     async with open_fleet() as fleet:
         first, second = Worker("plain"), Worker("plain")
-        caller = await start_with_known_pace(fleet, first, second)
+        caller = await start_with_measured_service_times(fleet, first, second)
         for worker in (first, second):
-            worker.answer_parts, worker.part_pause_s = 2, 10.0
+            worker.response_parts, worker.part_pause_s = 2, 10.0
         sent_at = trio.current_time()
         replies: list[Reply] = []
 
@@ -324,9 +324,9 @@
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(ask)
-            await fleet.until(lambda: bool(first.arrivals or second.arrivals))
+            await fleet.wait_until(lambda: bool(first.arrivals or second.arrivals))
             silent, other = (first, second) if first.arrivals else (second, first)
-            other.answer_parts = 1
+            other.response_parts = 1
         assert [reply.status for reply in replies] == [200]
         assert trio.current_time() - sent_at < 0.35
         assert (len(silent.arrivals), len(other.arrivals)) == (1, 1)
--- a/cleatlink/relay/calls/planned_stop_test.py
+++ b/cleatlink/relay/calls/planned_stop_test.py
@@ -45,7 +45,7 @@
     """Start an instance with one prefill, two decodes and a plain worker, and long answers."""
     prefill, first, second = engines()
     for decode in (first, second):
-        decode.events, decode.event_s = _EVENTS, _EVENT_S
+        decode.events, decode.event_interval_s = _EVENTS, _EVENT_S
     fleet.drain_s = grace_s
     # Keeps idle connections open until the process exits.
     fleet.limits["idle_timeout_ms"] = 9000
@@ -53,7 +53,7 @@
     for route in fleet.routes:
         route["timeout_ms"] = 9000
     version = fleet.configure()
-    await fleet.until(lambda: fleet.instances[0].records.table_revision == version)
+    await fleet.wait_until(lambda: fleet.instances[0].records.table_revision == version)
 
 
 async def _measure_answer_duration(fleet: Fleet, streams: int = 10) -> None:
@@ -85,12 +85,12 @@
         callers = await _open_callers(fleet, 16)
         replies: dict[str, Reply] = {}
         async with trio.open_nursery() as nursery:
-            fleet.stops[0].set()
+            fleet.stop_events[0].set()
             for caller in callers:
                 nursery.start_soon(_ask, caller, replies)
                 await trio.sleep(_PAUSE_S)
         cut_off = [
-            name for name, reply in replies.items() if reply.status == 200 and not reply.whole
+            name for name, reply in replies.items() if reply.status == 200 and not reply.is_complete
         ]
         assert cut_off == []
         served = [name for name, reply in replies.items() if reply.status == 200]
@@ -109,20 +109,20 @@
         await _start(fleet)
         slow = fleet.workers[-1]
         first, second = await _open_callers(fleet, 2)
-        fleet.stops[0].set()
+        fleet.stop_events[0].set()
         await trio.sleep(1.5)
-        slow.work_s = 30.0
+        slow.run_duration_s = 30.0
         headers = {"Deadline-Milliseconds": "9000"}
         await first.send("/unsafe/x", "POST", body=b"b", headers=headers)
-        await fleet.until(lambda: len(slow.runs) == 1)
-        slow.work_s = 0.01
+        await fleet.wait_until(lambda: len(slow.runs) == 1)
+        slow.run_duration_s = 0.01
         # The platform sends no new callers any more; this connection was opened before the stop.
         await trio.sleep(1.3)
         assert (await second.ask("/safe/x")).status == 200
         reply = await first.receive()
         # The call still runs, so its outcome is unknown here. The caller gets a 502 that says so
         # instead of a closed connection.
-        assert (reply.status, reply.whole) == (502, True)
+        assert (reply.status, reply.is_complete) == (502, True)
         assert len(slow.runs) == 2
 
 
@@ -132,7 +132,7 @@
         await _start(fleet, grace_s=3.0)
         await _measure_answer_duration(fleet)
         fleet.configure({"kv_cache_tokens": 150})
-        await fleet.until(lambda: fleet.instances[0].records.table_revision == 9)
+        await fleet.wait_until(lambda: fleet.instances[0].records.table_revision == 9)
         replies: dict[str, Reply] = {}
         async with trio.open_nursery() as nursery:
             # Each decode has capacity for one answer.
@@ -140,10 +140,10 @@
                 nursery.start_soon(_ask, fleet.caller(), replies)
                 await trio.sleep(0.05)
             stopped_at = trio.current_time()
-            fleet.stops[0].set()
+            fleet.stop_events[0].set()
             waiting = fleet.instances[0].service.decode_admission.waiting_count
         assert waiting == 2
-        assert all(reply.whole for reply in replies.values())
+        assert all(reply.is_complete for reply in replies.values())
         assert sorted(reply.status for reply in replies.values()) == [200, 200, 503, 503]
         # The refusals came early enough for other instances to serve the streams.
         assert trio.current_time() - stopped_at < 2.0
@@ -153,14 +153,14 @@
     async with open_fleet() as fleet:
         await _start(fleet)
         for decode in fleet.workers[1:3]:
-            decode.events, decode.event_s = 5, 0.02
+            decode.events, decode.event_interval_s = 5, 0.02
         await _measure_answer_duration(fleet, streams=20)
         (caller,) = await _open_callers(fleet, 1)
-        fleet.stops[0].set()
+        fleet.stop_events[0].set()
         await trio.sleep(1.0)
         replies: dict[str, Reply] = {}
         await _ask(caller, replies)
-        assert [(reply.status, reply.whole) for reply in replies.values()] == [(200, True)]
+        assert [(reply.status, reply.is_complete) for reply in replies.values()] == [(200, True)]
 
 
 class _LateExchange(Exchange):
@@ -181,7 +181,7 @@
     async with open_fleet() as fleet:
         await _start(fleet)
         instance, exchange = fleet.instances[0], _LateExchange()
-        fleet.stops[0].set()
+        fleet.stop_events[0].set()
         await trio.sleep(0.1)
         instance._planned_stop.end()
         with trio.CancelScope() as scope:
@@ -233,7 +233,7 @@
 
         monkeypatch.setattr(PlainCall, "run", run_until_the_stop_ends)
         (caller,) = await _open_callers(fleet, 1)
-        fleet.stops[0].set()
+        fleet.stop_events[0].set()
         await trio.sleep(0.2)
         reply = await caller.ask("/unsafe/x", "POST", body=b"b")
-        assert (reply.status, reply.whole, reply.body) == (200, True, b"served")
+        assert (reply.status, reply.is_complete, reply.body) == (200, True, b"served")
--- a/cleatlink/relay/calls/slow_uploads_test.py
+++ b/cleatlink/relay/calls/slow_uploads_test.py
@@ -21,7 +21,7 @@
 def limit_link_rate(*workers: Worker) -> tuple[Worker, ...]:
     """Limit the link rate of workers."""
     for worker in workers:
-        worker.link_bytes_a_second = LINK_BYTES_A_SECOND
+        worker.link_bytes_per_s = LINK_BYTES_A_SECOND
     return workers
 
 
@@ -71,7 +71,7 @@
     await start(fleet, *workers)
     fleet.add_route("/long/", "safe", "plain", timeout_ms=8000)
     version = fleet.configure()
-    await fleet.until(lambda: fleet.instances[0].records.table_revision == version)
+    await fleet.wait_until(lambda: fleet.instances[0].records.table_revision == version)
     caller = fleet.caller()
     for _ in range(5):
         assert (await send_long_call(caller, 0)).status == 200
@@ -104,7 +104,7 @@
         caller = await start_long_route(fleet, *workers)
         for worker in workers:
             worker.arrivals.clear()
-            worker.faults = [Fault.MUTE]
+            worker.faults = [Fault.NO_RESPONSE]
         statuses = []
 
         async def ask() -> None:
@@ -112,7 +112,7 @@
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(ask)
-            await fleet.until(lambda: any(worker.arrivals for worker in workers))
+            await fleet.wait_until(lambda: any(worker.arrivals for worker in workers))
             for worker in workers:
                 worker.faults = []
         assert statuses == [200]
@@ -126,7 +126,7 @@
         first, second = Worker("plain"), Worker("plain")
         caller = await start_long_route(fleet, first, second)
         for _ in range(6):
-            first.link_bytes_a_second = 1.0
+            first.link_bytes_per_s = 1.0
             heads_before, sent_at = first.heads_read, trio.current_time()
             assert (await send_long_call(caller, size)).status == 200
             if first.heads_read > heads_before:
@@ -147,8 +147,8 @@
         for _ in range(6):
             assert (await send_long_call(caller, 300_000)).status == 200
         for worker in workers:
-            worker.link_bytes_a_second = math.inf
-        workers[0].faults = [Fault.MUTE]
+            worker.link_bytes_per_s = math.inf
+        workers[0].faults = [Fault.NO_RESPONSE]
         while workers[0].faults:
             sent_at = trio.current_time()
             assert (await send_long_call(caller, 0)).status == 200
@@ -205,12 +205,12 @@
         worker = Worker("plain")
         caller = await start_long_route(fleet, *limit_link_rate(worker))
         body = bytes(range(256)) * 4_000
-        worker.answers_after = 50_000
+        worker.body_bytes_before_response = 50_000
         headers = {"Deadline-Milliseconds": "8000"}
         reply = await caller.ask("/long/x", "PUT", body=body, headers=headers)
         assert (reply.status, reply.body) == (200, worker.body)
-        await fleet.until(lambda: bool(worker.late_parts))
+        await fleet.wait_until(lambda: bool(worker.late_body_parts))
         body_start = worker.arrivals[-1].body
-        assert body.startswith(body_start + worker.late_parts[0])
-        worker.answers_after = math.inf
+        assert body.startswith(body_start + worker.late_body_parts[0])
+        worker.body_bytes_before_response = math.inf
         assert (await send_long_call(caller, 20)).status == 200
--- a/cleatlink/relay/endpoint_incarnations_test.py
+++ b/cleatlink/relay/endpoint_incarnations_test.py
@@ -40,7 +40,7 @@
     """Start another incarnation of a worker, at another address."""
     restarted.name, restarted.born = worker.name, worker.born + 1000
     await fleet.add_worker(restarted)
-    await fleet.until(
+    await fleet.wait_until(
         lambda: all(
             known_start_times(i)[restarted.name] == restarted.born for i in fleet.instances
         ),
@@ -56,12 +56,14 @@
 async def test_streams_of_old_incarnation_reserve_no_memory_of_new_one() -> None:
     async with open_fleet() as fleet:
         engine = with_start_time(Worker("model", "decode"))
-        engine.silent_from = 2
+        engine.silent_from_event = 2
         await start(fleet, engine)
         fleet.configure({"slots": 4})
         fleet.start_instance()
-        await fleet.ready()
-        await fleet.until(lambda: all(item._peers.live_instances == 2 for item in fleet.instances))
+        await fleet.wait_ready()
+        await fleet.wait_until(
+            lambda: all(item._peers.live_instances == 2 for item in fleet.instances)
+        )
         long_deadline = {**STREAM, "Deadline-Milliseconds": "9000"}
         for number in range(4):
             hanging_caller = fleet.caller(number % 2)
@@ -83,7 +85,7 @@
             async with trio.open_nursery() as nursery:
                 for number in range(4):
                     nursery.start_soon(ask, number % 2)
-        assert [(reply.status, reply.whole) for reply in replies] == [(200, True)] * 4
+        assert [(reply.status, reply.is_complete) for reply in replies] == [(200, True)] * 4
 
 
 async def test_new_incarnation_is_not_avoided_for_failures_of_old_one() -> None:
@@ -105,16 +107,16 @@
     async with open_fleet() as fleet:
         worker = with_start_time(Worker("plain"))
         await start(fleet, worker)
-        worker.crashes_on, worker.crash_after_s = b"safe", 0.01
-        fleet.keep_restarting(worker, 0.1)
+        worker.crash_marker, worker.crash_after_s = b"safe", 0.01
+        fleet.restart_after_crashes(worker, 0.1)
         caller = fleet.caller()
         await caller.send("/safe/x")
         await worker.crashed.wait()
         # The next incarnation, and those after it, do not crash on this request.
-        await fleet.until(lambda: len(fleet.workers) == 2)
-        fleet.workers[1].crashes_on = None
+        await fleet.wait_until(lambda: len(fleet.workers) == 2)
+        fleet.workers[1].crash_marker = None
         await caller.receive()
-        await fleet.until(
+        await fleet.wait_until(
             lambda: known_start_times(fleet.instances[0])[worker.name] == STARTED_AT_MS + 1
         )
         assert (await fleet.caller().ask("/safe/x")).status == 200
@@ -124,24 +126,24 @@
 async def test_prefill_result_of_old_incarnation_is_not_fetched() -> None:
     async with open_fleet() as fleet:
         prefill, decode = with_start_time(Worker("model", "prefill")), Worker("model", "decode")
-        decode.offers_holds = False
+        decode.offers_reservations = False
         await start(fleet, prefill, decode)
         fleet.add_route("/once/", "streaming", "model", attempts=1)
         version = fleet.configure()
-        await fleet.until(lambda: fleet.instances[0].records.table_revision == version)
+        await fleet.wait_until(lambda: fleet.instances[0].records.table_revision == version)
         # The decode endpoint is full at first; meanwhile the prefill endpoint restarts.
         decode.faults = [Fault.FULL]
         caller = fleet.caller()
         await caller.send("/once/x", "POST", body=b"p", headers=STREAM)
-        await fleet.until(lambda: len(decode.arrivals) == 1)
+        await fleet.wait_until(lambda: len(decode.arrivals) == 1)
         restarted = Worker("model", "prefill")
         restarted.name, restarted.born = prefill.name, prefill.born + 1000
         await fleet.add_worker(restarted)
         reply = await caller.receive()
-        assert (reply.status, reply.whole) == (200, True)
+        assert (reply.status, reply.is_complete) == (200, True)
         assert decode.arrivals[0].headers.get("cache-source", "").startswith(prefill.address)
         assert "cache-source" not in decode.arrivals[-1].headers
-        assert restarted.freed == []
+        assert restarted.deleted_handles == []
 
 
 async def test_late_registration_of_old_incarnation_is_ignored() -> None:
@@ -151,12 +153,12 @@
         restarted = await restart_as(fleet, worker, Worker("plain"))
         fleet.register(worker, "draining")
         marker = await fleet.add_worker(Worker("plain"))
-        await fleet.until(lambda: marker.name in known_start_times(fleet.instances[0]))
+        await fleet.wait_until(lambda: marker.name in known_start_times(fleet.instances[0]))
         assert known_start_times(fleet.instances[0])[worker.name] == restarted.born
         fleet.start_instance()
-        await fleet.until(lambda: fleet.instances[1].ready)
+        await fleet.wait_until(lambda: fleet.instances[1].ready)
         fleet.unregister(marker)
-        await fleet.until(lambda: marker.name not in known_start_times(fleet.instances[0]))
+        await fleet.wait_until(lambda: marker.name not in known_start_times(fleet.instances[0]))
         assert (await fleet.caller().ask("/safe/x")).status == 200
 
 
@@ -169,7 +171,7 @@
             worker.name, worker.born = first.name, STARTED_AT_MS + number
         for worker in (first, third, second):
             await fleet.add_worker(worker)
-        await fleet.until(
+        await fleet.wait_until(
             lambda: known_start_times(fleet.instances[0]).get(first.name) == STARTED_AT_MS + 2
         )
         await trio.sleep(0.1)
@@ -192,7 +194,7 @@
         worker, other = with_start_time(Worker("plain")), Worker("plain")
         await start(fleet, worker, other)
         fleet.register(worker, "draining")
-        await fleet.until(
+        await fleet.wait_until(
             lambda: not fleet.instances[0].capacity.accepts_work(_incarnation_name(worker))
         )
         restarted = await restart_as(fleet, worker, Worker("plain"))
@@ -221,11 +223,11 @@
 async def start_hanging_stream(fleet: Fleet, path: str) -> tuple[Worker, Caller]:
     """Start a stream that hangs at its engine, as during a network partition."""
     engine = with_start_time(Worker("model", "decode"))
-    engine.silent_from = 2
+    engine.silent_from_event = 2
     await start(fleet, engine)
     caller = fleet.caller()
     await caller.send(path, "POST", body=b"p", headers=STREAM)
-    await fleet.until(lambda: engine.runs)
+    await fleet.wait_until(lambda: engine.runs)
     await trio.sleep(0.1)
     return engine, caller
 
@@ -236,7 +238,7 @@
         await restart_as(fleet, engine, Worker("model", "decode"))
         started_at = trio.current_time()
         reply = await caller.receive()
-        assert not reply.whole
+        assert not reply.is_complete
         assert trio.current_time() - started_at < MAX_END_S
 
 
@@ -246,7 +248,7 @@
         restarted = await restart_as(fleet, engine, Worker("model", "decode"))
         started_at = trio.current_time()
         reply = await caller.receive()
-        assert (reply.status, reply.whole) == (200, True)
+        assert (reply.status, reply.is_complete) == (200, True)
         assert reply.body.count(b"id: ") == engine.events
         assert trio.current_time() - started_at < 2 * MAX_END_S
         assert len(restarted.runs) == 1
@@ -256,10 +258,10 @@
     async with open_fleet() as fleet:
         worker = with_start_time(Worker("plain"))
         await start(fleet, worker)
-        worker.work_s = 30.0
+        worker.run_duration_s = 30.0
         caller = fleet.caller()
         await caller.send("/unsafe/x", "POST", body=b"x")
-        await fleet.until(lambda: worker.runs)
+        await fleet.wait_until(lambda: worker.runs)
         await restart_as(fleet, worker, Worker("plain"))
         with trio.fail_after(MAX_END_S):
             assert (await caller.receive()).status == 502
--- a/cleatlink/relay/endpoint_limits_test.py
+++ b/cleatlink/relay/endpoint_limits_test.py
@@ -33,8 +33,8 @@
     """Return the largest number of calls that arrived in one window once the limit was known."""
     times = [
         arrived_at
-        for arrived_at in worker.asked_at
-        if arrived_at >= worker.asked_at[0] + LIMIT_PROPAGATION_S
+        for arrived_at in worker.all_arrival_times
+        if arrived_at >= worker.all_arrival_times[0] + LIMIT_PROPAGATION_S
     ]
     return max(
         (
@@ -79,7 +79,7 @@
         await start(fleet, *workers)
         for _ in range(count - 1):
             fleet.start_instance()
-        await fleet.ready()
+        await fleet.wait_ready()
         yield fleet
 
 
@@ -90,7 +90,7 @@
 async def test_four_instances_together_respect_limit_of_one_endpoint() -> None:
     limited, *others = plain_workers(3)
     async with open_instances(4, limited, *others) as fleet:
-        limited.names_limit = "3"
+        limited.announced_limit = "3"
         fleet.store.mode = StoreMode.SILENT
         replies = await call_all(fleet, 40.0, 0, 1, 2, 3)
         assert statuses(replies) == {200}
@@ -100,7 +100,7 @@
 async def test_one_busy_instance_uses_whole_limit_of_endpoint() -> None:
     limited, other = plain_workers(2)
     async with open_instances(8, limited, other) as fleet:
-        limited.names_limit = "6"
+        limited.announced_limit = "6"
         replies = await call_all(fleet, 40.0, 0)
         assert statuses(replies) == {200}
         assert 0.8 * 6.0 * WINDOW_S <= max_calls_in_window(limited) <= max_allowed_calls(6.0)
@@ -110,7 +110,7 @@
     workers = plain_workers(3)
     async with open_instances(4, *workers) as fleet:
         for worker in workers:
-            worker.names_limit = "4"
+            worker.announced_limit = "4"
         replies = await call_all(fleet, 40.0, 0, 1, 2, 3)
         assert statuses(replies) == {200, 503}
         for worker in workers:
@@ -120,7 +120,7 @@
 async def test_eight_instances_together_respect_low_limit() -> None:
     limited, *others = plain_workers(3)
     async with open_instances(8, limited, *others) as fleet:
-        limited.names_limit = "2"
+        limited.announced_limit = "2"
         replies = await call_all(fleet, 60.0, *range(8))
         assert statuses(replies) == {200}
         assert max_calls_in_window(limited) <= max_allowed_calls(2.0)
@@ -129,21 +129,21 @@
 async def test_limit_ends_when_endpoint_stops_announcing_it() -> None:
     limited, other = plain_workers(2)
     async with open_instances(2, limited, other) as fleet:
-        limited.names_limit = "2"
+        limited.announced_limit = "2"
         await call_all(fleet, 40.0, 0, 1, seconds=4.0)
-        limited.names_limit = None
-        previous_calls = len(limited.asked_at)
+        limited.announced_limit = None
+        previous_calls = len(limited.all_arrival_times)
         await call_all(fleet, 40.0, 0, 1, seconds=4.0)
-        assert len(limited.asked_at) - previous_calls > 40
+        assert len(limited.all_arrival_times) - previous_calls > 40
 
 
 async def test_lowered_limit_takes_effect() -> None:
     limited, other = plain_workers(2)
     async with open_instances(3, limited, other) as fleet:
-        limited.names_limit = "20"
+        limited.announced_limit = "20"
         await call_all(fleet, 40.0, 0, 1, 2, seconds=2.0)
-        limited.names_limit = "2"
-        limited.asked_at.clear()
+        limited.announced_limit = "2"
+        limited.all_arrival_times.clear()
         await call_all(fleet, 40.0, 0, 1, 2)
         assert max_calls_in_window(limited) <= max_allowed_calls(2.0)
 
@@ -151,14 +151,14 @@
 async def test_starting_and_stopping_instances_do_not_exceed_limit() -> None:
     limited, *others = plain_workers(3)
     async with open_instances(2, limited, *others) as fleet:
-        limited.names_limit = "3"
+        limited.announced_limit = "3"
         async with trio.open_nursery() as nursery:
             nursery.start_soon(call_all, fleet, 40.0, 1)
             await trio.sleep(2.0)
             fleet.start_instance()
             fleet.start_instance()
-            await fleet.ready()
-            fleet.stops[0].set()
+            await fleet.wait_ready()
+            fleet.stop_events[0].set()
             await call_all(fleet, 40.0, 2, 3, seconds=5.0)
         assert max_calls_in_window(limited) <= max_allowed_calls(3.0)
 
@@ -166,20 +166,20 @@
 async def test_instance_respects_limit_received_from_peer() -> None:
     limited, other = plain_workers(2)
     async with open_instances(2, limited, other) as fleet:
-        limited.names_limit = "2"
-        while not limited.asked_at:
+        limited.announced_limit = "2"
+        while not limited.all_arrival_times:
             await fleet.caller(0).ask("/safe/x")
         limits = fleet.instances[1].capacity.endpoint_limits
-        await fleet.until(lambda: limits.rate_per_s(limited.name) == 2.0)
-        limited.asked_at.clear()
+        await fleet.wait_until(lambda: limits.rate_per_s(limited.name) == 2.0)
+        limited.all_arrival_times.clear()
         await call_all(fleet, 40.0, 1, seconds=3.0)
-        assert 2 <= len(limited.asked_at) <= 9
+        assert 2 <= len(limited.all_arrival_times) <= 9
 
 
 async def test_refusal_names_time_when_limit_allows_next_call() -> None:
     (limited,) = plain_workers(1)
     async with open_instances(1, limited) as fleet:
-        limited.names_limit = "0.5"
+        limited.announced_limit = "0.5"
         assert (await fleet.caller().ask("/safe/x")).status == 200
         started_at = trio.current_time()
         reply = await fleet.caller().ask("/safe/x")
@@ -194,7 +194,7 @@
 async def test_call_waits_for_rate_limit_within_its_deadline() -> None:
     (limited,) = plain_workers(1)
     async with open_instances(1, limited) as fleet:
-        limited.names_limit = "10"
+        limited.announced_limit = "10"
         replies = await call_all(fleet, 9.0, 0, seconds=3.0)
         assert statuses(replies) == {200}
 
@@ -202,11 +202,11 @@
 async def test_status_shows_limits_and_sources_of_leaving_notices() -> None:
     limited, leaving = plain_workers(2)
     async with open_instances(2, limited, leaving) as fleet:
-        limited.names_limit, leaving.says_leaving = "5", True
-        while not (limited.asked_at and leaving.asked_at):
+        limited.announced_limit, leaving.announces_leaving = "5", True
+        while not (limited.all_arrival_times and leaving.all_arrival_times):
             await fleet.caller(0).ask("/safe/x")
         status = fleet.instances[1].status
-        await fleet.until(lambda: status()["leaving"] and status()["limits"])
+        await fleet.wait_until(lambda: status()["leaving"] and status()["limits"])
         for instance, source in zip(fleet.instances, ("answer", "peer"), strict=True):
             assert instance.status()["limits"] == {limited.name: 5.0}
             assert instance.status()["leaving"] == {leaving.name: source}
@@ -216,16 +216,16 @@
 async def test_invalid_limit_does_not_take_endpoint_out_of_use(invalid_limit: str) -> None:
     (worker,) = plain_workers(1)
     async with open_instances(1, worker) as fleet:
-        worker.names_limit = invalid_limit
+        worker.announced_limit = invalid_limit
         assert statuses(await call_all(fleet, 50.0, 0, seconds=1.0)) == {200}
 
 
 async def test_endpoint_with_zero_limit_receives_few_calls() -> None:
     limited, other = plain_workers(2)
     async with open_instances(2, limited, other) as fleet:
-        limited.names_limit = "0"
+        limited.announced_limit = "0"
         assert statuses(await call_all(fleet, 40.0, 0, 1, seconds=3.0)) == {200}
-        assert len(limited.asked_at) <= 2
+        assert len(limited.all_arrival_times) <= 2
 
 
 async def test_every_call_to_engine_counts_toward_limit() -> None:
@@ -233,8 +233,10 @@
     prefill, limited, other = engines()
     async with open_instances(4, prefill, limited, other) as fleet:
         fleet.configure({"hold_ms": 500, "slots": 64, "kv_cache_tokens": 100_000})
-        await fleet.until(lambda: all(item.records.table_revision > 5 for item in fleet.instances))
-        limited.names_limit = "3"
+        await fleet.wait_until(
+            lambda: all(item.records.table_revision > 5 for item in fleet.instances)
+        )
+        limited.announced_limit = "3"
         replies = await call_all(fleet, 30.0, 0, 1, 2, 3, path="/stream/x")
         assert statuses(replies) == {200}
         assert max_calls_in_window(limited) <= max_allowed_calls(3.0)
@@ -245,8 +247,10 @@
     prefill, decode, another = engines()
     async with open_instances(4, prefill, decode, another) as fleet:
         fleet.configure({"slots": 64, "kv_cache_tokens": 100_000})
-        await fleet.until(lambda: all(item.records.table_revision > 5 for item in fleet.instances))
-        prefill.names_limit = "3"
+        await fleet.wait_until(
+            lambda: all(item.records.table_revision > 5 for item in fleet.instances)
+        )
+        prefill.announced_limit = "3"
         replies = await call_all(fleet, 30.0, 0, 1, 2, 3, path="/stream/x")
         assert statuses(replies) == {200}
         assert max_calls_in_window(prefill) <= max_allowed_calls(3.0)
@@ -256,9 +260,11 @@
     decodes = [Worker("model", "decode"), Worker("model", "decode")]
     async with open_instances(4, Worker("model", "prefill"), *decodes) as fleet:
         fleet.configure({"slots": 64, "kv_cache_tokens": 100_000})
-        await fleet.until(lambda: all(item.records.table_revision > 5 for item in fleet.instances))
+        await fleet.wait_until(
+            lambda: all(item.records.table_revision > 5 for item in fleet.instances)
+        )
         for decode in decodes:
-            decode.names_limit = "4"
+            decode.announced_limit = "4"
         await call_all(fleet, 30.0, 0, 1, 2, 3, path="/stream/x")
         for decode in decodes:
             assert max_calls_in_window(decode) <= max_allowed_calls(4.0)
--- a/cleatlink/relay/endpoint_notices_test.py
+++ b/cleatlink/relay/endpoint_notices_test.py
@@ -50,12 +50,12 @@
 
 def arrivals_after(worker: Worker, seconds: float) -> int:
     """Count the calls that arrived at a worker more than this time after its first call."""
-    return sum(arrival - worker.arrived_at[0] > seconds for arrival in worker.arrived_at)
+    return sum(arrival - worker.arrival_times[0] > seconds for arrival in worker.arrival_times)
 
 
 def max_calls_in_backoff(worker: Worker, backoff_s: float) -> int:
     """Return the largest number of calls during one back-off that a worker asked for."""
-    times = worker.arrived_at
+    times = worker.arrival_times
     return max(
         sum(IN_TRANSIT_S < arrival - notice_at < backoff_s for arrival in times)
         for notice_at in times
@@ -66,7 +66,7 @@
     async with open_fleet() as fleet:
         leaving, other = Worker("plain"), Worker("plain")
         await start(fleet, leaving, other)
-        leaving.says_leaving = True
+        leaving.announces_leaving = True
         fleet.store.mode = StoreMode.SILENT
         statuses = await call_repeatedly(fleet, LEAVING_GRACE_S + 1.0, "/safe/x")
         assert set(statuses) == {200}
@@ -78,7 +78,7 @@
     async with open_fleet() as fleet:
         overloaded = Worker("plain")
         await start(fleet, overloaded, Worker("plain"), Worker("plain"))
-        overloaded.sheds, overloaded.asks_rest_s = True, BACKOFF_S
+        overloaded.rejects_work, overloaded.requested_backoff_s = True, BACKOFF_S
         statuses = await call_repeatedly(fleet, BACKOFF_S, "/safe/x")
         assert set(statuses) == {200}
         assert max_calls_in_backoff(overloaded, BACKOFF_S) <= MAX_CALLS_IN_BACKOFF
@@ -87,9 +87,9 @@
 async def test_requested_backoff_of_engine_is_respected() -> None:
     async with open_fleet() as fleet:
         overloaded = Worker("model", "decode")
-        overloaded.offers_holds = False
+        overloaded.offers_reservations = False
         await start(fleet, overloaded, Worker("model", "decode"), Worker("model", "prefill"))
-        overloaded.sheds, overloaded.asks_rest_s = True, BACKOFF_S
+        overloaded.rejects_work, overloaded.requested_backoff_s = True, BACKOFF_S
         statuses = await call_repeatedly(fleet, BACKOFF_S, "/stream/x", headers=STREAM)
         assert set(statuses) == {200}
         assert max_calls_in_backoff(overloaded, BACKOFF_S) <= MAX_CALLS_IN_BACKOFF
@@ -99,7 +99,7 @@
     async with open_fleet() as fleet:
         leaving = Worker("plain")
         await start(fleet, leaving, Worker("plain"))
-        leaving.says_leaving = True
+        leaving.announces_leaving = True
         for _ in range(30):
             assert (await fleet.caller().ask("/unsafe/x", "POST", body=b"x")).status == 200
         assert len(leaving.arrivals) == 1
@@ -109,14 +109,14 @@
     async with open_fleet() as fleet:
         leaving = Worker("plain")
         await start(fleet, leaving, Worker("plain"))
-        leaving.says_leaving = True
+        leaving.announces_leaving = True
         while not leaving.arrivals:
             await fleet.caller().ask("/safe/x")
         fleet.unregister(leaving)
         endpoints = fleet.instances[0].capacity.endpoints
-        await fleet.until(lambda: leaving.name not in endpoints)
+        await fleet.wait_until(lambda: leaving.name not in endpoints)
         fleet.register(leaving)
-        await fleet.until(lambda: leaving.name in endpoints)
+        await fleet.wait_until(lambda: leaving.name in endpoints)
         for _ in range(20):
             assert (await fleet.caller().ask("/safe/x")).status == 200
         assert len(leaving.arrivals) == 1
@@ -129,24 +129,24 @@
         for _ in range(3):
             await fleet.caller().ask("/safe/x")
         assert leaving.open_connections == 1
-        leaving.says_leaving = True
+        leaving.announces_leaving = True
         await fleet.caller().ask("/safe/x")
-        await fleet.until(lambda: leaving.open_connections == 0, 1.0)
+        await fleet.wait_until(lambda: leaving.open_connections == 0, 1.0)
 
 
 async def test_running_stream_continues_at_leaving_endpoint() -> None:
     async with open_fleet() as fleet:
         engine, other = Worker("model", "decode"), Worker("plain")
-        engine.events, engine.event_s = 20, 0.03
+        engine.events, engine.event_interval_s = 20, 0.03
         await start(fleet, engine, other)
         caller = fleet.caller()
         await caller.send("/stream/x", "POST", body=b"p", headers=STREAM)
-        await fleet.until(lambda: engine.runs)
-        engine.says_leaving = True
+        await fleet.wait_until(lambda: engine.runs)
+        engine.announces_leaving = True
         # The answer of a second stream carries the notice.
-        assert (await fleet.caller().ask("/stream/x", headers=STREAM)).whole
+        assert (await fleet.caller().ask("/stream/x", headers=STREAM)).is_complete
         reply = await caller.receive()
-        assert (reply.status, reply.whole) == (200, True)
+        assert (reply.status, reply.is_complete) == (200, True)
         assert len(engine.runs) == 2
         assert (await fleet.caller().ask("/stream/x", headers=STREAM)).status == 503
 
@@ -157,7 +157,7 @@
         workers = [Worker("plain"), Worker("plain")]
         await start(fleet, *workers)
         for worker in workers:
-            worker.sheds, worker.asks_rest_s = True, 3.0
+            worker.rejects_work, worker.requested_backoff_s = True, 3.0
         while not all(worker.arrivals for worker in workers):
             await fleet.caller().ask(path)
         started_at = trio.current_time()
@@ -171,7 +171,7 @@
     async with open_fleet() as fleet:
         worker, engine = Worker("plain"), Worker("model", "decode")
         await start(fleet, worker, engine)
-        worker.says_leaving = engine.says_leaving = True
+        worker.announces_leaving = engine.announces_leaving = True
         for path, headers in (("/safe/x", {}), ("/stream/x", STREAM)):
             assert (await fleet.caller().ask(path, headers=headers)).status == 200
             started_at = trio.current_time()
@@ -183,23 +183,23 @@
     async with open_fleet() as fleet:
         engine = Worker("model", "decode")
         await start(fleet, engine)
-        engine.sheds, engine.asks_rest_s = True, 20.0
+        engine.rejects_work, engine.requested_backoff_s = True, 20.0
         await fleet.caller().ask("/stream/x", headers=STREAM)
-        assert engine.refused_holds + len(engine.arrivals) >= 1
-        attempts_before = engine.refused_holds + len(engine.arrivals)
+        assert engine.rejected_reservations + len(engine.arrivals) >= 1
+        attempts_before = engine.rejected_reservations + len(engine.arrivals)
         started_at = trio.current_time()
         assert (await fleet.caller().ask("/stream/x", headers=STREAM)).status == 503
         assert trio.current_time() - started_at < MAX_REFUSAL_S
-        assert engine.refused_holds + len(engine.arrivals) == attempts_before
+        assert engine.rejected_reservations + len(engine.arrivals) == attempts_before
 
 
 async def test_endpoint_is_used_again_after_backoff() -> None:
     async with open_fleet() as fleet:
         worker = Worker("plain")
         await start(fleet, worker)
-        worker.sheds, worker.asks_rest_s = True, 0.5
+        worker.rejects_work, worker.requested_backoff_s = True, 0.5
         assert (await fleet.caller().ask("/safe/x")).status == 503
-        worker.sheds = False
+        worker.rejects_work = False
         await trio.sleep(0.55)
         statuses = await call_repeatedly(fleet, 0.5, "/safe/x")
         assert set(statuses) == {200}
@@ -208,17 +208,17 @@
 async def test_engine_is_used_in_its_new_role() -> None:
     async with open_fleet() as fleet:
         engine, prefill = Worker("model", "decode"), Worker("model", "prefill")
-        engine.offers_holds = False
+        engine.offers_reservations = False
         await start(fleet, engine, prefill)
         # The engine has changed its role, but its entry still has the former role.
         name, engine.name = engine.name, "another"
         assert (await fleet.caller().ask("/stream/x", headers=STREAM)).status == 503
         engine.name, engine.stage = name, "prefill"
         prefill.stage = "decode"
-        prefill.offers_holds = False
+        prefill.offers_reservations = False
         fleet.register(engine)
         fleet.register(prefill)
         endpoints = fleet.instances[0].capacity.endpoints
-        await fleet.until(lambda: endpoints[prefill.name].role is Role.DECODE)
+        await fleet.wait_until(lambda: endpoints[prefill.name].role is Role.DECODE)
         assert (await fleet.caller().ask("/stream/x", headers=STREAM)).status == 200
         assert len(engine.handles) == 1
--- a/cleatlink/relay/endpoints/crash_detector_test.py
+++ b/cleatlink/relay/endpoints/crash_detector_test.py
@@ -36,19 +36,21 @@
 ) -> None:
     async with open_fleet() as fleet:
         worker = Worker("plain")
-        worker.crashes_on, worker.work_s = b"crash", 0.5
+        worker.crash_marker, worker.run_duration_s = b"crash", 0.5
         await start(fleet, worker)
         reported = record_crashes(fleet, monkeypatch)
         bystander, crashing = fleet.caller(), fleet.caller()
         await bystander.send("/unsafe/x", "POST", body=b"beside")
-        await fleet.until(lambda: worker.runs)
+        await fleet.wait_until(lambda: worker.runs)
         await crashing.send("/unsafe/x", "POST", body=b"crash")
         assert (await bystander.receive()).status == (await crashing.receive()).status == 502
-        await fleet.until(lambda: reported)
+        await fleet.wait_until(lambda: reported)
         assert [(name, len(requests)) for name, requests in reported] == [(worker.name, 2)]
 
 
-@pytest.mark.parametrize("fault", [Fault.CUT, Fault.RESET_AFTER, Fault.GARBAGE, Fault.FOREIGN])
+@pytest.mark.parametrize(
+    "fault", [Fault.TRUNCATED, Fault.RESET_AFTER, Fault.GARBAGE, Fault.WRONG_REQUEST_ID]
+)
 async def test_single_bad_response_is_not_a_crash(
     fault: Fault, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -70,16 +72,16 @@
         worker = Worker("plain")
         await start(fleet, worker)
         reported = record_crashes(fleet, monkeypatch)
-        worker.work_s = 0.2
+        worker.run_duration_s = 0.2
         callers = [fleet.caller(), fleet.caller()]
         for caller in callers:
             await caller.send("/unsafe/x", "POST", body=b"x")
         for caller in callers:
             assert (await caller.receive()).status == 200
-        worker.takes_connections, worker.work_s = False, 0.8
+        worker.accepts_connections, worker.run_duration_s = False, 0.8
         await callers[0].send("/unsafe/x", "POST", body=b"beside")
-        await fleet.until(lambda: len(worker.runs) == 3)
-        worker.faults, worker.work_s = [Fault.CUT], 0.01
+        await fleet.wait_until(lambda: len(worker.runs) == 3)
+        worker.faults, worker.run_duration_s = [Fault.TRUNCATED], 0.01
         await callers[1].send("/unsafe/x", "POST", body=b"x")
         assert (await callers[1].receive()).status == 502
         assert (await callers[0].receive()).status == 200
@@ -89,12 +91,12 @@
 async def test_proxy_that_closes_connections_is_a_crash(monkeypatch: pytest.MonkeyPatch) -> None:
     async with open_fleet() as fleet:
         worker = Worker("plain")
-        worker.crashes_on, worker.is_behind_proxy = b"crash", True
-        fleet.keep_restarting(worker, 0.3)
+        worker.crash_marker, worker.is_behind_proxy = b"crash", True
+        fleet.restart_after_crashes(worker, 0.3)
         await start(fleet, worker)
         reported = record_crashes(fleet, monkeypatch)
         assert (await fleet.caller().ask("/unsafe/x", "POST", body=b"crash")).status == 502
-        await fleet.until(lambda: reported, 0.2)
+        await fleet.wait_until(lambda: reported, 0.2)
         assert [name for name, _ in reported] == [worker.name]
 
 
--- a/cleatlink/relay/endpoints/protocol.py
+++ b/cleatlink/relay/endpoints/protocol.py
@@ -352,7 +352,7 @@
         rates = head.get_all(names.rate_per_s)
         return EndpointNotice(leaving, backoff_s, parse_rate_limit_per_s(rates), bool(rates))
 
-    def belongs(self, head: ResponseHead, inbound: InboundRequest) -> bool:
+    def matches_request(self, head: ResponseHead, inbound: InboundRequest) -> bool:
         """Check whether a response carries the identifier of this request."""
         response_id = head.get(self.names.request_id)
         return response_id is not None and response_id.decode("latin-1") == inbound.request_id
--- a/cleatlink/relay/endpoints/response_notices.py
+++ b/cleatlink/relay/endpoints/response_notices.py
@@ -168,7 +168,7 @@
                 return
         elif before is None or not self._protocol.is_response_to_caller(head):
             return
-        if not self._limits.note_answer(endpoint.name, notice.rate_per_s, now):
+        if not self._limits.note_response(endpoint.name, notice.rate_per_s, now):
             return
         self._on_limit_changed(endpoint.name)
         if self._limit_change_log_limit.allow(now):
--- a/cleatlink/relay/endpoints/response_notices_test.py
+++ b/cleatlink/relay/endpoints/response_notices_test.py
@@ -116,7 +116,7 @@
             worker = Worker("plain")
             await start(fleet, worker)
             for value in ("50", "50", "20", "few", None, None):
-                worker.names_limit = value
+                worker.announced_limit = value
                 # Responses can arrive out of order: one without a limit takes effect after a delay.
                 await trio.sleep(0.0 if value else 0.6)
                 assert (await fleet.caller().ask("/safe/x")).status == 200
@@ -139,11 +139,11 @@
     try:
         async with open_fleet() as fleet:
             worker = Worker("plain")
-            worker.more_headers = {"Server-Temper": "bad", "Content-Language": "cs"}
+            worker.extra_headers = {"Server-Temper": "bad", "Content-Language": "cs"}
             await start(fleet, worker)
             for _ in range(3):
                 assert (await fleet.caller().ask("/safe/x")).status == 200
-            worker.more_headers = {f"X-{number}": "1" for number in range(99)}
+            worker.extra_headers = {f"X-{number}": "1" for number in range(99)}
             await fleet.caller().ask("/safe/x")
     finally:
         eliot.remove_destination(collect)
@@ -169,7 +169,7 @@
             await start(fleet, *workers)
             announcing = [item for item in workers if (item.stage or "plain") == kind]
             for worker in announcing:
-                worker.says_leaving = True
+                worker.announces_leaving = True
             await fleet.caller().ask(path, headers=headers)
             notices = fleet.instances[0].capacity.notices
             leaving = {item.name for item in workers if notices.is_leaving(item.name)}
@@ -181,9 +181,9 @@
     async with open_fleet() as fleet:
         prefill, decode = Worker("model", "prefill"), Worker("model", "decode")
         await start(fleet, prefill, decode)
-        decode.says_leaving, decode.room = True, 0
+        decode.announces_leaving, decode.reservable_tokens = True, 0
         fleet.configure({"hold_ms": 500})
-        await fleet.until(lambda: fleet.instances[0].records.table_revision > 5)
+        await fleet.wait_until(lambda: fleet.instances[0].records.table_revision > 5)
         await fleet.caller().ask("/stream/x", headers=STREAM)
         assert fleet.instances[0].capacity.notices.is_leaving(decode.name)
 
@@ -196,7 +196,7 @@
         async with open_fleet() as fleet:
             worker = Worker("plain")
             await start(fleet, worker, Worker("plain"))
-            worker.says_leaving = True
+            worker.announces_leaving = True
             for _ in range(12):
                 await fleet.caller().ask("/safe/x")
             metrics = fleet.instances[0].render_metrics().decode()
--- a/cleatlink/relay/final_refusals_test.py
+++ b/cleatlink/relay/final_refusals_test.py
@@ -72,7 +72,7 @@
 async def publish(fleet: Fleet) -> None:
     """Publish the routes, and wait until they are in force."""
     revision = fleet.configure()
-    await fleet.until(lambda: fleet.instances[0].records.table_revision == revision)
+    await fleet.wait_until(lambda: fleet.instances[0].records.table_revision == revision)
 
 
 async def test_request_with_dropped_body_is_never_forwarded() -> None:
@@ -107,7 +107,7 @@
         assert buffered_body_bytes(instance) == len(BODY)
         await add_new_route(fleet)
         reply = await caller.receive()
-        assert (reply.status, reply.whole) == (200, True)
+        assert (reply.status, reply.is_complete) == (200, True)
         assert [call.body for call in worker.arrivals] == [BODY]
         await trio.sleep(0.05)
         assert buffered_body_bytes(instance) == 0
@@ -209,10 +209,10 @@
         waiting = fleet.caller()
         await waiting.send("/new/x", "PUT", body=BODY)
         await trio.sleep(0.1)
-        fleet.stops[0].set()
+        fleet.stop_events[0].set()
         with trio.fail_after(0.1):
             reply = await waiting.receive()
-        assert (reply.status, reply.whole) == (503, True)
+        assert (reply.status, reply.is_complete) == (503, True)
         assert b'"stopping"' in reply.body
         assert [line["outcome"] for line in wait_lines] == ["stopping"]
 
@@ -270,7 +270,7 @@
     async with open_fleet() as fleet:
         fleet.organisations = organisations("k-new")
         decode = Worker("model", "decode")
-        decode.events, decode.event_s = 24, 0.05
+        decode.events, decode.event_interval_s = 24, 0.05
         await start(fleet, Worker("model", "prefill"), decode)
         fleet.configure({"slots": 1})
         await trio.sleep(0.3)
@@ -279,7 +279,9 @@
         await running.send("/stream/x", "POST", headers=long_deadline)
         await trio.sleep(0.3)
         await waiting.send("/stream/y", "POST", headers=long_deadline)
-        await fleet.until(lambda: fleet.instances[0].service.decode_admission.waiting_count == 1)
+        await fleet.wait_until(
+            lambda: fleet.instances[0].service.decode_admission.waiting_count == 1
+        )
         report_newer_table(fleet.instances[0])
         fleet.organisations = organisations("k-old")
         fleet.configure({"slots": 1})
@@ -294,7 +296,7 @@
         fleet.organisations = organisations("k-old")
         await start(fleet, Worker("plain"))
         fleet.start_instance()
-        await fleet.ready()
+        await fleet.wait_ready()
         fleet.store.mode = mode
         await trio.sleep(8.0)
         for number in (0, 1):
@@ -316,7 +318,7 @@
         fleet.store.mode = StoreMode.RESET
         await trio.sleep(2.0)
         fleet.start_instance()
-        await fleet.until(lambda: fleet.instances[1].ready)
+        await fleet.wait_until(lambda: fleet.instances[1].ready)
         assert (await fleet.caller(1).ask("/safe/x")).status == 200
         assert (await fleet.caller(1).ask("/new/x")).status == 503
 
@@ -325,8 +327,8 @@
     async with open_fleet() as fleet:
         await start(fleet, Worker("plain"))
         fleet.start_instance()
-        await fleet.ready()
-        fleet.turn_away(1)
+        await fleet.wait_ready()
+        fleet.refuse_store_access(1)
         await trio.sleep(8.0)
         assert (await fleet.caller(1).ask("/new/x")).status == 404
 
--- a/cleatlink/relay/fleet_test.py
+++ b/cleatlink/relay/fleet_test.py
@@ -20,7 +20,7 @@
         assert (await caller.ask("/safe/x")).status == 200
         fleet.routes = [{**route, "service": "other"} for route in fleet.routes]
         fleet.configure()
-        await fleet.until(lambda: fleet.instances[0].records.table_revision == 7, 1.0)
+        await fleet.wait_until(lambda: fleet.instances[0].records.table_revision == 7, 1.0)
         await caller.ask("/safe/x")
         assert (len(plain.runs), len(other.runs)) == (1, 1)
         fleet.store.put(
@@ -41,7 +41,7 @@
             assert (await fleet.caller().ask("/safe/x")).status == 200
         assert (len(first.runs), len(second.runs)) == (0, 6)
         fleet.unregister(first)
-        await fleet.until(lambda: first.name not in fleet.instances[0].capacity.endpoints)
+        await fleet.wait_until(lambda: first.name not in fleet.instances[0].capacity.endpoints)
 
 
 async def test_removal_is_seen_after_store_compacted_its_history() -> None:
@@ -49,15 +49,15 @@
         first, second = Worker("plain"), Worker("plain")
         await start(fleet, first, second)
         # A watch that fails counts as an outage of the store, after which removals are delayed.
-        await fleet.until(lambda: fleet.store.watching)
+        await fleet.wait_until(lambda: fleet.store.open_watches)
         fleet.store.mode = StoreMode.BUSY
         await trio.sleep(0.1)
         fleet.unregister(first)
         fleet.configure()
-        fleet.store.forget_history()
+        fleet.store.drop_history()
         fleet.store.mode = StoreMode.UP
         records = fleet.instances[0].records
-        await fleet.until(lambda: records.table_revision == 7)
+        await fleet.wait_until(lambda: records.table_revision == 7)
         assert set(fleet.instances[0].capacity.endpoints) == {second.name}
 
 
@@ -68,30 +68,30 @@
         await start(fleet, worker)
         fleet.store.mode = mode
         fleet.start_instance()
-        await fleet.until(lambda: fleet.instances[1].ready)
+        await fleet.wait_until(lambda: fleet.instances[1].ready)
         assert (await fleet.caller(1).ask("/safe/x")).status == 200
 
 
 async def test_planned_stop_finishes_accepted_requests() -> None:
     async with open_fleet() as fleet:
         prefill, first, second = engines()
-        first.event_s = second.event_s = 0.2
+        first.event_interval_s = second.event_interval_s = 0.2
         await start(fleet, prefill, first, second, Worker("plain"))
         keep_alive, streaming = fleet.caller(), fleet.caller()
         assert (await keep_alive.ask("/safe/x")).status == 200
         await streaming.send("/stream/x", "POST", body=b"p", headers=STREAM)
         await trio.sleep(0.1)
-        fleet.stops[0].set()
+        fleet.stop_events[0].set()
         await trio.sleep(0.1)
-        assert (await fleet.prober().ask("/")).status == 503
+        assert (await fleet.readiness_client().ask("/")).status == 503
         last_reply = await keep_alive.ask("/safe/x")
         assert (last_reply.status, last_reply.headers["connection"]) == (200, "close")
         late_reply = await fleet.caller().ask("/unsafe/x", "POST", body=b"b")
         assert late_reply.status == 200
         reply = await streaming.receive()
-        assert reply.whole
+        assert reply.is_complete
         with trio.fail_after(4):
-            await fleet.ended[0].wait()
+            await fleet.end_events[0].wait()
 
 
 async def test_instance_reconnects_soon_after_store_stops_hanging() -> None:
@@ -102,14 +102,14 @@
         await trio.sleep(4.8)
         fleet.store.mode = StoreMode.UP
         version = fleet.configure()
-        await fleet.until(lambda: records.table_revision == version, 1.5)
+        await fleet.wait_until(lambda: records.table_revision == version, 1.5)
 
 
 async def test_new_table_arrives_from_peer_during_store_outage() -> None:
     async with open_fleet() as fleet:
         await start(fleet, Worker("plain"))
         fleet.start_instance()
-        await fleet.ready()
+        await fleet.wait_ready()
         first, second = (item.records for item in fleet.instances)
         await trio.sleep(1.2)
         version = fleet.configure()
@@ -118,16 +118,16 @@
         table = first.table
         assert table is not None
         fleet.instances[0].apply_newer_table(table._replace(revision=version), "test")
-        await fleet.until(lambda: second.table_revision == version, 0.7)
+        await fleet.wait_until(lambda: second.table_revision == version, 0.7)
 
 
 async def test_lost_watch_is_restarted_after_peer_announces_newer_table() -> None:
     async with open_fleet() as fleet:
         await start(fleet, Worker("plain"))
         fleet.start_instance()
-        await fleet.ready()
+        await fleet.wait_ready()
         await trio.sleep(1.2)
-        fleet.store.forget_watches()
+        fleet.store.abandon_watches()
         version = fleet.configure()
         first, second = fleet.instances
         await trio.sleep(0.05)
@@ -135,7 +135,7 @@
         table = first.records.table
         assert table is not None
         first.apply_newer_table(table._replace(revision=version), "test")
-        await fleet.until(lambda: second.records.table_revision == version, 0.6)
+        await fleet.wait_until(lambda: second.records.table_revision == version, 0.6)
         assert b'kind="snapshot"' not in second.render_metrics()
 
 
@@ -145,13 +145,13 @@
         await start(fleet, prefill, decode)
         for _ in range(2):
             fleet.start_instance()
-        await fleet.ready()
-        await fleet.until(lambda: fleet.instances[0].is_leader, 10.0)
-        fleet.stops[0].set()
+        await fleet.wait_ready()
+        await fleet.wait_until(lambda: fleet.instances[0].is_leader, 10.0)
+        fleet.stop_events[0].set()
         await trio.sleep(0.4)
         fleet.unregister(decode)
-        await fleet.ended[0].wait()
-        assert prefill.orders == []
+        await fleet.end_events[0].wait()
+        assert prefill.role_changes == []
 
 
 async def test_role_change_waits_for_work_in_progress() -> None:
@@ -159,12 +159,12 @@
         prefill, decode = Worker("model", "prefill"), Worker("model", "decode")
         await start(fleet, prefill, decode)
         instance = fleet.instances[0]
-        await fleet.until(lambda: instance.is_leader, 10.0)
+        await fleet.wait_until(lambda: instance.is_leader, 10.0)
         now = trio.current_time()
         work = Reservation(prefill.name, Role.PREFILL, 100, now + 6.0, 6.0)
         instance.capacity.reserve("long", work)
         fleet.unregister(decode)
-        await fleet.until(lambda: bool(prefill.orders))
+        await fleet.wait_until(lambda: bool(prefill.role_changes))
         await trio.sleep(0.1)
         remaining_s = instance.capacity.role_changes_left_s(trio.current_time())[prefill.name]
         assert remaining_s > 6.0
@@ -173,18 +173,18 @@
 async def test_planned_stop_ends_on_time_with_slow_call_in_progress() -> None:
     async with open_fleet() as fleet:
         worker = Worker("plain")
-        worker.work_s = 30.0
+        worker.run_duration_s = 30.0
         await fleet.add_worker(worker)
         fleet.add_route("/slow/", "unsafe", "plain", timeout_ms=20000)
         fleet.configure()
         fleet.start_instance()
-        await fleet.ready()
+        await fleet.wait_ready()
         caller = fleet.caller()
         await caller.send("/slow/x", "POST", body=b"b")
-        await fleet.until(lambda: bool(worker.runs))
+        await fleet.wait_until(lambda: bool(worker.runs))
         stopped_at = trio.current_time()
-        fleet.stops[0].set()
-        await fleet.ended[0].wait()
+        fleet.stop_events[0].set()
+        await fleet.end_events[0].wait()
         assert 2.0 < trio.current_time() - stopped_at < 2.9
 
 
@@ -194,17 +194,17 @@
         await start(fleet, expired, removed, leaving)
         capacity = fleet.instances[0].capacity
         fleet.register(leaving, "draining")
-        await fleet.until(lambda: capacity.endpoints[leaving.name].leaving)
+        await fleet.wait_until(lambda: capacity.endpoints[leaving.name].leaving)
         fleet.store.mode = StoreMode.BUSY
         await trio.sleep(2.5)
         for worker in (expired, removed, leaving):
             fleet.unregister(worker)
         fleet.store.mode = StoreMode.UP
-        await fleet.until(lambda: leaving.name not in capacity.endpoints)
+        await fleet.wait_until(lambda: leaving.name not in capacity.endpoints)
         assert (await fleet.caller().ask("/safe/x")).status == 200
         fleet.register(expired)
         # An endpoint that has left must get no calls after 2 s.
-        await fleet.until(lambda: removed.name not in capacity.endpoints, 1.8)
+        await fleet.wait_until(lambda: removed.name not in capacity.endpoints, 1.8)
         assert set(capacity.endpoints) == {expired.name}
 
 
@@ -217,7 +217,7 @@
         await trio.sleep(2.5)
         fleet.store.mode = StoreMode.UP
         version = fleet.configure()
-        await fleet.until(lambda: fleet.instances[0].records.table_revision == version)
+        await fleet.wait_until(lambda: fleet.instances[0].records.table_revision == version)
         await trio.sleep(0.7)
         fleet.unregister(first)
-        await fleet.until(lambda: first.name not in capacity.endpoints, 0.5)
+        await fleet.wait_until(lambda: first.name not in capacity.endpoints, 0.5)
--- a/cleatlink/relay/following/follower.py
+++ b/cleatlink/relay/following/follower.py
@@ -161,7 +161,7 @@
             except HistoryUnavailableError as error:
                 needs_full_read = True
                 self._log_history_gone(error)
-                await trio.sleep(self._reread_pause_s())
+                await trio.sleep(self._full_read_delay_s())
                 continue
             except PlatformError as error:
                 self._mark_disconnected(error)
@@ -195,7 +195,7 @@
             times=self._consecutive_full_reads,
         )
 
-    def _reread_pause_s(self) -> float:
+    def _full_read_delay_s(self) -> float:
         """Return the delay before a full read.
 
         Without a delay, two instances made 6,762 calls in 6 s to a store that had been restored
@@ -329,7 +329,7 @@
         self._registrations.apply(records)
         self.records.note_complete(change.revision)
         if change.table is not None:
-            self.take_table(change.table, "source")
+            self.apply_table_if_newer(change.table, "source")
         self._log_table_fault(change.table_fault)
 
     def _log_table_fault(self, fault: ReadFault | None) -> None:
@@ -395,7 +395,7 @@
             self._has_endpoint_list = True
             self.records.note_complete(revision)
         if snapshot.table is not None:
-            self.take_table(snapshot.table, "peer")
+            self.apply_table_if_newer(snapshot.table, "peer")
 
     async def read_table(self) -> None:
         """Read only the route table from the service, if it answered the last call."""
@@ -417,7 +417,7 @@
         revision = source_table.table.revision if source_table.table is not None else 0
         self._table_tracker.note_service_revision(revision, trio.current_time())
         if source_table.table is not None:
-            self.take_table(source_table.table, "source")
+            self.apply_table_if_newer(source_table.table, "source")
 
     def note_peer_table(self, revision: int, peer: str, is_service_reachable: bool = False) -> None:
         """Record the table revision that a peer has in force.
@@ -438,7 +438,7 @@
                 peer=peer,
             )
 
-    def take_table(self, table: RouteTable, source: str) -> None:
+    def apply_table_if_newer(self, table: RouteTable, source: str) -> None:
         """Apply a table, from the service or a peer, if it is newer than the current one."""
         before = self.records.table_revision
         if not self.records.offer_table(table):
--- a/cleatlink/relay/following/lost_updates_test.py
+++ b/cleatlink/relay/following/lost_updates_test.py
@@ -27,9 +27,9 @@
     """Start two instances that are connected as peers; the service then refuses the second."""
     await start(fleet, Worker("plain"))
     fleet.start_instance()
-    await fleet.ready()
-    await fleet.until(lambda: all(item._peers.live_instances == 2 for item in fleet.instances))
-    fleet.turn_away(1)
+    await fleet.wait_ready()
+    await fleet.wait_until(lambda: all(item._peers.live_instances == 2 for item in fleet.instances))
+    fleet.refuse_store_access(1)
 
 
 async def test_registration_with_lost_update_is_read_from_peer() -> None:
@@ -52,7 +52,7 @@
             RegistrationUpdate("n1", 0, middle, fleet.store.revision, [item], 60.0)
         )
         assert second.records.get(announced.name) is not None
-        await fleet.until(lambda: second.records.get(missed.name) is not None, 4.0)
+        await fleet.wait_until(lambda: second.records.get(missed.name) is not None, 4.0)
 
 
 class ReorderingFleet(follower_test.FollowerFleet):
--- a/cleatlink/relay/following/store_client_test.py
+++ b/cleatlink/relay/following/store_client_test.py
@@ -73,7 +73,7 @@
     async with open_client(store) as client:
         await client.get("/", TIMEOUT_S)
         await client.get("/", TIMEOUT_S)
-        assert store.connections == 1
+        assert store.accepted_connections == 1
 
 
 @pytest.mark.parametrize(
--- a/cleatlink/relay/instance.py
+++ b/cleatlink/relay/instance.py
@@ -116,7 +116,7 @@
         self._crash_detector = CrashDetector(
             self._pool, self._metrics, spawn=self._spawn, on_crash=self._quarantine.record_crash
         )
-        self._parts = RelayComponents(
+        self._components = RelayComponents(
             settings.data_centre,
             protocol,
             self._pool,
@@ -136,7 +136,7 @@
             self._quarantine,
             self._spawn,
         )
-        self._service = RelayService(self._parts)
+        self._service = RelayService(self._components)
         follower_hooks = FollowerHooks(
             self._service.use_table,
             self._announce_new_table,
@@ -152,7 +152,7 @@
             self._pool,
             self._metrics,
             table_tracker=self._table_tracker,
-            rng=self._parts.rng,
+            rng=self._components.rng,
             hooks=follower_hooks,
             endpoint_leave_s=settings.endpoint_leave_s,
         )
@@ -311,7 +311,7 @@
 
     def apply_newer_table(self, table: RouteTable, source: str) -> None:
         """Put a route table in force if it is newer than the current one, whatever its source."""
-        self._follower.take_table(table, source)
+        self._follower.apply_table_if_newer(table, source)
 
     def _announce_new_table(self) -> None:
         self._peers.send_heartbeat()
--- a/cleatlink/relay/instance_pauses_test.py
+++ b/cleatlink/relay/instance_pauses_test.py
@@ -4,7 +4,7 @@
 import trio
 
 from standins.relay import Worker
-from standins.relay.example_fleet import STREAM, start, start_with_known_pace
+from standins.relay.example_fleet import STREAM, start, start_with_measured_service_times
 from standins.relay.fleet import open_fleet
 from standins.relay.raw_client import Caller
 
@@ -82,7 +82,7 @@
     """Guards against avoiding an endpoint whose answer waits unread: 59 callers were refused."""
     async with open_fleet() as fleet:
         workers = Worker("plain"), Worker("plain")
-        caller = await start_with_known_pace(fleet, *workers)
+        caller = await start_with_measured_service_times(fleet, *workers)
         for _ in range(10):
             await ask_across_a_pause(caller, "/safe/x", {})
         assert sum(len(worker.arrivals) for worker in workers) == 10
--- a/cleatlink/relay/invalid_store_entries_test.py
+++ b/cleatlink/relay/invalid_store_entries_test.py
@@ -34,7 +34,7 @@
 async def check_new_worker_is_used(fleet: Fleet) -> None:
     """Register a new worker, and check that the instance learns of it and serves a call."""
     worker = await fleet.add_worker(Worker("plain"))
-    await fleet.until(lambda: worker.name in fleet.instances[0].capacity.endpoints, 1.0)
+    await fleet.wait_until(lambda: worker.name in fleet.instances[0].capacity.endpoints, 1.0)
     assert (await fleet.caller().ask("/safe/x")).status == 200
 
 
@@ -49,7 +49,7 @@
 
 async def test_invalid_entries_in_paged_first_read_do_not_hide_others() -> None:
     async with open_fleet() as fleet:
-        fleet.store.page_items = 2
+        fleet.store.max_page_items = 2
         for number, value in enumerate(INVALID_VALUES):
             fleet.store.put_bytes(f"servers/a-{number}", value)
         fleet.store.put_bytes("servers/", b"{}")
@@ -62,9 +62,9 @@
 async def test_value_with_invalid_base64_does_not_hide_others() -> None:
     async with open_fleet() as fleet:
         await start(fleet, Worker("plain"))
-        fleet.store.put_text(KEY, "not base64 at all!")
+        fleet.store.put_raw_value(KEY, "not base64 at all!")
         await check_new_worker_is_used(fleet)
-        fleet.store.put_text(KEY, {"value": 7})
+        fleet.store.put_raw_value(KEY, {"value": 7})
         await check_new_worker_is_used(fleet)
 
 
@@ -74,12 +74,12 @@
         await start(fleet, first, second)
         endpoints = fleet.instances[0].capacity.endpoints
         fleet.store.put(f"servers/{first.name}", {**first.registration(), "state": "odd"})
-        await fleet.until(lambda: first.name not in endpoints, 1.0)
+        await fleet.wait_until(lambda: first.name not in endpoints, 1.0)
         for _ in range(4):
             assert (await fleet.caller().ask("/safe/x")).status == 200
         assert not first.runs
         fleet.register(first)
-        await fleet.until(lambda: first.name in endpoints, 1.0)
+        await fleet.wait_until(lambda: first.name in endpoints, 1.0)
 
 
 async def test_two_entries_with_same_address() -> None:
@@ -87,7 +87,7 @@
         worker = Worker("plain")
         await start(fleet, worker)
         fleet.store.put("servers/i-twin", worker.registration())
-        await fleet.until(lambda: "i-twin" in fleet.instances[0].capacity.endpoints, 1.0)
+        await fleet.wait_until(lambda: "i-twin" in fleet.instances[0].capacity.endpoints, 1.0)
         replies = [await fleet.caller().ask("/unsafe/x", "POST", body=b"x") for _ in range(8)]
         assert [reply.status for reply in replies].count(200) >= 7
         assert len(worker.runs) == [reply.status for reply in replies].count(200)
@@ -103,7 +103,7 @@
         await check_new_worker_is_used(fleet)
         assert records.table_revision == revision_before
         version = fleet.configure()
-        await fleet.until(lambda: records.table_revision == version, 1.0)
+        await fleet.wait_until(lambda: records.table_revision == version, 1.0)
 
 
 @pytest.mark.parametrize(
@@ -112,10 +112,10 @@
 async def test_invalid_answer_of_store_is_requested_again(body: bytes) -> None:
     async with open_fleet() as fleet:
         await start(fleet, Worker("plain"))
-        fleet.store.answer_with = body
+        fleet.store.response_body_override = body
         fleet.configure()
         await trio.sleep(0.3)
-        fleet.store.answer_with = None
+        fleet.store.response_body_override = None
         await check_new_worker_is_used(fleet)
 
 
--- a/cleatlink/relay/newer_route_table_test.py
+++ b/cleatlink/relay/newer_route_table_test.py
@@ -29,9 +29,9 @@
     async with trio.open_nursery() as nursery, open_fleet() as fleet:
         await silent_peer.start(nursery)
         await start(fleet, Worker("plain"))
-        await fleet.until(lambda: fleet.store.watching)
+        await fleet.wait_until(lambda: fleet.store.open_watches)
         instance = fleet.instances[0]
-        fleet.store.forget_watches()
+        fleet.store.abandon_watches()
         version = fleet.configure()
         revision = fleet.store.revision
         instance._follower.apply_peer_update(
@@ -42,7 +42,7 @@
             await sender.sendto(
                 encode(make_heartbeat(silent_peer.address, version)), (host, int(port))
             )
-            await fleet.until(lambda: instance.records.table_revision == version, 2.0)
+            await fleet.wait_until(lambda: instance.records.table_revision == version, 2.0)
         silent_peer.close()
         nursery.cancel_scope.cancel()
 
--- a/cleatlink/relay/operations_test.py
+++ b/cleatlink/relay/operations_test.py
@@ -55,7 +55,7 @@
     fleet.add_route("/stream/", "streaming", "model")
     fleet.configure({"kv_cache_tokens": 150})
     fleet.start_instance()
-    await fleet.ready()
+    await fleet.wait_ready()
 
 
 def message_types(rows: list[dict[str, Any]]) -> list[str]:
@@ -65,11 +65,11 @@
 async def test_refused_request_logs_missing_capacity(log_file: LogFile) -> None:
     async with open_fleet() as fleet:
         decode = Worker("model", "decode")
-        decode.events, decode.event_s = 30, 0.05
+        decode.events, decode.event_interval_s = 30, 0.05
         await start(fleet, Worker("model", "prefill"), decode)
         first, second = fleet.caller(), fleet.caller()
         first_request = await first.send("/stream/x", "POST", body=b"p", headers=STREAM)
-        await fleet.until(lambda: bool(decode.runs))
+        await fleet.wait_until(lambda: bool(decode.runs))
         request = await second.send("/stream/x", "POST", body=b"p", headers=STREAM)
         assert (await second.receive()).status == 503
         rows = log_file.lines_of(request)
@@ -90,7 +90,7 @@
 async def test_timed_out_request_logs_its_endpoint(log_file: LogFile) -> None:
     async with open_fleet() as fleet:
         worker = Worker("plain")
-        worker.faults = [Fault.MUTE]
+        worker.faults = [Fault.NO_RESPONSE]
         await start(fleet, worker)
         caller = fleet.caller()
         request = await caller.send("/unsafe/x", "POST", body=b"p")
@@ -110,11 +110,11 @@
 async def test_broken_stream_logs_its_endpoint(log_file: LogFile) -> None:
     async with open_fleet() as fleet:
         decode = Worker("model", "decode")
-        decode.faults = [Fault.CUT]
+        decode.faults = [Fault.TRUNCATED]
         await start(fleet, Worker("model", "prefill"), decode)
         caller = fleet.caller()
         request = await caller.send("/stream/x", "POST", body=b"p", headers=STREAM)
-        assert not (await caller.receive()).whole
+        assert not (await caller.receive()).is_complete
         await trio.sleep(0.05)
         rows = log_file.lines_of(request)
         assert message_types(rows) == [
@@ -130,24 +130,24 @@
 async def test_stop_and_caller_disconnect_log_different_lines(log_file: LogFile) -> None:
     async with open_fleet() as fleet:
         decode = Worker("model", "decode")
-        decode.events, decode.event_s = 200, 0.05
+        decode.events, decode.event_interval_s = 200, 0.05
         await start(fleet, Worker("model", "prefill"), decode)
         for route in fleet.routes:
             route["timeout_ms"] = 9000
         version = fleet.configure({"kv_cache_tokens": 10_000})
-        await fleet.until(lambda: fleet.instances[0].records.table_revision == version)
+        await fleet.wait_until(lambda: fleet.instances[0].records.table_revision == version)
         headers = {**STREAM, "Deadline-Milliseconds": "9000"}
         staying_caller, leaving_caller = fleet.caller(), fleet.caller()
         cut_request = await staying_caller.send("/stream/x", "POST", body=b"p", headers=headers)
         abandoned_request = await leaving_caller.send(
             "/stream/x", "POST", body=b"p", headers=headers
         )
-        await fleet.until(lambda: len(decode.runs) == 2)
+        await fleet.wait_until(lambda: len(decode.runs) == 2)
         leaving_caller.close()
         await trio.sleep(0.2)
-        fleet.stops[0].set()
-        assert not (await staying_caller.receive()).whole
-        await fleet.ended[0].wait()
+        fleet.stop_events[0].set()
+        assert not (await staying_caller.receive()).is_complete
+        await fleet.end_events[0].wait()
         assert (
             message_types(log_file.lines_of(abandoned_request))[-1]
             == "relay: is cancelled because its caller disconnected"
--- a/cleatlink/relay/organisations_test.py
+++ b/cleatlink/relay/organisations_test.py
@@ -46,7 +46,7 @@
             reply = await fleet.caller().ask(path, method, headers=KEY)
             assert reply.status == 200
         reply = await fleet.caller().ask("/stream/x", "POST", headers={**STREAM, **KEY})
-        assert (reply.status, reply.whole) == (200, True)
+        assert (reply.status, reply.is_complete) == (200, True)
         calls = [call for worker in fleet.workers for call in worker.arrivals]
         assert len(calls) == 4, "four calls, including one prefill"
         assert [call.headers.get("tenant") for call in calls] == 4 * ["first"]
@@ -77,7 +77,7 @@
         caller = fleet.caller()
         for _ in range(2):
             reply = await caller.ask("/unsafe/x", "POST", body=b"body", headers=headers, more=more)
-            assert (reply.status, reply.whole) == (401, True)
+            assert (reply.status, reply.is_complete) == (401, True)
             assert reply.headers["www-authenticate"] == "Bearer"
             assert "k-first" not in repr(reply)
         assert (await caller.ask("/nowhere/x", headers=headers, more=more)).status == 404
@@ -135,7 +135,7 @@
         assert fleet.organisations is not None
         fleet.organisations[0]["api_keys"] = keys
         revision = fleet.configure()
-        await fleet.until(lambda: fleet.instances[0].records.table_revision == revision)
+        await fleet.wait_until(lambda: fleet.instances[0].records.table_revision == revision)
         assert (await first.ask("/safe/x", headers=KEY)).status == 401
         for key in keys:
             headers = {"Authorization": f"Bearer {key}"}
@@ -146,7 +146,7 @@
     async with open_fleet() as fleet:
         fleet.organisations = two_organisations()
         prefill, decode = Worker("model", "prefill"), Worker("model", "decode")
-        decode.events, decode.event_s = 24, 0.05
+        decode.events, decode.event_interval_s = 24, 0.05
         await start(fleet, prefill, decode)
         fleet.configure({"slots": 1})
         await trio.sleep(0.3)
@@ -155,19 +155,21 @@
         await trio.sleep(0.3)
         long_deadline = {**STREAM, **KEY, "Deadline-Milliseconds": "9000"}
         await waiting.send("/stream/y", "POST", headers=long_deadline)
-        await fleet.until(lambda: fleet.instances[0].service.decode_admission.waiting_count == 1)
+        await fleet.wait_until(
+            lambda: fleet.instances[0].service.decode_admission.waiting_count == 1
+        )
         fleet.organisations[0]["api_keys"] = []
         fleet.configure({"slots": 1})
         with trio.fail_after(1.5):
             assert (await waiting.receive()).status == 401
         reply = await running.receive()
-        assert (reply.status, reply.whole) == (200, True)
+        assert (reply.status, reply.is_complete) == (200, True)
 
 
 async def test_instance_without_store_access_learns_keys_from_peers() -> None:
     async with open_fleet_with_organisations() as fleet:
         second = fleet.start_instance()
-        await fleet.ready()
+        await fleet.wait_ready()
         # The instance keeps its last state of the store, which now serves only the other instance.
         second._follower._source._address = "127.0.0.1:1"
         second._follower._source.close()
@@ -176,7 +178,7 @@
         assert fleet.organisations is not None
         fleet.organisations[0]["api_keys"] = ["k-new"]
         revision = fleet.configure()
-        await fleet.until(lambda: second.records.table_revision == revision, 3.0)
+        await fleet.wait_until(lambda: second.records.table_revision == revision, 3.0)
         assert (await fleet.caller(1).ask("/safe/x", headers=KEY)).status == 401
 
 
@@ -200,7 +202,7 @@
 async def test_rate_limit_is_shared_by_all_instances() -> None:
     async with open_fleet_with_organisations(rate=200, burst=2000) as fleet:
         fleet.start_instance()
-        await fleet.ready()
+        await fleet.wait_ready()
         callers = [fleet.caller(0), fleet.caller(1)]
         granted = 0
         for number in range(30):
--- a/cleatlink/relay/outdated_route_table_test.py
+++ b/cleatlink/relay/outdated_route_table_test.py
@@ -70,7 +70,7 @@
         await start(fleet, Worker("plain"))
         for _ in range(19):
             fleet.start_instance()
-        await fleet.ready()
+        await fleet.wait_ready()
         await trio.sleep(8.0)
         fleet.store.mode = StoreMode.SILENT
         await trio.sleep(30.0)
--- a/cleatlink/relay/peers/catch_up_test.py
+++ b/cleatlink/relay/peers/catch_up_test.py
@@ -136,7 +136,7 @@
         fast.close()
         nursery.cancel_scope.cancel()
     # With some of the seeds the slow peer is asked first.
-    assert slow.connections
+    assert slow.accepted_connections
 
 
 async def test_newer_table_reported_during_a_round_starts_another_round() -> None:
--- a/cleatlink/relay/peers/endpoint_notice_channel_test.py
+++ b/cleatlink/relay/peers/endpoint_notice_channel_test.py
@@ -25,25 +25,27 @@
     """Start two instances that receive each other's heartbeats."""
     await start(fleet, *workers)
     fleet.start_instance()
-    await fleet.ready()
-    await fleet.until(lambda: all(item._peers.live_instances == 2 for item in fleet.instances))
+    await fleet.wait_ready()
+    await fleet.wait_until(lambda: all(item._peers.live_instances == 2 for item in fleet.instances))
 
 
 async def wait_until_reported(fleet: Fleet, worker: Worker) -> None:
     """Wait until the second instance knows that the endpoint asked the first to back off."""
     received = fleet.instances[1].capacity.notices
-    await fleet.until(lambda: received.is_in_peer_backoff(worker.name, trio.current_time()), 1.0)
+    await fleet.wait_until(
+        lambda: received.is_in_peer_backoff(worker.name, trio.current_time()), 1.0
+    )
 
 
 async def test_shutdown_notice_is_shared_at_once_and_no_more_calls_are_sent() -> None:
     async with open_fleet() as fleet:
         leaving = Worker("plain")
         await start_two_instances(fleet, leaving, Worker("plain"))
-        leaving.says_leaving = True
+        leaving.announces_leaving = True
         while not leaving.arrivals:
             await fleet.caller(0).ask("/safe/x")
         received = fleet.instances[1].capacity.notices
-        await fleet.until(lambda: received.is_leaving(leaving.name), 1.0)
+        await fleet.wait_until(lambda: received.is_leaving(leaving.name), 1.0)
         for _ in range(20):
             assert (await fleet.caller(1).ask("/safe/x")).status == 200
         assert len(leaving.arrivals) == 1
@@ -53,7 +55,7 @@
     async with open_fleet() as fleet:
         backing_off = Worker("plain")
         await start_two_instances(fleet, backing_off, Worker("plain"))
-        backing_off.sheds, backing_off.asks_rest_s = True, 3.0
+        backing_off.rejects_work, backing_off.requested_backoff_s = True, 3.0
         while not backing_off.arrivals:
             await fleet.caller(0).ask("/safe/x")
         await wait_until_reported(fleet, backing_off)
@@ -66,10 +68,10 @@
     async with open_fleet() as fleet:
         worker = Worker("plain")
         await start_two_instances(fleet, worker)
-        worker.sheds, worker.asks_rest_s = True, 3.0
+        worker.rejects_work, worker.requested_backoff_s = True, 3.0
         assert (await fleet.caller(0).ask("/safe/x")).status == 503
         await wait_until_reported(fleet, worker)
-        worker.sheds = False
+        worker.rejects_work = False
         assert (await fleet.caller(0).ask("/safe/x")).status == 503
         assert (await fleet.caller(1).ask("/safe/x")).status == 200
 
@@ -78,12 +80,12 @@
     async with open_fleet() as fleet:
         leaving = Worker("plain")
         await start(fleet, leaving, Worker("plain"))
-        leaving.says_leaving = True
+        leaving.announces_leaving = True
         while not leaving.arrivals:
             await fleet.caller().ask("/safe/x")
         later = fleet.start_instance()
-        await fleet.ready()
-        await fleet.until(lambda: later.capacity.notices.is_leaving(leaving.name), 3.0)
+        await fleet.wait_ready()
+        await fleet.wait_until(lambda: later.capacity.notices.is_leaving(leaving.name), 3.0)
 
 
 async def test_lost_shutdown_notice_is_repeated() -> None:
--- a/cleatlink/relay/peers/peer_copy_test.py
+++ b/cleatlink/relay/peers/peer_copy_test.py
@@ -69,7 +69,7 @@
 async def fleet_of_one() -> AsyncIterator[Fleet]:
     async with open_fleet() as fleet:
         await start(fleet, Worker("plain"))
-        await fleet.ready()
+        await fleet.wait_ready()
         yield fleet
 
 
--- a/cleatlink/relay/quarantine_test.py
+++ b/cleatlink/relay/quarantine_test.py
@@ -64,14 +64,14 @@
     workers += [Worker("model", "decode") for _ in range(4)]
     workers += [Worker("plain") for _ in range(4)]
     for worker in workers:
-        worker.crashes_on, worker.is_behind_proxy = _CRASH_MARKER, behind_proxies
-        fleet.keep_restarting(worker, _RESTART_S)
+        worker.crash_marker, worker.is_behind_proxy = _CRASH_MARKER, behind_proxies
+        fleet.restart_after_crashes(worker, _RESTART_S)
     await start(fleet, *workers)
     for _ in range(_INSTANCES - 1):
         fleet.start_instance()
-    await fleet.ready()
+    await fleet.wait_ready()
     # Instances that have just started don't know each other yet.
-    await fleet.until(
+    await fleet.wait_until(
         lambda: all(item._peers.live_instances == _INSTANCES for item in fleet.instances)
     )
 
@@ -144,8 +144,8 @@
 async def test_each_crash_counts_when_endpoint_restarts_under_same_name() -> None:
     async with open_fleet() as fleet:
         worker = Worker("plain")
-        worker.crashes_on, worker.born = _CRASH_MARKER, 1_700_000_000_000
-        fleet.keep_restarting(worker, _RESTART_S)
+        worker.crash_marker, worker.born = _CRASH_MARKER, 1_700_000_000_000
+        fleet.restart_after_crashes(worker, _RESTART_S)
         await start(fleet, worker)
         for _ in range(8):
             await ask(fleet, UNSAFE, 0)
@@ -169,7 +169,7 @@
     async with open_fleet() as fleet:
         await start_crashing_fleet(fleet)
         for worker in fleet.workers:
-            worker.work_s, worker.event_s = 0.06, 0.02
+            worker.run_duration_s, worker.event_interval_s = 0.06, 0.02
         statuses: list[int] = []
 
         async def repeat_harmless_request(number: int) -> None:
@@ -177,7 +177,7 @@
             body = b"beside %d" % number
             while True:
                 reply = await ask(fleet, kind, number % _INSTANCES, body)
-                statuses.append(200 if reply.status == 200 and reply.whole else reply.status)
+                statuses.append(200 if reply.status == 200 and reply.is_complete else reply.status)
 
         async def repeat_crashing_request() -> None:
             """Repeat the request that crashes endpoints."""
@@ -189,11 +189,11 @@
             for number in range(_CALLERS):
                 nursery.start_soon(repeat_harmless_request, number)
             nursery.start_soon(repeat_crashing_request)
-            await fleet.until(
+            await fleet.wait_until(
                 lambda: all(item._quarantine.quarantined_count for item in fleet.instances)
             )
             statuses.clear()
-            await fleet.until(lambda: len(statuses) >= _ANSWERS, 30.0)
+            await fleet.wait_until(lambda: len(statuses) >= _ANSWERS, 30.0)
             nursery.cancel_scope.cancel()
         assert count_crashes(fleet) <= _MAX_CRASHES + 1
         assert statuses.count(503) == 0
@@ -211,14 +211,14 @@
             await ask(fleet, UNSAFE._replace(headers=one), 0)
             await trio.sleep(_RETRY_PAUSE_S)
         for worker in fleet.workers:
-            worker.crashes_on = None
+            worker.crash_marker = None
         assert (await ask(fleet, UNSAFE._replace(headers=one), 1)).status == 503
         assert (await ask(fleet, UNSAFE._replace(headers=one), 1, b"another")).status == 200
         assert (await ask(fleet, UNSAFE._replace(headers=two), 1)).status == 200
         # A request with another key of the same organisation counts as the same request.
         fleet.organisations[0]["api_keys"].append("key-new")
         version = fleet.configure()
-        await fleet.until(
+        await fleet.wait_until(
             lambda: all(item.records.table_revision == version for item in fleet.instances)
         )
         new = {"Authorization": "Bearer key-new"}
@@ -240,7 +240,9 @@
         await start_crashing_fleet(fleet)
         await crash_until_quarantined(fleet)
         joined = fleet.start_instance()
-        await fleet.until(lambda: joined.ready and joined._quarantine.quarantined_count == 1, 2.0)
+        await fleet.wait_until(
+            lambda: joined.ready and joined._quarantine.quarantined_count == 1, 2.0
+        )
         assert (await ask(fleet, UNSAFE, _INSTANCES)).status == 503
         assert count_crashes(fleet) == _MAX_CRASHES
 
@@ -263,7 +265,7 @@
             0,
         )
         monkeypatch.undo()
-        await fleet.until(lambda: uninformed.quarantined_count == 1, 2.5)
+        await fleet.wait_until(lambda: uninformed.quarantined_count == 1, 2.5)
         assert (await ask(fleet, UNSAFE, _INSTANCES - 1)).status == 503
 
 
@@ -274,12 +276,14 @@
             await ask(fleet, UNSAFE, number)
             await trio.sleep(_RETRY_PAUSE_S)
         for worker in fleet.workers:
-            worker.crashes_on = None
+            worker.crash_marker = None
         quarantines = [item._quarantine for item in fleet.instances]
         (identity,) = quarantines[0]._quarantine.evidence.attributions()
         assert all(item.decide(identity).suspicion for item in quarantines)
         assert (await ask(fleet, UNSAFE, 2)).status == 200
-        await fleet.until(lambda: not any(item.decide(identity).suspicion for item in quarantines))
+        await fleet.wait_until(
+            lambda: not any(item.decide(identity).suspicion for item in quarantines)
+        )
 
 
 async def test_answer_states_whether_request_may_have_run() -> None:
@@ -300,7 +304,7 @@
         await crash_until_quarantined(fleet)
         fleet.store.put_bytes("servers/odd", b"{}")
         instance = fleet.instances[0]
-        await fleet.until(lambda: instance.status()["unusable"])
+        await fleet.wait_until(lambda: instance.status()["unusable"])
         status = instance.status()
         (quarantined,) = status["quarantine"]
         crashed = [worker.name for worker in fleet.workers if worker.crashed.is_set()]
@@ -329,12 +333,12 @@
     async with open_fleet() as fleet:
         workers = [Worker("plain") for _ in range(3)]
         for worker in workers:
-            worker.work_s = 0.3
+            worker.run_duration_s = 0.3
         await start(fleet, *workers)
         callers = [fleet.caller() for _ in range(9)]
         for caller in callers:
             await caller.send("/unsafe/x", "POST", body=b"alike")
-        await fleet.until(lambda: sum(len(worker.runs) for worker in workers) == 9)
+        await fleet.wait_until(lambda: sum(len(worker.runs) for worker in workers) == 9)
         assert all(worker.runs for worker in workers)
         # Simulates a power failure of a rack whose endpoints restart soon.
         for worker in workers:
@@ -345,5 +349,5 @@
             fleet.unregister(worker)
             await fleet.add_worker(worker.successor(), worker.port)
         newest_worker = fleet.workers[-1].name
-        await fleet.until(lambda: newest_worker in fleet.instances[0].capacity.endpoints)
+        await fleet.wait_until(lambda: newest_worker in fleet.instances[0].capacity.endpoints)
         assert (await ask(fleet, UNSAFE, 0, b"alike")).status == 200
--- a/cleatlink/relay/restored_store_test.py
+++ b/cleatlink/relay/restored_store_test.py
@@ -30,8 +30,8 @@
     fleet.store.era = 1
     await start(fleet, *workers)
     fleet.start_instance()
-    await fleet.ready()
-    await fleet.until(lambda: all(item._peers.live_instances == 2 for item in fleet.instances))
+    await fleet.wait_ready()
+    await fleet.wait_until(lambda: all(item._peers.live_instances == 2 for item in fleet.instances))
 
 
 def advance_revision(fleet: Fleet, count: int = 40) -> None:
@@ -43,7 +43,7 @@
 async def restore(fleet: Fleet, copy: StoreCopy, *, writes: int = 0) -> None:
     """Stop the store briefly, then restore it from a copy and write some unrelated entries."""
     fleet.store.mode = StoreMode.RESET
-    fleet.store.forget_watches()
+    fleet.store.abandon_watches()
     await trio.sleep(OUTAGE_S)
     fleet.store.restore(copy)
     advance_revision(fleet, writes)
@@ -88,12 +88,12 @@
         copy = fleet.store.copy()
         advance_revision(fleet)
         lost = await fleet.add_worker(Worker("plain"))
-        await fleet.ready()
+        await fleet.wait_ready()
         await restore(fleet, copy, writes=writes)
         # The lost worker stays in use until running workers have had time to register again.
         assert (await fleet.caller().ask("/safe/x")).status == 200
         assert all(lost.name in known_names(item) for item in fleet.instances)
-        await fleet.until(
+        await fleet.wait_until(
             lambda: all(lost.name not in known_names(i) for i in fleet.instances), 6.0
         )
 
@@ -105,7 +105,7 @@
         copy = fleet.store.copy()
         advance_revision(fleet)
         worker = await fleet.add_worker(Worker("plain"))
-        await fleet.ready()
+        await fleet.wait_ready()
         await restore(fleet, copy, writes=writes)
         fleet.store.put(f"servers/{worker.name}", worker.registration())
         await check_all_callers_are_served(fleet, 4.0)
@@ -120,7 +120,7 @@
         advance_revision(fleet)
         fleet.register(leaving, "draining")
         incarnation = leaving.name
-        await fleet.until(
+        await fleet.wait_until(
             lambda: not any(item.capacity.accepts_work(incarnation) for item in fleet.instances)
         )
         arrivals_before = len(leaving.arrivals)
@@ -137,7 +137,7 @@
         copy = fleet.store.copy()
         advance_revision(fleet)
         fleet.unregister(removed)
-        await fleet.until(
+        await fleet.wait_until(
             lambda: not any(removed.name in known_names(item) for item in fleet.instances)
         )
         arrivals_before = len(removed.arrivals)
@@ -146,7 +146,7 @@
         assert len(removed.arrivals) == arrivals_before
         # A registration by the worker itself brings it back into use.
         fleet.register(removed)
-        await fleet.until(
+        await fleet.wait_until(
             lambda: all(removed.name in known_names(item) for item in fleet.instances),
             PROPAGATION_S,
         )
@@ -163,7 +163,7 @@
         fleet.add_route("/late/", "safe", "other")
         version = fleet.configure()
         worker = await fleet.add_worker(Worker("other"))
-        await fleet.until(
+        await fleet.wait_until(
             lambda: all(
                 item.records.table_revision == version and worker.name in known_names(item)
                 for item in fleet.instances
@@ -181,7 +181,9 @@
         advance_revision(fleet)
         fleet.add_route("/late/", "safe", "other")
         version = fleet.configure()
-        await fleet.until(lambda: all(i.records.table_revision == version for i in fleet.instances))
+        await fleet.wait_until(
+            lambda: all(i.records.table_revision == version for i in fleet.instances)
+        )
         await restore(fleet, copy, writes=writes)
         for _ in range(10):
             assert (await fleet.caller(1).ask("/late/x")).status == 200
@@ -195,12 +197,12 @@
         copy = fleet.store.copy()
         advance_revision(fleet)
         lost = await fleet.add_worker(Worker("plain"))
-        await fleet.ready()
+        await fleet.wait_ready()
         # No call fails, and the new revisions cover every revision that instances know.
         fleet.store.restore(copy)
         advance_revision(fleet, 60)
         fleet.store.put("elsewhere/x", {})
-        await fleet.until(
+        await fleet.wait_until(
             lambda: all(lost.name not in known_names(i) for i in fleet.instances), 8.0
         )
 
@@ -211,12 +213,12 @@
         copy = fleet.store.copy()
         advance_revision(fleet)
         lost = await fleet.add_worker(Worker("plain"))
-        await fleet.ready()
+        await fleet.wait_ready()
         disconnected = fleet.instances[1]
-        fleet.turn_away(1)
+        fleet.refuse_store_access(1)
         await restore(fleet, copy)
-        await fleet.until(lambda: lost.name not in known_names(fleet.instances[0]), 6.0)
-        await fleet.until(lambda: lost.name not in known_names(disconnected), 6.0)
+        await fleet.wait_until(lambda: lost.name not in known_names(fleet.instances[0]), 6.0)
+        await fleet.wait_until(lambda: lost.name not in known_names(disconnected), 6.0)
         # The older state of the disconnected peer must not bring the entry back.
         await trio.sleep(1.5)
         assert not any(lost.name in known_names(item) for item in fleet.instances)
@@ -229,7 +231,7 @@
         ends_at = trio.current_time() + 3.0
         while trio.current_time() < ends_at:
             advance_revision(fleet, 1)
-            fleet.store.forget_history()
+            fleet.store.drop_history()
             await trio.sleep(0.01)
         assert fleet.store.calls - calls_before < 2 * 3 * 8
 
@@ -245,4 +247,4 @@
             await trio.sleep(0.05)
         assert fleet.store.calls - calls_before < 2 * 3 * 8
         await fleet.add_worker(Worker("other"))
-        await fleet.until(lambda: all(len(known_names(i)) == 2 for i in fleet.instances), 3.0)
+        await fleet.wait_until(lambda: all(len(known_names(i)) == 2 for i in fleet.instances), 3.0)
--- a/cleatlink/relay/shared_endpoint_speeds_test.py
+++ b/cleatlink/relay/shared_endpoint_speeds_test.py
@@ -33,14 +33,14 @@
 async def test_running_and_new_peers_learn_measured_speeds() -> None:
     async with open_fleet() as fleet:
         quick, slow = Worker("plain"), Worker("plain")
-        quick.work_s, slow.work_s = 0.03, 0.12
+        quick.run_duration_s, slow.run_duration_s = 0.03, 0.12
         await start(fleet, quick, slow)
         fleet.start_instance()
-        await fleet.ready()
+        await fleet.wait_ready()
         await _send_calls(fleet, 40)
         assert _speed(fleet, 0, slow) < 0.8 < _speed(fleet, 0, quick)
-        await fleet.until(lambda: _speed(fleet, 1, slow) < 0.8, _PROPAGATION_S)
+        await fleet.wait_until(lambda: _speed(fleet, 1, slow) < 0.8, _PROPAGATION_S)
         fleet.start_instance()
-        await fleet.ready()
+        await fleet.wait_ready()
         # The first contact must pass on the speed, not only the next update.
-        await fleet.until(lambda: _speed(fleet, 2, slow) < 0.8, 1.5)
+        await fleet.wait_until(lambda: _speed(fleet, 2, slow) < 0.8, 1.5)
--- a/cleatlink/relay/silent_engine_test.py
+++ b/cleatlink/relay/silent_engine_test.py
@@ -40,7 +40,7 @@
         timeout_ms=9000,
     )
     version = fleet.configure()
-    await fleet.until(lambda: fleet.instances[0].records.table_revision == version)
+    await fleet.wait_until(lambda: fleet.instances[0].records.table_revision == version)
 
 
 async def _ask(fleet: Fleet) -> Reply:
@@ -51,7 +51,7 @@
     """Request a stream, and return its caller once a decode endpoint runs it."""
     caller = fleet.caller()
     await caller.send("/quick/x", "POST", body=b"prompt", headers=_HEADERS)
-    await fleet.until(lambda: any(decode.runs for decode in decodes))
+    await fleet.wait_until(lambda: any(decode.runs for decode in decodes))
     return caller
 
 
@@ -65,10 +65,10 @@
 async def test_silent_engine_keeps_stream_without_alternative() -> None:
     async with open_fleet() as fleet:
         prefill, decode, _ = engines()
-        decode.silent_from, decode.silent_s = 3, 1.2
+        decode.silent_from_event, decode.silent_s = 3, 1.2
         await _start(fleet, prefill, decode)
         reply = await _ask(fleet)
-        assert (reply.status, reply.whole) == (200, True)
+        assert (reply.status, reply.is_complete) == (200, True)
         assert _event_ids(reply) == _ALL_EVENT_IDS
         assert len(decode.runs) == 1
 
@@ -78,17 +78,17 @@
         prefill, first, second = engines()
         await _start(fleet, prefill, first, second)
         for decode in (first, second):
-            decode.silent_from, decode.silent_s = 3, 1.0
+            decode.silent_from_event, decode.silent_s = 3, 1.0
         caller = await _start_stream(fleet, first, second)
         # The first engine continues before the prefill for the other engine is done.
-        prefill.work_s = 3.0
+        prefill.run_duration_s = 3.0
         reply = await caller.receive()
-        assert (reply.status, reply.whole) == (200, True)
+        assert (reply.status, reply.is_complete) == (200, True)
         assert _event_ids(reply) == _ALL_EVENT_IDS
         assert len(first.runs) + len(second.runs) == 1
         # Reservations made for the other engine are released.
-        await fleet.until(lambda: fleet.instances[0].capacity.own_reservations == {})
-        assert sorted(first.holds) + sorted(second.holds) == []
+        await fleet.wait_until(lambda: fleet.instances[0].capacity.own_reservations == {})
+        assert sorted(first.reservations) + sorted(second.reservations) == []
 
 
 async def test_stream_moves_only_after_prefill_for_replacement() -> None:
@@ -96,22 +96,22 @@
         prefill, first, second = engines()
         await _start(fleet, prefill, first, second)
         for decode in (first, second):
-            decode.silent_from = 3
+            decode.silent_from_event = 3
         caller = await _start_stream(fleet, first, second)
-        prefill.work_s = 0.4
+        prefill.run_duration_s = 0.4
         for decode in (first, second):
             if not decode.runs:
-                decode.silent_from = None
+                decode.silent_from_event = None
         silent = first if first.runs else second
         other = second if silent is first else first
         await trio.sleep(_SILENCE_TIMEOUT_S + 0.2)
         assert silent.runs[0].ended_at is None
         reply = await caller.receive()
-        assert (reply.status, reply.whole) == (200, True)
+        assert (reply.status, reply.is_complete) == (200, True)
         assert _event_ids(reply) == _ALL_EVENT_IDS
         assert other.runs[0].call.headers["last-event-id"] == "2"
         assert "cache-source" in other.runs[0].call.headers
-        await fleet.until(lambda: fleet.instances[0].capacity.own_reservations == {})
+        await fleet.wait_until(lambda: fleet.instances[0].capacity.own_reservations == {})
 
 
 async def test_caller_disconnect_during_search_frees_both_reservations() -> None:
@@ -119,13 +119,13 @@
         prefill, first, second = engines()
         await _start(fleet, prefill, first, second)
         for decode in (first, second):
-            decode.silent_from = 3
+            decode.silent_from_event = 3
         caller = await _start_stream(fleet, first, second)
-        prefill.work_s = 3.0
+        prefill.run_duration_s = 3.0
         instance = fleet.instances[0]
-        await fleet.until(lambda: len(instance.capacity.own_reservations) == 3, within_s=1.5)
+        await fleet.wait_until(lambda: len(instance.capacity.own_reservations) == 3, within_s=1.5)
         caller.close()
-        await fleet.until(lambda: instance.capacity.own_reservations == {}, within_s=0.5)
+        await fleet.wait_until(lambda: instance.capacity.own_reservations == {}, within_s=0.5)
         assert len(first.runs) + len(second.runs) == 1
 
 
@@ -134,11 +134,11 @@
         prefill, first, second = engines()
         await _start(fleet, prefill, first, second)
         for decode in (first, second):
-            decode.silent_from, decode.silent_s = 3, 1.2
+            decode.silent_from_event, decode.silent_s = 3, 1.2
         budget = fleet.instances[0]._budgets.get_budget("model")
         budget.set_limits(0.0, 0.0, 10.0)
         reply = await _ask(fleet)
-        assert (reply.status, reply.whole) == (200, True)
+        assert (reply.status, reply.is_complete) == (200, True)
         assert len(first.runs) + len(second.runs) == 1
 
 
@@ -149,7 +149,7 @@
         for _ in range(5):
             assert (await fleet.caller().ask("/safe/x")).status == 200
         # Many times the duration of the calls so far, but well within the call's deadline.
-        worker.work_s = 0.9
+        worker.run_duration_s = 0.9
         assert (await fleet.caller().ask("/safe/x")).status == 200
         assert len(worker.runs) == 6
 
@@ -162,6 +162,6 @@
             assert (await fleet.caller().ask("/safe/x")).status == 200
         fleet.instances[0]._budgets.get_budget("plain").set_limits(0.0, 0.0, 10.0)
         for worker in workers:
-            worker.work_s = 0.9
+            worker.run_duration_s = 0.9
         assert (await fleet.caller().ask("/safe/x")).status == 200
         assert sum(len(worker.runs) for worker in workers) == 6
--- a/cleatlink/routing/endpoint_limits.py
+++ b/cleatlink/routing/endpoint_limits.py
@@ -99,7 +99,7 @@
             for incarnation in islice(limited, max_count)
         }
 
-    def note_answer(self, incarnation: str, rate_per_s: float | None, now: float) -> bool:
+    def note_response(self, incarnation: str, rate_per_s: float | None, now: float) -> bool:
         """Apply the limit in an answer that this instance received.
 
         Args:
--- a/cleatlink/routing/endpoint_limits_test.py
+++ b/cleatlink/routing/endpoint_limits_test.py
@@ -18,7 +18,7 @@
 
 def limits_with(rate_per_s: float = 2.0, now: float = 0.0) -> EndpointLimits:
     limits = EndpointLimits(0.0)
-    limits.note_answer(INCARNATION, rate_per_s, now)
+    limits.note_response(INCARNATION, rate_per_s, now)
     return limits
 
 
@@ -79,9 +79,9 @@
 def test_limit_ends_with_an_answer_that_does_not_announce_it() -> None:
     limits = limits_with(2.0, now=10.0)
     # The answer may be older than the announcement: answers can arrive out of order.
-    assert not limits.note_answer(INCARNATION, None, 10.2)
+    assert not limits.note_response(INCARNATION, None, 10.2)
     assert limits.rate_per_s(INCARNATION) == 2.0
-    assert limits.note_answer(INCARNATION, None, 10.7)
+    assert limits.note_response(INCARNATION, None, 10.7)
     assert limits.rate_per_s(INCARNATION) is None
     assert limits.due_in_s(INCARNATION, 10.7) == 0.0
 
@@ -89,8 +89,8 @@
 def test_limit_announced_again_starts_empty_and_totals_never_decrease() -> None:
     limits = limits_with(2.0)
     limits.count_sent_call(INCARNATION, 10.0)
-    limits.note_answer(INCARNATION, None, 11.0)
-    limits.note_answer(INCARNATION, 2.0, 20.0)
+    limits.note_response(INCARNATION, None, 11.0)
+    limits.note_response(INCARNATION, 2.0, 20.0)
     assert limits.level(INCARNATION, 20.0) == 0.0
     limits.count_sent_call(INCARNATION, 21.0)
     assert limits.totals(21.0) == {INCARNATION: 2}
@@ -99,7 +99,7 @@
 def test_changing_the_limit_up_and_down_adds_no_units() -> None:
     limits = limits_with(2.0, now=10.0)
     for step in range(10):
-        limits.note_answer(INCARNATION, 200.0 if step % 2 else 2.0, 10.0)
+        limits.note_response(INCARNATION, 200.0 if step % 2 else 2.0, 10.0)
     assert limits.level(INCARNATION, 10.0) == 0.0
 
 
@@ -283,7 +283,7 @@
         for _, number in due:
             self.instances[number].count_sent_call(INCARNATION, now)
             self.sent_at.append(now)
-            self.instances[number].note_answer(INCARNATION, self.announced_rate(now), now)
+            self.instances[number].note_response(INCARNATION, self.announced_rate(now), now)
 
     def add_calls(self, now: float) -> None:
         """Add new calls; calls that would wait too long go to another endpoint instead."""
--- a/cleatlink/routing/forecast.py
+++ b/cleatlink/routing/forecast.py
@@ -69,7 +69,7 @@
         self._free_tokens = free_tokens
         self._free_slots = free_slots
         self._ends = sorted(ends)
-        self._freed_tokens = [0, *accumulate(freed for _, freed in self._ends)]
+        self._freed_tokens = [0, *accumulate(deleted_handles for _, deleted_handles in self._ends)]
 
     def free_at(self, stream: StreamDemand, now: float) -> float:
         """Return when the endpoint has a free slot and memory for a stream.
@@ -89,7 +89,7 @@
         self._free_tokens -= stream.tokens
         self._free_slots -= 1
         insort(self._ends, (at + stream.duration_s / self._speed, stream.tokens))
-        self._freed_tokens = [0, *accumulate(freed for _, freed in self._ends)]
+        self._freed_tokens = [0, *accumulate(deleted_handles for _, deleted_handles in self._ends)]
         if stream.prompt_s:
             self._prompts_until = at + stream.prompt_s / self._speed
 
--- a/soak/ablations.py
+++ b/soak/ablations.py
@@ -77,7 +77,7 @@
 
 def _apply_only_first_table(self: Follower, table: Any, source: str) -> None:
     if self.records.table is None:
-        _original_take_table(self, table, source)
+        _original_apply_table(self, table, source)
 
 
 def _lead_without_election() -> None:
@@ -105,7 +105,7 @@
 
 _original_find_key = KeyTable.find
 _original_note_sent = Call.note_sent
-_original_take_table = Follower.take_table
+_original_apply_table = Follower.apply_table_if_newer
 
 
 def _read_empty_notice(self: Protocol, head: Any) -> EndpointNotice:
@@ -123,7 +123,7 @@
 def _ignore_eras() -> None:
     """Ignore the eras of the store, and reread it without a delay after a failed watch."""
     StoreClient._read_era = _return_era_zero  # type: ignore[method-assign]
-    Follower._reread_pause_s = _return_no_delay  # type: ignore[method-assign]
+    Follower._full_read_delay_s = _return_no_delay  # type: ignore[method-assign]
 
 
 def _return_no_delay(self: Follower) -> float:
@@ -154,7 +154,7 @@
         (FaultKind.WORKER_LINK_RESET, FaultKind.WORKER_FAULTS),
     ),
     "whose-answer": Ablation(
-        _make_patch(Protocol, "belongs", _return_true),
+        _make_patch(Protocol, "matches_request", _return_true),
         "the whole answer to its own request",
         (FaultKind.WORKER_FAULTS,),
     ),
@@ -169,7 +169,7 @@
         (FaultKind.INSTANCE_STOP, FaultKind.INSTANCE_ROLL),
     ),
     "caller-watch": Ablation(
-        _make_patch(CallerConnection, "_watch", _skip_watch),
+        _make_patch(CallerConnection, "_cancel_on_close", _skip_watch),
         "no work for callers that are gone",
         (FaultKind.INSTANCE_RELOAD,),
     ),
@@ -179,7 +179,7 @@
         (FaultKind.WORKER_DRAIN,),
     ),
     "new-tables": Ablation(
-        _make_patch(Follower, "take_table", _apply_only_first_table),
+        _make_patch(Follower, "apply_table_if_newer", _apply_only_first_table),
         "a configuration is in force",
         (FaultKind.CONFIGURATION,),
     ),
--- a/soak/fault_injector.py
+++ b/soak/fault_injector.py
@@ -39,14 +39,14 @@
     Fault.ERROR,
     Fault.RESET_BEFORE,
     Fault.RESET_AFTER,
-    Fault.MUTE,
+    Fault.NO_RESPONSE,
     Fault.GARBAGE,
-    Fault.FOREIGN,
+    Fault.WRONG_REQUEST_ID,
     Fault.UNSIGNED,
-    Fault.EXTRA,
-    Fault.CUT,
+    Fault.EXTRA_RESPONSE,
+    Fault.TRUNCATED,
 )
-_STREAM_FAULTS = (Fault.FULL, Fault.RESET_BEFORE, Fault.MUTE, Fault.CUT)
+_STREAM_FAULTS = (Fault.FULL, Fault.RESET_BEFORE, Fault.NO_RESPONSE, Fault.TRUNCATED)
 # Seconds for which a store is unavailable before it is restored from a copy, then the maximum until
 # its writers write their entries again, then until entries that no writer renews expire.
 _STORE_OUTAGE_S = 0.5
@@ -201,9 +201,9 @@
         if fault.kind is FaultKind.STORE_RESTORE:
             await self._restore_store(fault)
         elif fault.kind is FaultKind.STORE_FORGETS:
-            store.forget_history()
+            store.drop_history()
         elif fault.kind is FaultKind.STORE_LOSES:
-            store.forget_watches()
+            store.abandon_watches()
         elif fault.kind is FaultKind.STORE_OLD_READ:
             await self._publish_old_configuration(fault)
         elif fault.kind in ORGANISATION_KINDS:
@@ -220,7 +220,7 @@
             store.put(_UNRELATED_KEY, {})
         await trio.sleep(fault.duration_s)
         store.mode = StoreMode.RESET
-        store.forget_watches()
+        store.abandon_watches()
         await trio.sleep(_STORE_OUTAGE_S)
         store.restore(copy)
         # Depending on their number, the revision stays below the one that instances know, or
@@ -422,7 +422,7 @@
         """
 
         def announce(worker: SoakWorker) -> None:
-            worker.says_leaving = True
+            worker.announces_leaving = True
             self._fleet.leaving_notices.append(
                 WorkerLeavingNotice(worker.name, trio.current_time())
             )
@@ -433,9 +433,9 @@
         """Make a worker reject all requests and request a backoff for a while."""
         worker, began_at = self._pick_worker(fault), trio.current_time()
         backoff_s = self._rng.uniform(*_BACKOFF_RANGE_S)
-        worker.asks_rest_s, worker.sheds = backoff_s, True
+        worker.requested_backoff_s, worker.rejects_work = backoff_s, True
         await trio.sleep(fault.duration_s)
-        worker.sheds = False
+        worker.rejects_work = False
         self._fleet.backoffs.append(
             RequestedBackoff(worker.name, began_at, trio.current_time(), backoff_s)
         )
@@ -444,9 +444,9 @@
         """Make a worker announce its rate limit over all instances for a while."""
         worker, began_at = self._pick_worker(fault), trio.current_time()
         rate_per_s = round(self._rng.uniform(*_LIMIT_RANGE_PER_S), 1)
-        worker.names_limit = f"{rate_per_s:g}"
+        worker.announced_limit = f"{rate_per_s:g}"
         await trio.sleep(_MIN_LIMIT_DURATION_S + fault.duration_s)
-        worker.names_limit = None
+        worker.announced_limit = None
         self._fleet.announced_limits.append(
             AnnouncedWorkerLimit(worker.name, began_at, trio.current_time(), rate_per_s)
         )
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -180,11 +180,13 @@
         """Write the configuration and all entries again, after the store was restored."""
         for worker, state in self._registered.values():
             self.platform.register(worker, state)
-        self.platform.publish_again()
+        self.platform.republish_newest()
 
     def expire_stale_entries(self) -> None:
         """Delete entries of stopped workers that came back when the store was restored."""
-        self.platform.store.keep_only("servers/", {f"servers/{name}" for name in self._registered})
+        self.platform.store.delete_all_except(
+            "servers/", {f"servers/{name}" for name in self._registered}
+        )
 
     async def move_route(self) -> None:
         """Move the ``/switch/`` route to a new service with its own worker."""
--- a/soak/traffic.py
+++ b/soak/traffic.py
@@ -74,7 +74,7 @@
         path, method = _PATHS[kind]
         is_stream = kind in (RequestKind.STREAM, RequestKind.RESUMABLE)
         incarnation = self._fleet.instances[number - 1].incarnation
-        extra_bytes = caller.unread
+        extra_bytes = caller.unread_data
         organisations = self._fleet.organisations
         identity = organisations.pick_caller() if organisations is not None else ANONYMOUS
         headers = dict(STREAM_HEADERS) if is_stream else {}
@@ -112,7 +112,7 @@
                 status=reply.status,
                 answer_id=reply.headers.get("attempt-id", ""),
                 is_signed="server-stamp" in reply.headers,
-                is_complete=reply.whole,
+                is_complete=reply.is_complete,
                 body=reply.body,
                 retry_after=reply.headers.get("retry-after", ""),
             )
@@ -120,7 +120,7 @@
         if reply.status == 503:
             retry_s = float(reply.headers.get("retry-after") or _MAX_RETRY_PAUSE_S)
             await trio.sleep(min(_MAX_RETRY_PAUSE_S, retry_s))
-        closes = not reply.whole or reply.headers.get("connection") == "close"
+        closes = not reply.is_complete or reply.headers.get("connection") == "close"
         return not closes and self._rng.random() < _REUSE_SHARE
 
     async def _receive(self, caller: Caller, leave_s: float | None) -> Reply | None:
--- a/soak/workers.py
+++ b/soak/workers.py
@@ -33,10 +33,10 @@
 
     def __init__(self, service: str, stage: str = "") -> None:
         super().__init__(service, stage)
-        self.work_s = _PREFILL_S if stage else _SHORT_CALL_S
+        self.run_duration_s = _PREFILL_S if stage else _SHORT_CALL_S
         self.events = EVENTS_PER_STREAM
-        self.event_s = _EVENT_S
-        self.crashes_on = CRASHING_BODY_PREFIX
+        self.event_interval_s = _EVENT_S
+        self.crash_marker = CRASHING_BODY_PREFIX
         self.recorded_arrivals: list[Arrival] = []
         self.recorded_orders: list[Order] = []
 
@@ -54,19 +54,19 @@
             )
         return await super().serve(call, stream)
 
-    def work_time_s(self, call: RawCall) -> float:
+    def plain_duration_s(self, call: RawCall) -> float:
         """Return the duration of a plain call, in seconds."""
         is_long = call.method == "POST" and _is_long(call.headers["attempt-id"])
-        return _LONG_CALL_S if is_long else self.work_s
+        return _LONG_CALL_S if is_long else self.run_duration_s
 
-    def event_time_s(self, request: str) -> float:
+    def stream_event_interval_s(self, request: str) -> float:
         """Return the time between two events of a request's stream, in seconds."""
         if int(request[1:]) % _LONGEST_DIVISOR == 0:
             return _LONGEST_EVENT_S
-        return _LONG_EVENT_S if _is_long(request) else self.event_s
+        return _LONG_EVENT_S if _is_long(request) else self.event_interval_s
 
-    def _take_order(self, order: dict[str, Any]) -> int:
-        status = super()._take_order(order)
+    def _accept_role_change(self, order: dict[str, Any]) -> int:
+        status = super()._accept_role_change(order)
         if status == 202:
             holder, fence = str(order["holder"]), int(order["fencing_token"])
             self.recorded_orders.append(Order(self.name, holder, fence, trio.current_time()))
@@ -83,7 +83,7 @@
         for run in self.runs:
             ended_at = math.inf if run.ended_at is None else run.ended_at
             yield WorkerRun(
-                run.request, self.name, self.service, run.began_at, ended_at, run.dropped
+                run.request, self.name, self.service, run.began_at, ended_at, run.connection_closed
             )
 
 
--- a/standins/relay/example_fleet.py
+++ b/standins/relay/example_fleet.py
@@ -4,7 +4,7 @@
 from standins.relay.raw_client import Caller
 from standins.relay.worker import Worker
 
-__all__ = ["STREAM", "engines", "runs", "start", "start_with_known_pace"]
+__all__ = ["STREAM", "engines", "runs", "start", "start_with_measured_service_times"]
 
 STREAM = {"Token-Counts": "100,50", "Model": "m", "Prompt-Prefix": "a:50,b:50"}
 
@@ -20,7 +20,7 @@
     fleet.add_route("/resume/", "streaming", "model", attempts=3, resumable=True)
     fleet.configure()
     fleet.start_instance()
-    await fleet.ready()
+    await fleet.wait_ready()
 
 
 def engines() -> tuple[Worker, ...]:
@@ -33,7 +33,7 @@
     return sum(run.request == request for worker in fleet.workers for run in worker.runs)
 
 
-async def start_with_known_pace(fleet: Fleet, *workers: Worker) -> Caller:
+async def start_with_measured_service_times(fleet: Fleet, *workers: Worker) -> Caller:
     """Start a fleet and make calls, so that the instance has measured short service times.
 
     Returns:
--- a/standins/relay/fleet.py
+++ b/standins/relay/fleet.py
@@ -30,8 +30,8 @@
         self.store = Store()
         self.workers: list[Worker] = []
         self.instances: list[RelayInstance] = []
-        self.stops: list[trio.Event] = []
-        self.ended: list[trio.Event] = []
+        self.stop_events: list[trio.Event] = []
+        self.end_events: list[trio.Event] = []
         self.callers: list[Caller] = []
         self._settings: list[RelaySettings] = []
         self._sources: list[PlatformStore] = []
@@ -53,7 +53,7 @@
         self.register(worker)
         return worker
 
-    def keep_restarting(self, worker: Worker, after_s: float) -> None:
+    def restart_after_crashes(self, worker: Worker, after_s: float) -> None:
         """Replace a worker by another at the same address a given time after each crash.
 
         Where the worker is behind a proxy, connections are closed in the meantime.
@@ -126,7 +126,7 @@
         self.store.put("op/config", value)
         return self._version
 
-    def publish_again(self) -> None:
+    def republish_newest(self) -> None:
         """Write the newest configuration again, unchanged."""
         self.store.put("op/config", self.published[-1])
 
@@ -157,8 +157,8 @@
         instance = RelayInstance(settings, PROTOCOL, source, number)
         stop, ended = trio.Event(), trio.Event()
         self.instances.append(instance)
-        self.stops.append(stop)
-        self.ended.append(ended)
+        self.stop_events.append(stop)
+        self.end_events.append(ended)
         self._settings.append(settings)
 
         async def run() -> None:
@@ -168,7 +168,7 @@
         self._nursery.start_soon(run)
         return instance
 
-    def turn_away(self, instance: int) -> None:
+    def refuse_store_access(self, instance: int) -> None:
         """Make an instance's connections to the store fail from now on."""
         source = self._sources[instance]
         for client in (source._client, source._table_client):
@@ -181,7 +181,7 @@
         self.callers.append(caller)
         return caller
 
-    def prober(self, instance: int = 0) -> Caller:
+    def readiness_client(self, instance: int = 0) -> Caller:
         """Return a client of an instance's readiness check."""
         caller = Caller(str(self._settings[instance].ready_listen))
         self.callers.append(caller)
@@ -191,20 +191,20 @@
         """Return the address at which an instance serves its peers."""
         return str(self._settings[instance].peer_listen)
 
-    async def until(self, condition: Any, within_s: float = _READY_TIMEOUT_S) -> None:
+    async def wait_until(self, condition: Any, within_s: float = _READY_TIMEOUT_S) -> None:
         """Wait until a condition holds, or raise ``trio.TooSlowError`` after the time limit."""
         with trio.fail_after(within_s):
             while not condition():
                 await trio.sleep(_POLL_INTERVAL_S)
 
-    async def ready(self) -> None:
+    async def wait_ready(self) -> None:
         """Wait until every instance serves callers and knows every worker."""
         names = {worker.name for worker in self.workers}
 
         def registered_names(instance: RelayInstance) -> set[str]:
             return {endpoint.registered_name for endpoint in instance.capacity.endpoints.values()}
 
-        await self.until(
+        await self.wait_until(
             lambda: all(item.ready and names <= registered_names(item) for item in self.instances)
         )
 
--- a/standins/relay/raw_client.py
+++ b/standins/relay/raw_client.py
@@ -17,7 +17,7 @@
     status: int
     headers: dict[str, str]
     body: bytes
-    whole: bool
+    is_complete: bool
 
 
 class Caller:
@@ -36,7 +36,7 @@
             self._buffer = b""
 
     @property
-    def unread(self) -> bytes:
+    def unread_data(self) -> bytes:
         """Data after the last response that was read together with it."""
         return self._buffer
 
--- a/standins/relay/raw_server.py
+++ b/standins/relay/raw_server.py
@@ -43,18 +43,18 @@
     def __init__(self) -> None:
         self.address = ""
         # Number of connections that were accepted so far.
-        self.connections = 0
+        self.accepted_connections = 0
         # Whether it serves new connections; if not, it closes each at once, like a server that
         # has reached its connection limit.
-        self.takes_connections = True
+        self.accepts_connections = True
         # Rate at which bodies are read, to simulate a slow link.
-        self.link_bytes_a_second = math.inf
+        self.link_bytes_per_s = math.inf
         # Size of the kernel's receive buffer, set before the start; None keeps the default size.
         self.receive_buffer_bytes: int | None = None
         # Number of body bytes after which a call is answered; the rest is read after the response.
-        self.answers_after = math.inf
+        self.body_bytes_before_response = math.inf
         # Parts of bodies that were read after the response.
-        self.late_parts: list[bytes] = []
+        self.late_body_parts: list[bytes] = []
         # Number of requests whose head was read, including those whose body was incomplete.
         self.heads_read = 0
         self._listener: trio.SocketListener | None = None
@@ -94,10 +94,10 @@
                     stream = await self._listener.accept()
                 except (trio.ClosedResourceError, OSError):
                     return
-                if not self.takes_connections:
+                if not self.accepts_connections:
                     stream.socket.close()
                     continue
-                self.connections += 1
+                self.accepted_connections += 1
                 nursery.start_soon(self._serve_connection, stream)
 
     async def _read_call(
@@ -116,7 +116,7 @@
         pairs = (line.partition(":") for line in lines)
         headers = {name.lower(): value.strip() for name, _, value in pairs}
         length = int(headers.get("content-length", "0"))
-        needed = int(min(length, self.answers_after))
+        needed = int(min(length, self.body_bytes_before_response))
         buffer = await self._read_until_length(stream, buffer, needed)
         if len(buffer) < needed:
             return None
@@ -131,15 +131,15 @@
             if not data:
                 break
             buffer += data
-            if math.isfinite(self.link_bytes_a_second):
-                await trio.sleep(len(data) / self.link_bytes_a_second)
+            if math.isfinite(self.link_bytes_per_s):
+                await trio.sleep(len(data) / self.link_bytes_per_s)
         return buffer
 
     async def _read_rest(self, stream: trio.SocketStream, call: RawCall) -> None:
         """Read the rest of a body after the response was sent."""
         missing = int(call.headers.get("content-length", "0")) - len(call.body)
         if missing > 0:
-            self.late_parts.append(await self._read_until_length(stream, b"", missing))
+            self.late_body_parts.append(await self._read_until_length(stream, b"", missing))
 
     async def _serve_connection(self, stream: trio.SocketStream) -> None:
         self._streams.add(stream)
--- a/standins/relay/store.py
+++ b/standins/relay/store.py
@@ -42,11 +42,11 @@
         self.era: int | None = None
         self.calls = 0
         # Number of watches that are open now.
-        self.watching = 0
+        self.open_watches = 0
         # Maximum number of items on one page of a list.
-        self.page_items = 500
+        self.max_page_items = 500
         # Body of the response to every call; None sends the regular responses.
-        self.answer_with: bytes | None = None
+        self.response_body_override: bytes | None = None
         self._items: dict[str, tuple[Any, int]] = {}
         self._history: list[dict[str, Any]] = []
         self._forgotten_revision = 0
@@ -63,9 +63,9 @@
 
     def put_bytes(self, key: str, value: bytes) -> int:
         """Write an item whose value is arbitrary bytes; return its revision."""
-        return self.put_text(key, base64.b64encode(value).decode())
+        return self.put_raw_value(key, base64.b64encode(value).decode())
 
-    def put_text(self, key: str, value: Any) -> int:
+    def put_raw_value(self, key: str, value: Any) -> int:
         """Write an item whose value is sent without base64 encoding; return its revision."""
         self.revision += 1
         self._items[key] = (value, self.revision)
@@ -79,7 +79,7 @@
         self.revision += 1
         self._record_event({"private_key": key, "revision": self.revision, "gone": True})
 
-    def keep_only(self, prefix: str, keys: set[str]) -> None:
+    def delete_all_except(self, prefix: str, keys: set[str]) -> None:
         """Remove all items whose key has a prefix, except the given keys."""
         for key in [item for item in self._items if item.startswith(prefix)]:
             if key not in keys:
@@ -96,14 +96,14 @@
         self._history = [item for item in self._history if item["revision"] <= copy.revision]
         if self.era is not None:
             self.era += 1
-        self.forget_watches()
+        self.abandon_watches()
 
-    def forget_history(self) -> None:
+    def drop_history(self) -> None:
         """Drop the history; watches after an earlier revision get status 410."""
         self._history.clear()
         self._forgotten_revision = self.revision
 
-    def forget_watches(self) -> None:
+    def abandon_watches(self) -> None:
         """Report no changes to the watches that are open now; they end empty at their timeout."""
         self._changed = trio.Event()
         self._last_forgotten_call = self.calls
@@ -131,8 +131,8 @@
         if self._is_silent:
             await trio.sleep_forever()
         headers = {"Content-Type": "application/json", **self._era_header()}
-        if self.answer_with is not None:
-            await stream.send_all(answer(200, headers, self.answer_with))
+        if self.response_body_override is not None:
+            await stream.send_all(answer(200, headers, self.response_body_override))
             return True
         await stream.send_all(answer(status, headers, json.dumps(value).encode()))
         return True
@@ -150,14 +150,14 @@
             prefix = call.query("path_prefix")
             after = call.query("after")
             keys = sorted(key for key in self._items if key.startswith(prefix) and key > after)
-            items = [self._item(key) for key in keys[: self.page_items]]
-            more = len(keys) > self.page_items
+            items = [self._item(key) for key in keys[: self.max_page_items]]
+            more = len(keys) > self.max_page_items
             return 200, {"items": items, "more": more, "at": self.revision}
-        self.watching += 1
+        self.open_watches += 1
         try:
             return await self._watch(call)
         finally:
-            self.watching -= 1
+            self.open_watches -= 1
 
     async def _watch(self, call: RawCall) -> tuple[int, dict[str, Any]]:
         after, prefix = int(call.query("after")), call.query("path_prefix")
--- a/standins/relay/worker.py
+++ b/standins/relay/worker.py
@@ -28,12 +28,12 @@
     ERROR = "error"
     RESET_BEFORE = "reset before it runs"
     RESET_AFTER = "reset after it ran"
-    MUTE = "runs and says nothing"
+    NO_RESPONSE = "runs and says nothing"
     GARBAGE = "bytes that are no answer"
-    FOREIGN = "another request's answer"
+    WRONG_REQUEST_ID = "another request's answer"
     UNSIGNED = "no signature"
-    EXTRA = "a second answer after the first"
-    CUT = "breaks off within the answer"
+    EXTRA_RESPONSE = "a second answer after the first"
+    TRUNCATED = "breaks off within the answer"
 
 
 class Run:
@@ -44,7 +44,7 @@
         self.call = call
         self.began_at = began_at
         self.ended_at: float | None = None
-        self.dropped = False
+        self.connection_closed = False
 
 
 class Worker(RawServer):
@@ -57,57 +57,57 @@
         self.stage = stage
         self.slots = slots
         self.zone = zone
-        self.work_s = 0.01
+        self.run_duration_s = 0.01
         self.events = 5
-        self.event_s = 0.005
+        self.event_interval_s = 0.005
         # Number of the event before which a stream pauses for ``silent_s``; None disables this.
-        self.silent_from: int | None = None
+        self.silent_from_event: int | None = None
         self.silent_s = math.inf
         self.faults: list[Fault] = []
         self.runs: list[Run] = []
         self.arrivals: list[RawCall] = []
         self.handles: dict[str, float] = {}
         # Handles that the relay deleted.
-        self.freed: list[str] = []
+        self.deleted_handles: list[str] = []
         # Whether it rejects every request, as an endpoint does while it shuts down.
         self.leaving = False
         # Whether its response headers announce that it shuts down.
-        self.says_leaving = False
+        self.announces_leaving = False
         # Back-off that it requests with each rejection, in seconds; None requests none.
-        self.asks_rest_s: float | None = None
+        self.requested_backoff_s: float | None = None
         # Limit on calls per second from all instances together, as written into the header; None
         # announces none.
-        self.names_limit: str | None = None
+        self.announced_limit: str | None = None
         # Additional headers of its responses.
-        self.more_headers: dict[str, str] = {}
+        self.extra_headers: dict[str, str] = {}
         # Whether it rejects every request and reservation.
-        self.sheds = False
+        self.rejects_work = False
         # Calls without a request id, which were meant for another server at this address.
         self.calls_without_id: list[RawCall] = []
-        self.arrived_at: list[float] = []
+        self.arrival_times: list[float] = []
         # Arrival times of all calls, including those that don't carry a caller's request.
-        self.asked_at: list[float] = []
+        self.all_arrival_times: list[float] = []
         # Reserved tokens by the id of the reservation, until it is used or cancelled.
-        self.holds: dict[str, int] = {}
+        self.reservations: dict[str, int] = {}
         # Tokens of each reservation that was granted.
-        self.held: list[int] = []
-        self.dropped_holds: list[str] = []
-        self.offers_holds = True
-        self.refused_holds = 0
+        self.granted_reservation_tokens: list[int] = []
+        self.cancelled_reservations: list[str] = []
+        self.offers_reservations = True
+        self.rejected_reservations = 0
         # Tokens that can be reserved at the same time.
-        self.room = 1_000_000
-        self.orders: list[dict[str, Any]] = []
+        self.reservable_tokens = 1_000_000
+        self.role_changes: list[dict[str, Any]] = []
         self.highest_fencing_token = 0
         self.body = b"served"
         # Number of parts in which responses to plain calls are sent, with a pause before each part
         # but the first.
-        self.answer_parts = 1
+        self.response_parts = 1
         self.part_pause_s = 0.0
         # Start time of this incarnation, in milliseconds; 0 if the worker does not report it.
         self.born = 0
         # Marker in a call's body or target: running such a call crashes the worker after
         # ``crash_after_s``. None disables crashes.
-        self.crashes_on: bytes | None = None
+        self.crash_marker: bytes | None = None
         self.crash_after_s = 0.02
         # Whether a proxy in front of it still accepts connections after a crash, and closes them.
         self.is_behind_proxy = False
@@ -128,12 +128,12 @@
         if self.born:
             replacement.name, replacement.born = self.name, self.born + 1
         replacement.address = self.address
-        replacement.work_s, replacement.events, replacement.event_s = (
-            self.work_s,
+        replacement.run_duration_s, replacement.events, replacement.event_interval_s = (
+            self.run_duration_s,
             self.events,
-            self.event_s,
+            self.event_interval_s,
         )
-        replacement.crashes_on, replacement.crash_after_s = self.crashes_on, self.crash_after_s
+        replacement.crash_marker, replacement.crash_after_s = self.crash_marker, self.crash_after_s
         replacement.is_behind_proxy = self.is_behind_proxy
         return replacement
 
@@ -158,10 +158,10 @@
 
     async def serve(self, call: RawCall, stream: trio.SocketStream) -> bool:
         """Respond to one call."""
-        self.asked_at.append(trio.current_time())
+        self.all_arrival_times.append(trio.current_time())
         if call.path.startswith("/kv-handle/"):
             handle = call.path.rpartition("/")[2]
-            self.freed.append(handle)
+            self.deleted_handles.append(handle)
             self.handles.pop(handle, None)
             await stream.send_all(answer(200, self._notice_headers()))
             return True
@@ -169,7 +169,7 @@
             await stream.send_all(self._serve_reservation(call))
             return True
         if call.path == "/order":
-            status = self._take_order(json.loads(call.body))
+            status = self._accept_role_change(json.loads(call.body))
             await stream.send_all(answer(status, self._notice_headers()))
             return True
         if "attempt-id" not in call.headers:
@@ -178,13 +178,13 @@
             await stream.send_all(answer(400, {"Not-Executed": "1", **self._notice_headers()}))
             return True
         self.arrivals.append(call)
-        self.arrived_at.append(trio.current_time())
+        self.arrival_times.append(trio.current_time())
         expected = call.headers.get("expected-instance", self.name)
         if expected != self.name:
             await stream.send_all(answer(421, {"Instance-Id": self.name}))
             return True
         fault = self.faults.pop(0) if self.faults else None
-        if fault is Fault.FULL or self.leaving or self.sheds:
+        if fault is Fault.FULL or self.leaving or self.rejects_work:
             headers = {"Not-Executed": "1", **self._notice_headers(), **self._backoff_headers()}
             await stream.send_all(answer(503, headers))
             return True
@@ -192,7 +192,7 @@
             return False
         if call.headers.get("stage") == "prefill":
             return await self._serve_prefill(call, stream)
-        if self.crashes_on is not None and self.crashes_on in call.body + call.target.encode():
+        if self.crash_marker is not None and self.crash_marker in call.body + call.target.encode():
             return await self._crash(call)
         if self.stage == "decode":
             return await self._serve_decode(call, stream, fault)
@@ -200,14 +200,18 @@
 
     def _notice_headers(self) -> dict[str, str]:
         """Return the headers of its notices, which any response may have."""
-        headers = {"Server-Leaving": "1", "Connection": "close"} if self.says_leaving else {}
-        if self.names_limit is not None:
-            headers["Server-Limit"] = self.names_limit
-        return {**headers, **self.more_headers}
+        headers = {"Server-Leaving": "1", "Connection": "close"} if self.announces_leaving else {}
+        if self.announced_limit is not None:
+            headers["Server-Limit"] = self.announced_limit
+        return {**headers, **self.extra_headers}
 
     def _backoff_headers(self) -> dict[str, str]:
         """Return the header that requests a back-off, if one is set."""
-        return {} if self.asks_rest_s is None else {"Retry-After": f"{self.asks_rest_s:g}"}
+        return (
+            {}
+            if self.requested_backoff_s is None
+            else {"Retry-After": f"{self.requested_backoff_s:g}"}
+        )
 
     async def _crash(self, call: RawCall) -> bool:
         """Crash while running a request; all other runs of the worker end, too."""
@@ -219,23 +223,23 @@
 
     def _serve_reservation(self, call: RawCall) -> bytes:
         """Create or cancel a reservation of memory, called a hold in the protocol."""
-        if not self.offers_holds:
+        if not self.offers_reservations:
             return answer(404, {})
         if call.method == "DELETE":
             name = call.path.rpartition("/")[2]
-            self.dropped_holds.append(name)
-            self.holds.pop(name, None)
+            self.cancelled_reservations.append(name)
+            self.reservations.pop(name, None)
             return answer(200, {})
         tokens = int(json.loads(call.body)["tokens"])
-        if self.sheds or sum(self.holds.values()) + tokens > self.room:
-            self.refused_holds += 1
+        if self.rejects_work or sum(self.reservations.values()) + tokens > self.reservable_tokens:
+            self.rejected_reservations += 1
             return answer(503, {**self._notice_headers(), **self._backoff_headers()})
-        name = f"hold{len(self.held)}{self.name}"
-        self.held.append(tokens)
-        self.holds[name] = tokens
+        name = f"hold{len(self.granted_reservation_tokens)}{self.name}"
+        self.granted_reservation_tokens.append(tokens)
+        self.reservations[name] = tokens
         return answer(200, self._notice_headers(), json.dumps({"hold": name}).encode())
 
-    def _take_order(self, order: dict[str, Any]) -> int:
+    def _accept_role_change(self, order: dict[str, Any]) -> int:
         """Accept or reject an order to change the role; the test decides when it takes effect.
 
         Returns:
@@ -244,7 +248,7 @@
         if order["fencing_token"] < self.highest_fencing_token:
             return 412
         self.highest_fencing_token = order["fencing_token"]
-        self.orders.append(order)
+        self.role_changes.append(order)
         return 202
 
     def _signed_headers(self, call: RawCall) -> dict[str, str]:
@@ -259,8 +263,8 @@
         if self.stage != "prefill":
             await stream.send_all(answer(421, {"Instance-Id": self.name}))
             return True
-        await trio.sleep(self.work_s)
-        handle = f"h{len(self.handles) + len(self.freed)}{self.name}"
+        await trio.sleep(self.run_duration_s)
+        handle = f"h{len(self.handles) + len(self.deleted_handles)}{self.name}"
         self.handles[handle] = trio.current_time()
         value = {"prefill_handle": handle, "tokens": 10, "version": 1}
         await stream.send_all(answer(200, self._signed_headers(call), json.dumps(value).encode()))
@@ -285,18 +289,18 @@
             await trio.sleep(work_s)
             nursery.cancel_scope.cancel()
         run.ended_at = trio.current_time()
-        run.dropped = closed
+        run.connection_closed = closed
         return None if closed else run
 
     async def _serve_plain(
         self, call: RawCall, stream: trio.SocketStream, fault: Fault | None
     ) -> bool:
         if (
-            await self._run(call, stream, self.work_time_s(call)) is None
+            await self._run(call, stream, self.plain_duration_s(call)) is None
             or fault is Fault.RESET_AFTER
         ):
             return False
-        if fault is Fault.MUTE:
+        if fault is Fault.NO_RESPONSE:
             await trio.sleep_forever()
         if fault is Fault.GARBAGE:
             await stream.send_all(b"\x00\x01 this is no answer \r\n\r\n")
@@ -305,59 +309,59 @@
         status, body = 200, self.body
         if fault is Fault.ERROR:
             status = 500
-        if fault is Fault.FOREIGN:
+        if fault is Fault.WRONG_REQUEST_ID:
             headers["Attempt-Id"] = "another"
         if fault is Fault.UNSIGNED:
             del headers["Server-Stamp"]
         data = answer(status, headers, body)
-        if fault is Fault.CUT:
+        if fault is Fault.TRUNCATED:
             await stream.send_all(data[:-2])
             return False
-        if fault is Fault.EXTRA:
+        if fault is Fault.EXTRA_RESPONSE:
             data += answer(200, {**headers, "Attempt-Id": "another"}, b"late")
         await self._send_in_parts(data, stream)
         return True
 
     async def _send_in_parts(self, data: bytes, stream: trio.SocketStream) -> None:
-        size = math.ceil(len(data) / self.answer_parts)
+        size = math.ceil(len(data) / self.response_parts)
         for begin in range(0, len(data), size):
             if begin:
                 await trio.sleep(self.part_pause_s)
             await stream.send_all(data[begin : begin + size])
 
-    def work_time_s(self, call: RawCall) -> float:
+    def plain_duration_s(self, call: RawCall) -> float:
         """Return the duration of a plain call, in seconds."""
-        return self.work_s
+        return self.run_duration_s
 
-    def event_time_s(self, request: str) -> float:
+    def stream_event_interval_s(self, request: str) -> float:
         """Return the interval between two events of a request's stream, in seconds."""
-        return self.event_s
+        return self.event_interval_s
 
     async def _serve_decode(
         self, call: RawCall, stream: trio.SocketStream, fault: Fault | None
     ) -> bool:
         first_event = int(call.headers.get("last-event-id", "0")) + 1
-        self.holds.pop(call.headers.get("hold", ""), None)
+        self.reservations.pop(call.headers.get("hold", ""), None)
         run = Run(call.headers["attempt-id"], call, trio.current_time())
         self.runs.append(run)
-        if fault is Fault.MUTE:
+        if fault is Fault.NO_RESPONSE:
             await trio.sleep_forever()
         lines = ["HTTP/1.1 200 X", "Content-Type: text/event-stream", "Transfer-Encoding: chunked"]
         lines += [f"{name}: {value}" for name, value in self._signed_headers(call).items()]
         try:
             await stream.send_all(("\r\n".join(lines) + "\r\n\r\n").encode())
             for number in range(first_event, self.events + 1):
-                await trio.sleep(self.event_time_s(run.request))
-                if number == self.silent_from:
+                await trio.sleep(self.stream_event_interval_s(run.request))
+                if number == self.silent_from_event:
                     await trio.sleep(self.silent_s)
                 event = b"id: %d\ndata: %s %d\n\n" % (number, run.request.encode(), number)
-                if fault is Fault.CUT and number == self.events // 2 + 1:
+                if fault is Fault.TRUNCATED and number == self.events // 2 + 1:
                     await stream.send_all(chunk(event[:7]))
                     return False
                 await stream.send_all(chunk(event))
             await stream.send_all(LAST_CHUNK)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
-            run.dropped = True
+            run.connection_closed = True
             return False
         finally:
             run.ended_at = trio.current_time()
