--- a/cleatlink/platform/store_test.py
+++ b/cleatlink/platform/store_test.py
@@ -40,7 +40,7 @@
     def __init__(self, is_lost: Callable[[int], bool]) -> None:
         super().__init__()
         self.era = 1
-        self.page_items = 1
+        self.max_page_items = 1
         self.targets: list[str] = []
         self._is_lost = is_lost
 
