--- a/cleatlink/relay/peers/contract_test.py
+++ b/cleatlink/relay/peers/contract_test.py
@@ -117,7 +117,7 @@
 @pytest.mark.parametrize("build", RELEASED_COMMITS)
 def test_earlier_builds_decode_messages_of_this_build(build: str, builds: dict[str, Path]) -> None:
     source_tree = builds[build]
-    encoded_samples = message_samples.write()
+    encoded_samples = message_samples.encode_samples()
     process = subprocess.run(
         [sys.executable, str(SAMPLES_PROGRAM), "read"],
         input=json.dumps(encoded_samples),
@@ -154,7 +154,7 @@
     )
     assert json.loads(process.stdout) == recorded(RELEASED_COMMITS[0])
     earlier = {RECORDED_TYPES[name].__name__ for name in recorded(RELEASED_COMMITS[0])}
-    assert message_samples.write().keys() > earlier
+    assert message_samples.encode_samples().keys() > earlier
 
 
 def test_invalid_messages_are_not_decoded() -> None:
--- a/cleatlink/routing/role_planner_test.py
+++ b/cleatlink/routing/role_planner_test.py
@@ -24,7 +24,7 @@
     plan_role_change,
     plan_role_changes,
 )
-from tools.kinds.engine_profiles import ENGINE_PROFILES, Kind
+from tools.kinds.engine_profiles import ENGINE_PROFILES, EngineProfile
 
 CHANGE_S = 6.0
 TARGETS = LatencyTargets(0.9, 0.3)
@@ -243,7 +243,7 @@
             before = after
 
 
-def measured(kind: Kind, rate: float, seconds: int) -> tuple[Capacity, EngineProperties]:
+def measured(kind: EngineProfile, rate: float, seconds: int) -> tuple[Capacity, EngineProperties]:
     """Return the measurements of a kind of engine after some seconds of streams."""
     traits = EngineProperties(kind.slots or 64, kind.memory_tokens or 40_000, 0.5, CHANGE_S)
     capacity = Capacity()
@@ -263,7 +263,7 @@
 
 
 @pytest.mark.parametrize("kind", ENGINE_PROFILES, ids=lambda kind: kind.name)
-def test_demand_matches_the_measurements_of_each_kind_of_engine(kind: Kind) -> None:
+def test_demand_matches_the_measurements_of_each_kind_of_engine(kind: EngineProfile) -> None:
     capacity, traits = measured(kind, 5.0, 20)
     demand = capacity.demand("s", traits, TARGETS, 20.0)
     assert demand is not None
@@ -276,7 +276,7 @@
 
 
 @pytest.mark.parametrize("kind", ENGINE_PROFILES, ids=lambda kind: kind.name)
-def test_plan_lowers_the_late_share_for_each_kind_of_engine(kind: Kind) -> None:
+def test_plan_lowers_the_late_share_for_each_kind_of_engine(kind: EngineProfile) -> None:
     capacity, traits = measured(kind, 5.0, 20)
     demand = capacity.demand("s", traits, TARGETS, 20.0)
     assert demand is not None
--- a/tools/kinds/engine_profiles.py
+++ b/tools/kinds/engine_profiles.py
@@ -8,10 +8,10 @@
 
 from typing import NamedTuple
 
-__all__ = ["ENGINE_PROFILES", "Kind"]
+__all__ = ["ENGINE_PROFILES", "EngineProfile"]
 
 
-class Kind(NamedTuple):
+class EngineProfile(NamedTuple):
     """A kind of engine, as changes to a site; a field that is None keeps the value of the site.
 
     Attributes:
@@ -40,12 +40,12 @@
 
 
 ENGINE_PROFILES = (
-    Kind("own"),
-    Kind("quick, memory of 3 streams", 0.6, 30.0, 12_000),
-    Kind("quickest, memory of 200", 0.2, 60.0, 780_000, slots=256),
-    Kind("middling", 10.0, 20.0, 80_000),
-    Kind("slow", 16.0, 12.0, 120_000),
-    Kind(
+    EngineProfile("own"),
+    EngineProfile("quick, memory of 3 streams", 0.6, 30.0, 12_000),
+    EngineProfile("quickest, memory of 200", 0.2, 60.0, 780_000, slots=256),
+    EngineProfile("middling", 10.0, 20.0, 80_000),
+    EngineProfile("slow", 16.0, 12.0, 120_000),
+    EngineProfile(
         "slowest, short answers",
         20.0,
         8.0,
@@ -53,10 +53,10 @@
         mean_prompt_tokens=1_500.0,
         mean_output_events=30.0,
     ),
-    Kind("slow prompts", 2.0, 5.0, 100_000, mean_prompt_tokens=1_200.0),
-    Kind("few slots", 3.0, 33.0, 200_000, slots=4),
-    Kind("slow hand-over", 5.0, 33.0, 60_000, transfer_setup_ms=200.0),
-    Kind("slow change of role", 5.0, 33.0, 41_000, role_switch_s=15.0),
-    Kind("many small engines", 5.0, 33.0, 14_000, slots=8, engine_count_factor=3.0),
-    Kind("two engines", 1.0, 50.0, 60_000, engine_count_factor=0.45),
+    EngineProfile("slow prompts", 2.0, 5.0, 100_000, mean_prompt_tokens=1_200.0),
+    EngineProfile("few slots", 3.0, 33.0, 200_000, slots=4),
+    EngineProfile("slow hand-over", 5.0, 33.0, 60_000, transfer_setup_ms=200.0),
+    EngineProfile("slow change of role", 5.0, 33.0, 41_000, role_switch_s=15.0),
+    EngineProfile("many small engines", 5.0, 33.0, 14_000, slots=8, engine_count_factor=3.0),
+    EngineProfile("two engines", 1.0, 50.0, 60_000, engine_count_factor=0.45),
 )
--- a/tools/kinds/kinds_test.py
+++ b/tools/kinds/kinds_test.py
@@ -6,7 +6,7 @@
 import pytest
 
 from tools.kinds.bench_run import BenchRun, RunResult, WorkTree, copy_without_mechanism
-from tools.kinds.engine_profiles import ENGINE_PROFILES, Kind
+from tools.kinds.engine_profiles import ENGINE_PROFILES, EngineProfile
 from tools.kinds.main import MAX_WORTH_LOSS, render, write_variants
 from tools.kinds.site_file import SiteFileError, make_variant
 
@@ -28,7 +28,7 @@
 [bounds]
 drain_ms = 5
 """
-SLOW = Kind(
+SLOW = EngineProfile(
     "slow",
     16.0,
     5.5,
@@ -63,12 +63,12 @@
 
 
 def test_kind_without_fields_leaves_the_site_unchanged() -> None:
-    assert make_variant(SITE, Kind("own")) == SITE
+    assert make_variant(SITE, EngineProfile("own")) == SITE
 
 
 def test_setting_replaces_or_adds_a_field() -> None:
     variant = tomllib.loads(
-        make_variant(SITE, Kind("own"), ("bounds.drain_ms=7", "timing.even=true"))
+        make_variant(SITE, EngineProfile("own"), ("bounds.drain_ms=7", "timing.even=true"))
     )
     assert variant["bounds"] == {"drain_ms": 7}
     assert variant["timing"] == {"even": True, "x": 1}
@@ -93,7 +93,7 @@
     site_folder.mkdir()
     (site_folder / "site.toml").write_text(SITE)
     (site_folder / "names.json").write_text("{}")
-    sites = write_variants(site_folder / "site.toml", [Kind("own"), SLOW], (), tmp_path)
+    sites = write_variants(site_folder / "site.toml", [EngineProfile("own"), SLOW], (), tmp_path)
     assert list(sites) == ["own", "slow"]
     assert sites["own"].read_text() == SITE
     assert (sites["slow"].parent / "names.json").exists()
--- a/tools/kinds/main.py
+++ b/tools/kinds/main.py
@@ -15,7 +15,7 @@
 import click
 
 from tools.kinds.bench_run import BenchRun, RunResult, WorkTree, copy_without_mechanism, run_all
-from tools.kinds.engine_profiles import ENGINE_PROFILES, Kind
+from tools.kinds.engine_profiles import ENGINE_PROFILES, EngineProfile
 from tools.kinds.site_file import SiteFileError, make_variant
 
 __all__ = ["MAX_WORTH_LOSS", "main", "render", "write_variants"]
@@ -80,7 +80,7 @@
 
 
 def write_variants(
-    site: Path, kinds: Sequence[Kind], settings: tuple[str, ...], folder: Path
+    site: Path, kinds: Sequence[EngineProfile], settings: tuple[str, ...], folder: Path
 ) -> dict[str, Path]:
     """Write a variant of a site for each kind, with the JSON files from the folder of the site.
 
--- a/tools/kinds/site_file.py
+++ b/tools/kinds/site_file.py
@@ -6,7 +6,7 @@
 
 import re
 
-from tools.kinds.engine_profiles import Kind
+from tools.kinds.engine_profiles import EngineProfile
 
 __all__ = ["SiteFileError", "make_variant"]
 
@@ -15,7 +15,7 @@
     """The site file lacks a field or table that the variant changes, or a setting is invalid."""
 
 
-def make_variant(site: str, kind: Kind, settings: tuple[str, ...] = ()) -> str:
+def make_variant(site: str, kind: EngineProfile, settings: tuple[str, ...] = ()) -> str:
     """Return the text of a variant of a site.
 
     Args:
@@ -44,7 +44,7 @@
     return matching
 
 
-def _change_service(line: str, kind: Kind) -> str:
+def _change_service(line: str, kind: EngineProfile) -> str:
     fields = {
         "step_ms": kind.decode_step_ms,
         "prefill_tokens_per_ms": kind.prompt_tokens_per_ms,
@@ -65,7 +65,7 @@
     )
 
 
-def _change_requests(line: str, kind: Kind) -> str:
+def _change_requests(line: str, kind: EngineProfile) -> str:
     line = _replace_number(line, r"(\bpieces = \{ mean = )[0-9.]+", kind.mean_output_events)
     return _replace_number(line, r"(\bprompt_tokens = \{ mean = )[0-9.]+", kind.mean_prompt_tokens)
 
--- a/tools/message_samples.py
+++ b/tools/message_samples.py
@@ -16,7 +16,7 @@
 import msgspec
 from msgspec import inspect
 
-__all__ = ["main", "write"]
+__all__ = ["encode_samples", "main"]
 
 # Modules that define the messages; in earlier builds, the module was in the parent package.
 _MESSAGE_MODULES = ("cleatlink.relay.peers.messages", "cleatlink.relay.peer_messages")
@@ -79,7 +79,7 @@
     return isinstance(kind, inspect.NoneType)
 
 
-def write() -> dict[str, str]:
+def encode_samples() -> dict[str, str]:
     """Return encoded samples of this build in hexadecimal, by the name of the message type."""
     messages = _import_messages()
     union: Any = inspect.type_info(messages.Message)
@@ -112,7 +112,7 @@
 def main(arguments: list[str]) -> int:
     """Run the command ``write`` or ``read``, and return the exit code."""
     if arguments == ["write"]:
-        print(json.dumps(write(), indent=1, sort_keys=True))
+        print(json.dumps(encode_samples(), indent=1, sort_keys=True))
         return 0
     if arguments == ["read"]:
         print(json.dumps(_reencode(json.load(sys.stdin))))
