--- a/cleatlink/serving/entry.py
+++ b/cleatlink/serving/entry.py
@@ -25,7 +25,7 @@
 from cleatlink.serving.metrics import Metrics
 from cleatlink.serving.model_request_driver import DriverComponents, PlaceRequest
 from cleatlink.serving.peer_link import PeerLink
-from cleatlink.serving.peers import PeerParts, Peers
+from cleatlink.serving.peers import PeerComponents, Peers
 from cleatlink.serving.platform import DocumentKind, Platform
 from cleatlink.serving.settings import Settings
 
@@ -60,11 +60,11 @@
 class Entry:
     """One entry instance."""
 
-    def __init__(self, settings: Settings, outside: EntryDependencies) -> None:
+    def __init__(self, settings: Settings, dependencies: EntryDependencies) -> None:
         self._settings = settings
-        self._client = outside.client
-        self._platform = outside.platform
-        self._place_request = outside.place
+        self._client = dependencies.client
+        self._platform = dependencies.platform
+        self._place_request = dependencies.place
         self._metrics = Metrics()
         self._view = FleetView()
         self._view_changed = ChangeNotifier()
@@ -76,17 +76,17 @@
             self._metrics, self._use_configuration, self._use_fleet
         )
         self._members = MembershipView(settings.name, settings.data_centre, trio.current_time())
-        parts = PeerParts(
+        components = PeerComponents(
             settings,
-            outside.link,
+            dependencies.link,
             self._view,
             self._document_store,
             self._canceller,
             self._metrics,
-            outside.unix_time_s,
+            dependencies.unix_time_s,
         )
-        self._peers = Peers(parts, self._members)
-        self._flight_parts: DriverComponents | None = None
+        self._peers = Peers(components, self._members)
+        self._driver_components: DriverComponents | None = None
         self._in_flight = 0
         self._request_count = 0
         self._ready = False
@@ -125,7 +125,7 @@
         self._peers.start(nursery)
         nursery.start_soon(self._become_ready, nursery)
         nursery.start_soon(self._poll_periodically, nursery)
-        return build_caller_app(self._make_caller_parts(nursery))
+        return build_caller_app(self._make_caller_components(nursery))
 
     async def stop(self) -> None:
         """Perform a planned stop: refuse new requests and finish all work in progress."""
@@ -142,7 +142,7 @@
     def _use_configuration(self, configuration: Configuration) -> None:
         self._view.set_configuration(configuration)
         self._retry_budget.set_share(configuration.limits.retry_share)
-        self._flight_parts = DriverComponents(
+        self._driver_components = DriverComponents(
             self._settings.data_centre,
             self._client,
             self._canceller,
@@ -172,7 +172,7 @@
         self._members.set_instances(fleet.instances, trio.current_time())
         self._retry_waiting_requests()
 
-    def _make_caller_parts(self, nursery: trio.Nursery) -> CallerComponents:
+    def _make_caller_components(self, nursery: trio.Nursery) -> CallerComponents:
         return CallerComponents(
             configuration=lambda: self._document_store.active_configuration.configuration,
             get_admission_refusal=self._check_admission,
@@ -186,15 +186,15 @@
         )
 
     def _get_flight_parts(self) -> DriverComponents:
-        assert self._flight_parts is not None, "requests are admitted only when ready"
-        return self._flight_parts
+        assert self._driver_components is not None, "requests are admitted only when ready"
+        return self._driver_components
 
     def _check_admission(self) -> Refusal | None:
         if self._stopping:
             return Refusal(ErrorKind.STOPPING, "this instance is stopping")
-        if not self._ready or self._flight_parts is None:
+        if not self._ready or self._driver_components is None:
             return Refusal(ErrorKind.NOT_READY, "this instance is starting")
-        if self._in_flight >= self._flight_parts.limits.requests_in_flight:
+        if self._in_flight >= self._driver_components.limits.requests_in_flight:
             return Refusal(ErrorKind.BUSY, "too many requests in progress")
         return None
 
--- a/cleatlink/serving/peers.py
+++ b/cleatlink/serving/peers.py
@@ -32,7 +32,7 @@
 from cleatlink.serving.platform import Document, DocumentKind
 from cleatlink.serving.settings import Settings
 
-__all__ = ["ClaimRequest", "PeerParts", "Peers", "KeyOutcome"]
+__all__ = ["ClaimRequest", "PeerComponents", "Peers", "KeyOutcome"]
 
 _REQUEST_TIMEOUT_S = 2.0
 # Documents can be large and links slow. The timeout of the link itself detects a peer that stops
@@ -69,7 +69,7 @@
     instances: Document | None
 
 
-class PeerParts(NamedTuple):
+class PeerComponents(NamedTuple):
     """Objects that the communication with peers shares with the rest of the instance.
 
     Attributes:
@@ -94,8 +94,8 @@
 class Peers:
     """Communication of one instance with its peers."""
 
-    def __init__(self, parts: PeerParts, members: MembershipView) -> None:
-        self._parts = parts
+    def __init__(self, components: PeerComponents, members: MembershipView) -> None:
+        self._components = components
         self._members = members
         self._notes = InFlightNotes()
         self._keys = IdempotencyKeyRegistry()
@@ -126,7 +126,7 @@
         """Whether a peer reported a configuration that this instance has not received yet."""
         return (
             self._highest_peer_revision
-            > self._parts.store.active_configuration.highest_validated_revision
+            > self._components.store.active_configuration.highest_validated_revision
         )
 
     def start(self, nursery: trio.Nursery) -> None:
@@ -146,7 +146,7 @@
     ) -> None:
         """Send a note on a request in flight to two peers; call this before sending its order."""
         now = trio.current_time()
-        settings = self._parts.settings
+        settings = self._components.settings
         note = InFlightNote(
             name, settings.name, settings.incarnation, attempt, endpoints, expires_in_s
         )
@@ -214,9 +214,9 @@
             self._fetching.discard(address)
         self._failed_fetches.discard(address)
         if documents.configuration is not None:
-            self._parts.store.offer(DocumentKind.CONFIG, documents.configuration)
+            self._components.store.offer(DocumentKind.CONFIG, documents.configuration)
         if documents.instances is not None:
-            self._parts.store.offer(DocumentKind.INSTANCES, documents.instances)
+            self._components.store.offer(DocumentKind.INSTANCES, documents.instances)
         return True
 
     def _log_failed_fetch(self, address: str, error: Exception) -> None:
@@ -237,7 +237,7 @@
             encoded = msgspec.msgpack.encode(await self._handle_request(path, body))
         except msgspec.MsgspecError as error:
             raise PeerError(f"invalid body of a peer request: {error}") from error
-        self._parts.metrics.count_peer_bytes("answer", len(encoded))
+        self._components.metrics.count_peer_bytes("answer", len(encoded))
         return encoded
 
     async def _handle_request(self, path: str, body: bytes) -> object:
@@ -267,56 +267,56 @@
         now = trio.current_time()
         confirmed_at = self._members.owner_since(now)
         # Keys contain wall-clock times of callers; ownership uses the monotonic clock.
-        confirmed_unix_s = self._parts.unix_time_s() - (now - confirmed_at)
+        confirmed_unix_s = self._components.unix_time_s() - (now - confirmed_at)
         # Grants no new keys after a pause until the peers have been checked again, because another
         # instance may have become the owner, and none during a planned stop.
         was_paused = now - self._last_check_at > _PROCESS_PAUSE_S
         if was_paused or self._state is ReportedState.LEAVING:
             confirmed_unix_s = math.inf
         return self._keys.claim(
-            order.key, order.fingerprint, confirmed_unix_s, self._parts.unix_time_s()
+            order.key, order.fingerprint, confirmed_unix_s, self._components.unix_time_s()
         )
 
     def _make_documents(self) -> PeerDocuments:
-        published = self._parts.store.active_configuration.published
+        published = self._components.store.active_configuration.published
         configuration = Document(*published) if published is not None else None
-        return PeerDocuments(configuration, self._parts.store.fleet_document)
+        return PeerDocuments(configuration, self._components.store.fleet_document)
 
     async def _send_request(
         self, address: str, path: str, content: object, timeout_s: float = _REQUEST_TIMEOUT_S
     ) -> bytes:
         body = msgspec.msgpack.encode(content)
-        self._parts.metrics.count_peer_bytes("question", len(body))
+        self._components.metrics.count_peer_bytes("question", len(body))
         with trio.move_on_after(timeout_s):
-            return await self._parts.link.send_request(address, path, body)
+            return await self._components.link.send_request(address, path, body)
         raise PeerError("the peer did not answer within the timeout")
 
     def _send(self, address: str, kind: str, value: object) -> None:
         data = encode_message(Message(kind, value))
-        self._parts.metrics.count_peer_bytes("datagram", len(data))
-        self._parts.link.send(address, data)
+        self._components.metrics.count_peer_bytes("datagram", len(data))
+        self._components.link.send(address, data)
 
     def _send_heartbeats(self) -> None:
         """Send a heartbeat to each peer."""
         now = trio.current_time()
-        settings = self._parts.settings
+        settings = self._components.settings
         heartbeat = Heartbeat(
             settings.name,
             settings.incarnation,
             settings.data_centre,
-            self._parts.link.address,
+            self._components.link.address,
             self._state,
-            self._parts.store.active_configuration.revision,
-            self._parts.view.leaving_endpoints(now),
+            self._components.store.active_configuration.revision,
+            self._components.view.leaving_endpoints(now),
             self._members.members_hash(now),
         )
-        for address in sorted(self.addresses(now) - {self._parts.link.address}):
+        for address in sorted(self.addresses(now) - {self._components.link.address}):
             self._send(address, "beat", heartbeat)
 
     def addresses(self, now: float) -> set[str]:
         """Return the addresses of all peers from the membership and the settings."""
         known_addresses = {peer.address for peer in self._members.peers(now)}
-        return known_addresses | {str(address) for address in self._parts.settings.peers}
+        return known_addresses | {str(address) for address in self._components.settings.peers}
 
     def _resend_notes(self) -> None:
         """Send the notes that peers have not acknowledged again."""
@@ -331,11 +331,11 @@
 
     async def _receive_messages(self, nursery: trio.Nursery) -> None:
         while True:
-            message, sender = await self._parts.link.receive()
+            message, sender = await self._components.link.receive()
             if message is None:
-                self._parts.metrics.count_peer_message("not_understood")
+                self._components.metrics.count_peer_message("not_understood")
                 continue
-            self._parts.metrics.count_peer_message(message.kind)
+            self._components.metrics.count_peer_message(message.kind)
             self._handle_message(message.kind, message.value, sender, nursery)
 
     def _handle_message(self, kind: str, value: object, sender: str, nursery: trio.Nursery) -> None:
@@ -356,9 +356,12 @@
             return
         self._notes.mark_alive(heartbeat.name, heartbeat.incarnation)
         for name in heartbeat.leaving_endpoints:
-            self._parts.view.note_peer_leaving(name, now)
+            self._components.view.note_peer_leaving(name, now)
         self._highest_peer_revision = max(self._highest_peer_revision, heartbeat.revision)
-        if heartbeat.revision > self._parts.store.active_configuration.highest_validated_revision:
+        if (
+            heartbeat.revision
+            > self._components.store.active_configuration.highest_validated_revision
+        ):
             nursery.start_soon(self.fetch_documents, heartbeat.peer_address)
 
     async def _check_peers_periodically(self) -> None:
@@ -376,7 +379,7 @@
                 self._log.say("removed a peer that sent no heartbeats", peer=name)
                 self._notes.mark_dead(name, incarnation, now)
             for orphan in self._notes.take_due(now):
-                self._parts.canceller.cancel(orphan.address, orphan.request, orphan.attempt)
+                self._components.canceller.cancel(orphan.address, orphan.request, orphan.attempt)
 
     def describe(self) -> Mapping[str, object]:
         """Return the peers and their state, as seen by this instance, for the status response."""
