--- a/cleatlink/relay/daemon_test.py
+++ b/cleatlink/relay/daemon_test.py
@@ -11,9 +11,9 @@
 import trio
 
 from standins.relay import Worker
-from standins.relay.client import Caller
 from standins.relay.fleet import Fleet, open_fleet
-from standins.relay.settings import write_settings
+from standins.relay.raw_client import Caller
+from standins.relay.settings_file import write_settings
 
 # Runs the program in an interpreter that takes a minute to exit.
 SLOW_EXIT_SCRIPT = """
@@ -91,8 +91,8 @@
             "instance: begins a planned stop",
             "instance: completed its planned stop",
         ]
-        found = [text for text in message_types if text.startswith("instance: ")]
-        assert found == expected
+        instance_events = [text for text in message_types if text.startswith("instance: ")]
+        assert instance_events == expected
         assert "source: configuration service answers" in message_types
         assert "relay: is answered" in message_types
 
--- a/cleatlink/relay/endpoints/protocol.py
+++ b/cleatlink/relay/endpoints/protocol.py
@@ -218,10 +218,10 @@
             last_event=None if last_event is None else int(_parse_number(last_event, 0)),
         )
 
-    def _filter_request_headers(self, headers: Headers, withholds_key: bool) -> Headers:
+    def _filter_request_headers(self, headers: Headers, removes_api_key: bool) -> Headers:
         """Drop hop-by-hop headers, those listed in Connection, and those that the relay sets."""
         dropped = set(self._never_forwarded)
-        if withholds_key:
+        if removes_api_key:
             dropped.add(self.names.credentials)
         for name, value in headers:
             if name.lower() == b"connection":
@@ -346,13 +346,13 @@
             return EMPTY_NOTICE
         names = self.names
         leaving = b"1" in head.get_all(names.leaving)
-        rest_s = 0.0
+        backoff_s = 0.0
         if head.status in REJECTION_STATUSES:
-            rest_s = parse_backoff_s(head.get_all(names.retry_after_s))
+            backoff_s = parse_backoff_s(head.get_all(names.retry_after_s))
         rates = head.get_all(names.rate_per_s)
-        return EndpointNotice(leaving, rest_s, parse_rate_limit_per_s(rates), bool(rates))
+        return EndpointNotice(leaving, backoff_s, parse_rate_limit_per_s(rates), bool(rates))
 
-    def belongs(self, head: ResponseHead, inbound: InboundRequest) -> bool:
+    def matches_request(self, head: ResponseHead, inbound: InboundRequest) -> bool:
         """Check whether a response carries the identifier of this request."""
         response_id = head.get(self.names.request_id)
         return response_id is not None and response_id.decode("latin-1") == inbound.request_id
--- a/cleatlink/relay/endpoints/response_notices_test.py
+++ b/cleatlink/relay/endpoints/response_notices_test.py
@@ -10,7 +10,7 @@
 from cleatlink.platform import PROTOCOL
 from cleatlink.relay.endpoints.protocol import ResponseHead
 from standins.relay import Worker
-from standins.relay.example import STREAM, engines, start
+from standins.relay.example_fleet import STREAM, engines, start
 from standins.relay.fleet import open_fleet
 
 pytestmark = pytest.mark.virtual_time
@@ -18,12 +18,12 @@
 LEAVING = (b"Server-Leaving", b"1")
 
 
-def rest(value: bytes) -> tuple[bytes, bytes]:
+def backoff_header(value: bytes) -> tuple[bytes, bytes]:
     """Return the header with which an endpoint asks for a back-off."""
     return (b"Retry-After", value)
 
 
-def limit(value: bytes) -> tuple[bytes, bytes]:
+def limit_header(value: bytes) -> tuple[bytes, bytes]:
     """Return the header with which an endpoint names a rate limit."""
     return (b"Server-Limit", value)
 
@@ -36,16 +36,20 @@
         (500, ((b"server-leaving", b" 1 "),), EndpointNotice(leaving=True)),
         (200, ((b"Server-Leaving", b"0"),), EMPTY_NOTICE),
         (200, ((b"Server-Leaving", b""),), EMPTY_NOTICE),
-        (503, (rest(b"3"),), EndpointNotice(rest_s=3.0)),
-        (503, (rest(b"0.25"), LEAVING), EndpointNotice(leaving=True, rest_s=0.25)),
-        (429, (rest(b"2"),), EndpointNotice(rest_s=2.0)),
-        (200, (rest(b"3"),), EMPTY_NOTICE),
-        (500, (rest(b"3"),), EMPTY_NOTICE),
-        (200, (limit(b"3.6"),), EndpointNotice(rate_per_s=3.6, has_rate_limit=True)),
-        (500, (limit(b"3"), LEAVING), EndpointNotice(True, 0.0, 3.0, has_rate_limit=True)),
-        (503, (limit(b"2"), rest(b"1")), EndpointNotice(False, 1.0, 2.0, has_rate_limit=True)),
+        (503, (backoff_header(b"3"),), EndpointNotice(backoff_s=3.0)),
+        (503, (backoff_header(b"0.25"), LEAVING), EndpointNotice(leaving=True, backoff_s=0.25)),
+        (429, (backoff_header(b"2"),), EndpointNotice(backoff_s=2.0)),
+        (200, (backoff_header(b"3"),), EMPTY_NOTICE),
+        (500, (backoff_header(b"3"),), EMPTY_NOTICE),
+        (200, (limit_header(b"3.6"),), EndpointNotice(rate_per_s=3.6, has_rate_limit=True)),
+        (500, (limit_header(b"3"), LEAVING), EndpointNotice(True, 0.0, 3.0, has_rate_limit=True)),
+        (
+            503,
+            (limit_header(b"2"), backoff_header(b"1")),
+            EndpointNotice(False, 1.0, 2.0, has_rate_limit=True),
+        ),
         # Another endpoint answers at the address: its headers say nothing about the one called.
-        (421, (LEAVING, rest(b"3"), limit(b"1")), EMPTY_NOTICE),
+        (421, (LEAVING, backoff_header(b"3"), limit_header(b"1")), EMPTY_NOTICE),
     ],
 )
 def test_notice_is_read_from_status_and_headers(
@@ -55,7 +59,7 @@
 
 
 @pytest.mark.parametrize(
-    ("values", "rest_s"),
+    ("values", "backoff_s"),
     [
         ([b"-1"], 0.0),
         ([b"nan"], 0.0),
@@ -72,10 +76,10 @@
     ],
 )
 def test_malformed_backoff_is_ignored_and_a_long_one_is_capped(
-    values: list[bytes], rest_s: float
+    values: list[bytes], backoff_s: float
 ) -> None:
-    head = ResponseHead(503, tuple(rest(value) for value in values))
-    assert PROTOCOL.read_notice(head).rest_s == rest_s
+    head = ResponseHead(503, tuple(backoff_header(value) for value in values))
+    assert PROTOCOL.read_notice(head).backoff_s == backoff_s
 
 
 @pytest.mark.parametrize(
@@ -99,7 +103,7 @@
 def test_malformed_limit_is_ignored_and_extreme_ones_are_bounded(
     values: list[bytes], rate_per_s: float | None
 ) -> None:
-    notice = PROTOCOL.read_notice(ResponseHead(200, tuple(limit(value) for value in values)))
+    notice = PROTOCOL.read_notice(ResponseHead(200, tuple(limit_header(value) for value in values)))
     assert notice == EndpointNotice(rate_per_s=rate_per_s, has_rate_limit=True)
 
 
@@ -112,34 +116,34 @@
             worker = Worker("plain")
             await start(fleet, worker)
             for value in ("50", "50", "20", "few", None, None):
-                worker.names_limit = value
+                worker.announced_limit = value
                 # Responses can arrive out of order: one without a limit takes effect after a delay.
                 await trio.sleep(0.0 if value else 0.6)
                 assert (await fleet.caller().ask("/safe/x")).status == 200
     finally:
         eliot.remove_destination(collect)
-    found = [
+    changes = [
         (line["before"], line["per_s"])
         for line in lines
         if line.get("message_type") == "endpoint: rate limit changed"
         and line["endpoint"] == worker.name
     ]
-    assert found == [(None, 50.0), (50.0, 20.0), (20.0, None)]
+    assert changes == [(None, 50.0), (50.0, 20.0), (20.0, None)]
 
 
 async def test_unknown_header_is_logged_once() -> None:
-    """Endpoints named a limit for days in a header that no instance read, and none logged it."""
+    """Guards against a limit in a header that no instance reads or logs; this lasted for days."""
     lines: list[dict[str, Any]] = []
     collect = lines.append
     eliot.add_destinations(collect)
     try:
         async with open_fleet() as fleet:
             worker = Worker("plain")
-            worker.more_headers = {"Server-Temper": "bad", "Content-Language": "cs"}
+            worker.extra_headers = {"Server-Temper": "bad", "Content-Language": "cs"}
             await start(fleet, worker)
             for _ in range(3):
                 assert (await fleet.caller().ask("/safe/x")).status == 200
-            worker.more_headers = {f"X-{number}": "1" for number in range(99)}
+            worker.extra_headers = {f"X-{number}": "1" for number in range(99)}
             await fleet.caller().ask("/safe/x")
     finally:
         eliot.remove_destination(collect)
@@ -165,7 +169,7 @@
             await start(fleet, *workers)
             announcing = [item for item in workers if (item.stage or "plain") == kind]
             for worker in announcing:
-                worker.says_leaving = True
+                worker.announces_leaving = True
             await fleet.caller().ask(path, headers=headers)
             notices = fleet.instances[0].capacity.notices
             leaving = {item.name for item in workers if notices.is_leaving(item.name)}
@@ -177,9 +181,9 @@
     async with open_fleet() as fleet:
         prefill, decode = Worker("model", "prefill"), Worker("model", "decode")
         await start(fleet, prefill, decode)
-        decode.says_leaving, decode.room = True, 0
+        decode.announces_leaving, decode.reservable_tokens = True, 0
         fleet.configure({"hold_ms": 500})
-        await fleet.until(lambda: fleet.instances[0].records.table_revision > 5)
+        await fleet.wait_until(lambda: fleet.instances[0].records.table_revision > 5)
         await fleet.caller().ask("/stream/x", headers=STREAM)
         assert fleet.instances[0].capacity.notices.is_leaving(decode.name)
 
@@ -192,18 +196,18 @@
         async with open_fleet() as fleet:
             worker = Worker("plain")
             await start(fleet, worker, Worker("plain"))
-            worker.says_leaving = True
+            worker.announces_leaving = True
             for _ in range(12):
                 await fleet.caller().ask("/safe/x")
             metrics = fleet.instances[0].render_metrics().decode()
     finally:
         eliot.remove_destination(collect)
-    found = [
+    leaving_lines = [
         line
         for line in lines
         if line.get("message_type")
         == "endpoint: response says that it is shutting down; it gets no new work"
         and line["endpoint"] == worker.name
     ]
-    assert len(found) == 1
+    assert len(leaving_lines) == 1
     assert 'cleatlink_relay_endpoint_notices_total{kind="leaving"}' in metrics
--- a/cleatlink/relay/final_refusals_test.py
+++ b/cleatlink/relay/final_refusals_test.py
@@ -10,9 +10,9 @@
 from cleatlink.relay.instance import RelayInstance
 from cleatlink.routing.buffered_bytes import BufferKind
 from standins.relay import Worker
-from standins.relay.client import Caller
-from standins.relay.example import STREAM, start
+from standins.relay.example_fleet import STREAM, start
 from standins.relay.fleet import Fleet, open_fleet
+from standins.relay.raw_client import Caller
 from standins.relay.store import StoreMode
 
 pytestmark = pytest.mark.virtual_time
@@ -72,7 +72,7 @@
 async def publish(fleet: Fleet) -> None:
     """Publish the routes, and wait until they are in force."""
     revision = fleet.configure()
-    await fleet.until(lambda: fleet.instances[0].records.table_revision == revision)
+    await fleet.wait_until(lambda: fleet.instances[0].records.table_revision == revision)
 
 
 async def test_request_with_dropped_body_is_never_forwarded() -> None:
@@ -107,7 +107,7 @@
         assert buffered_body_bytes(instance) == len(BODY)
         await add_new_route(fleet)
         reply = await caller.receive()
-        assert (reply.status, reply.whole) == (200, True)
+        assert (reply.status, reply.is_complete) == (200, True)
         assert [call.body for call in worker.arrivals] == [BODY]
         await trio.sleep(0.05)
         assert buffered_body_bytes(instance) == 0
@@ -160,7 +160,7 @@
         assert "authorization" not in worker.arrivals[0].headers
 
 
-async def test_unknown_key_is_not_denied_with_outdated_table() -> None:
+async def test_unknown_key_gets_no_final_refusal_from_outdated_table() -> None:
     async with open_fleet() as fleet:
         fleet.organisations = organisations("k-old")
         await start(fleet, Worker("plain"))
@@ -177,11 +177,11 @@
     async with open_fleet() as fleet:
         await start(fleet, Worker("plain"))
         report_newer_table(fleet.instances[0])
-        for deadline_ms, least_ms, most_ms in ((400, 100, 150), (60_000, 500, 600)):
+        for deadline_ms, min_ms, max_ms in ((400, 100, 150), (60_000, 500, 600)):
             headers = {"Deadline-Milliseconds": str(deadline_ms)}
             reply = await fleet.caller().ask("/new/x", headers=headers)
             assert reply.status == 503
-            assert least_ms <= wait_lines[-1]["waited_ms"] <= most_ms
+            assert min_ms <= wait_lines[-1]["waited_ms"] <= max_ms
             assert wait_lines[-1]["outcome"] == "not_ready"
 
 
@@ -209,15 +209,15 @@
         waiting = fleet.caller()
         await waiting.send("/new/x", "PUT", body=BODY)
         await trio.sleep(0.1)
-        fleet.stops[0].set()
+        fleet.stop_events[0].set()
         with trio.fail_after(0.1):
             reply = await waiting.receive()
-        assert (reply.status, reply.whole) == (503, True)
+        assert (reply.status, reply.is_complete) == (503, True)
         assert b'"stopping"' in reply.body
         assert [line["outcome"] for line in wait_lines] == ["stopping"]
 
 
-async def test_newest_table_without_route_denies_waiting_request(
+async def test_newest_table_without_route_refuses_waiting_request_finally(
     wait_lines: list[dict[str, Any]],
 ) -> None:
     async with open_fleet() as fleet:
@@ -232,7 +232,7 @@
         assert [line["outcome"] for line in wait_lines] == ["not_found"]
 
 
-async def test_current_table_denies_without_wait(wait_lines: list[dict[str, Any]]) -> None:
+async def test_current_table_refuses_finally_without_wait(wait_lines: list[dict[str, Any]]) -> None:
     async with open_fleet() as fleet:
         fleet.organisations = organisations("k-old")
         await start(fleet, Worker("plain"))
@@ -270,7 +270,7 @@
     async with open_fleet() as fleet:
         fleet.organisations = organisations("k-new")
         decode = Worker("model", "decode")
-        decode.events, decode.event_s = 24, 0.05
+        decode.events, decode.event_interval_s = 24, 0.05
         await start(fleet, Worker("model", "prefill"), decode)
         fleet.configure({"slots": 1})
         await trio.sleep(0.3)
@@ -279,7 +279,9 @@
         await running.send("/stream/x", "POST", headers=long_deadline)
         await trio.sleep(0.3)
         await waiting.send("/stream/y", "POST", headers=long_deadline)
-        await fleet.until(lambda: fleet.instances[0].service.decode_admission.waiting_count == 1)
+        await fleet.wait_until(
+            lambda: fleet.instances[0].service.decode_admission.waiting_count == 1
+        )
         report_newer_table(fleet.instances[0])
         fleet.organisations = organisations("k-old")
         fleet.configure({"slots": 1})
@@ -288,13 +290,13 @@
 
 
 @pytest.mark.parametrize("mode", [StoreMode.BUSY, StoreMode.SILENT, StoreMode.RESET])
-async def test_no_final_denial_while_no_instance_reaches_service(mode: StoreMode) -> None:
-    """Guards against denying routes and keys added while the service was unreachable."""
+async def test_no_final_refusal_while_no_instance_reaches_service(mode: StoreMode) -> None:
+    """Guards against final refusals of routes and keys added while the service was unreachable."""
     async with open_fleet() as fleet:
         fleet.organisations = organisations("k-old")
         await start(fleet, Worker("plain"))
         fleet.start_instance()
-        await fleet.ready()
+        await fleet.wait_ready()
         fleet.store.mode = mode
         await trio.sleep(8.0)
         for number in (0, 1):
@@ -310,28 +312,28 @@
         assert (await fleet.caller(1).ask("/new/x")).status == 404
 
 
-async def test_no_final_denial_with_table_received_only_from_peer() -> None:
+async def test_no_final_refusal_with_table_received_only_from_peer() -> None:
     async with open_fleet() as fleet:
         await start(fleet, Worker("plain"))
         fleet.store.mode = StoreMode.RESET
         await trio.sleep(2.0)
         fleet.start_instance()
-        await fleet.until(lambda: fleet.instances[1].ready)
+        await fleet.wait_until(lambda: fleet.instances[1].ready)
         assert (await fleet.caller(1).ask("/safe/x")).status == 200
         assert (await fleet.caller(1).ask("/new/x")).status == 503
 
 
-async def test_peer_in_contact_with_service_allows_final_denial() -> None:
+async def test_peer_in_contact_with_service_allows_final_refusal() -> None:
     async with open_fleet() as fleet:
         await start(fleet, Worker("plain"))
         fleet.start_instance()
-        await fleet.ready()
-        fleet.turn_away(1)
+        await fleet.wait_ready()
+        fleet.refuse_store_access(1)
         await trio.sleep(8.0)
         assert (await fleet.caller(1).ask("/new/x")).status == 404
 
 
-async def test_final_denials_continue_across_long_polls() -> None:
+async def test_final_refusals_continue_across_long_polls() -> None:
     async with open_fleet() as fleet:
         await start(fleet, Worker("plain"))
         caller = fleet.caller()
--- a/cleatlink/relay/following/store_client_test.py
+++ b/cleatlink/relay/following/store_client_test.py
@@ -10,7 +10,7 @@
 from cleatlink.core.errors import PlatformError
 from cleatlink.relay.following.store_client import StoreClient
 from standins.relay import RawCall, RawServer
-from standins.relay.http import answer
+from standins.relay.raw_server import answer
 
 pytestmark = pytest.mark.virtual_time
 
@@ -64,8 +64,8 @@
     Each call for it failed after a second.
     """
     async with open_client(SlowStore(0.5, parts=12, pause_s=0.25)) as client:
-        found = await client.get("/", TIMEOUT_S)
-        assert found.body == BODY
+        store_answer = await client.get("/", TIMEOUT_S)
+        assert store_answer.body == BODY
 
 
 async def test_connection_is_reused_after_slow_body() -> None:
@@ -73,7 +73,7 @@
     async with open_client(store) as client:
         await client.get("/", TIMEOUT_S)
         await client.get("/", TIMEOUT_S)
-        assert store.connections == 1
+        assert store.accepted_connections == 1
 
 
 @pytest.mark.parametrize(
--- a/cleatlink/relay/newer_route_table_test.py
+++ b/cleatlink/relay/newer_route_table_test.py
@@ -16,9 +16,9 @@
 from cleatlink.relay.peers.messages import HeartbeatMessage, RegistrationUpdate, encode
 from cleatlink.relay.peers.snapshots import Snapshot
 from standins.relay import RawCall, RawServer, Worker
-from standins.relay.example import start
+from standins.relay.example_fleet import start
 from standins.relay.fleet import open_fleet
-from standins.relay.http import answer
+from standins.relay.raw_server import answer
 
 pytestmark = pytest.mark.virtual_time
 
@@ -29,9 +29,9 @@
     async with trio.open_nursery() as nursery, open_fleet() as fleet:
         await silent_peer.start(nursery)
         await start(fleet, Worker("plain"))
-        await fleet.until(lambda: fleet.store.watching)
+        await fleet.wait_until(lambda: fleet.store.open_watches)
         instance = fleet.instances[0]
-        fleet.store.forget_watches()
+        fleet.store.abandon_watches()
         version = fleet.configure()
         revision = fleet.store.revision
         instance._follower.apply_peer_update(
@@ -42,7 +42,7 @@
             await sender.sendto(
                 encode(make_heartbeat(silent_peer.address, version)), (host, int(port))
             )
-            await fleet.until(lambda: instance.records.table_revision == version, 2.0)
+            await fleet.wait_until(lambda: instance.records.table_revision == version, 2.0)
         silent_peer.close()
         nursery.cancel_scope.cancel()
 
@@ -104,13 +104,13 @@
             snapshots.append,
             lambda: None,
             lambda work: None,
-            lambda life: None,
+            lambda incarnation: None,
             lambda update: None,
         )
-        received = LivePeers("n2", [], trio.current_time())
-        received.record_heartbeat(make_heartbeat(peer.address, 9), trio.current_time())
+        live_peers = LivePeers("n2", [], trio.current_time())
+        live_peers.record_heartbeat(make_heartbeat(peer.address, 9), trio.current_time())
         catch_up = CatchUp(
-            "a", hooks, received, RelayMetrics(), random.Random(1), must_watch=lambda: False
+            "a", hooks, live_peers, RelayMetrics(), random.Random(1), must_watch=lambda: False
         )
         for _ in range(5):
             catch_up.handle_heartbeat(make_heartbeat(peer.address, 9), nursery.start_soon)
@@ -120,7 +120,7 @@
     assert [item.table.revision for item in snapshots if item.table is not None] == [9]
 
 
-async def test_unknown_route_is_not_denied_while_newer_table_is_missing() -> None:
+async def test_unknown_route_gets_no_final_refusal_while_newer_table_is_missing() -> None:
     """Guards against a 404 from a table that is known to be outdated."""
     async with open_fleet() as fleet:
         await start(fleet, Worker("plain"))
--- a/cleatlink/relay/peers/endpoint_notice_channel_test.py
+++ b/cleatlink/relay/peers/endpoint_notice_channel_test.py
@@ -1,4 +1,4 @@
-"""Tests that an endpoint's notice to one instance spares the others a rejection."""
+"""Tests that peers of an instance that gets an endpoint's notice avoid the endpoint as well."""
 
 import random
 
@@ -9,7 +9,7 @@
 from cleatlink.relay.peers.messages import EndpointNoticeUpdate, decode_datagram, encode
 from cleatlink.routing.notices import EndpointNotices, NoticeSource
 from standins.relay import Worker
-from standins.relay.example import start
+from standins.relay.example_fleet import start
 from standins.relay.fleet import Fleet, open_fleet
 
 pytestmark = pytest.mark.virtual_time
@@ -25,35 +25,37 @@
     """Start two instances that receive each other's heartbeats."""
     await start(fleet, *workers)
     fleet.start_instance()
-    await fleet.ready()
-    await fleet.until(lambda: all(item._peers.live_instances == 2 for item in fleet.instances))
+    await fleet.wait_ready()
+    await fleet.wait_until(lambda: all(item._peers.live_instances == 2 for item in fleet.instances))
 
 
 async def wait_until_reported(fleet: Fleet, worker: Worker) -> None:
     """Wait until the second instance knows that the endpoint asked the first to back off."""
     received = fleet.instances[1].capacity.notices
-    await fleet.until(lambda: received.is_in_peer_backoff(worker.name, trio.current_time()), 1.0)
+    await fleet.wait_until(
+        lambda: received.is_in_peer_backoff(worker.name, trio.current_time()), 1.0
+    )
 
 
 async def test_shutdown_notice_is_shared_at_once_and_no_more_calls_are_sent() -> None:
     async with open_fleet() as fleet:
         leaving = Worker("plain")
         await start_two_instances(fleet, leaving, Worker("plain"))
-        leaving.says_leaving = True
+        leaving.announces_leaving = True
         while not leaving.arrivals:
             await fleet.caller(0).ask("/safe/x")
         received = fleet.instances[1].capacity.notices
-        await fleet.until(lambda: received.is_leaving(leaving.name), 1.0)
+        await fleet.wait_until(lambda: received.is_leaving(leaving.name), 1.0)
         for _ in range(20):
             assert (await fleet.caller(1).ask("/safe/x")).status == 200
         assert len(leaving.arrivals) == 1
 
 
-async def test_back_off_asked_of_one_instance_diverts_calls_of_the_others() -> None:
+async def test_backoff_reported_to_one_instance_diverts_calls_of_its_peers() -> None:
     async with open_fleet() as fleet:
         backing_off = Worker("plain")
         await start_two_instances(fleet, backing_off, Worker("plain"))
-        backing_off.sheds, backing_off.asks_rest_s = True, 3.0
+        backing_off.rejects_work, backing_off.requested_backoff_s = True, 3.0
         while not backing_off.arrivals:
             await fleet.caller(0).ask("/safe/x")
         await wait_until_reported(fleet, backing_off)
@@ -62,14 +64,14 @@
         assert len(backing_off.arrivals) == 1
 
 
-async def test_reported_back_off_is_ignored_without_another_endpoint() -> None:
+async def test_peer_reported_backoff_is_ignored_without_another_endpoint() -> None:
     async with open_fleet() as fleet:
         worker = Worker("plain")
         await start_two_instances(fleet, worker)
-        worker.sheds, worker.asks_rest_s = True, 3.0
+        worker.rejects_work, worker.requested_backoff_s = True, 3.0
         assert (await fleet.caller(0).ask("/safe/x")).status == 503
         await wait_until_reported(fleet, worker)
-        worker.sheds = False
+        worker.rejects_work = False
         assert (await fleet.caller(0).ask("/safe/x")).status == 503
         assert (await fleet.caller(1).ask("/safe/x")).status == 200
 
@@ -78,12 +80,12 @@
     async with open_fleet() as fleet:
         leaving = Worker("plain")
         await start(fleet, leaving, Worker("plain"))
-        leaving.says_leaving = True
+        leaving.announces_leaving = True
         while not leaving.arrivals:
             await fleet.caller().ask("/safe/x")
         later = fleet.start_instance()
-        await fleet.ready()
-        await fleet.until(lambda: later.capacity.notices.is_leaving(leaving.name), 3.0)
+        await fleet.wait_ready()
+        await fleet.wait_until(lambda: later.capacity.notices.is_leaving(leaving.name), 3.0)
 
 
 async def test_lost_shutdown_notice_is_repeated() -> None:
@@ -97,7 +99,7 @@
     assert received.is_leaving("x")
 
 
-async def test_back_off_is_sent_once_for_many_answers() -> None:
+async def test_backoff_is_sent_once_for_many_answers() -> None:
     sender, recorded = open_channel()
     messages = 0
     for _ in range(20):
@@ -108,7 +110,7 @@
     assert messages == 1
 
 
-async def test_end_of_a_reported_back_off_is_randomised() -> None:
+async def test_end_of_a_peer_reported_backoff_is_randomised() -> None:
     ends = set()
     for seed in range(20):
         notices = EndpointNotices()
@@ -122,7 +124,7 @@
     assert ends == {True, False}
 
 
-async def test_back_off_reported_by_a_peer_is_not_sent_on() -> None:
+async def test_backoff_reported_by_a_peer_is_not_forwarded() -> None:
     receiver, notices = open_channel()
     receiver.record_notices(EndpointNoticeUpdate("n2", [], [("x", 3.0)]))
     notices.note_backoff("x", 3.0, trio.current_time())
--- a/cleatlink/relay/peers/peer_copy_test.py
+++ b/cleatlink/relay/peers/peer_copy_test.py
@@ -15,10 +15,10 @@
 from cleatlink.relay.peers.peer_copy import SnapshotPart, fetch_snapshot
 from cleatlink.relay.peers.snapshots import RegistrationRecord, Snapshot, decode_snapshot
 from standins.relay import RawCall, RawServer, Worker
-from standins.relay.client import Caller
-from standins.relay.example import start
+from standins.relay.example_fleet import start
 from standins.relay.fleet import Fleet, free_address, open_fleet
-from standins.relay.http import answer
+from standins.relay.raw_client import Caller
+from standins.relay.raw_server import answer
 
 pytestmark = pytest.mark.virtual_time
 
@@ -40,12 +40,12 @@
         self._head = head + end
         self._parts = parts
         self._pause_s = pause_s
-        self._head_s = head_delay_s
+        self._head_delay_s = head_delay_s
 
     async def serve(self, call: RawCall, stream: trio.SocketStream) -> bool:
         """Send the response in parts."""
         self.requests.append(call)
-        await trio.sleep(self._head_s)
+        await trio.sleep(self._head_delay_s)
         await stream.send_all(self._head)
         size = max(1, -(-len(self._body) // self._parts))
         for begin in range(0, len(self._body), size):
@@ -69,7 +69,7 @@
 async def fleet_of_one() -> AsyncIterator[Fleet]:
     async with open_fleet() as fleet:
         await start(fleet, Worker("plain"))
-        await fleet.ready()
+        await fleet.wait_ready()
         yield fleet
 
 
--- a/cleatlink/request/idempotency_keys.py
+++ b/cleatlink/request/idempotency_keys.py
@@ -108,12 +108,12 @@
             The state of the key; ``GRANTED`` to at most one caller for each key,
             unless the call certainly did not run.
         """
-        self._expire(now)
+        self._remove_expired(now)
         entry = self._entries.get(key)
         if entry is not None:
             return self._compare_entry(entry, fingerprint)
         created_at = parse_key_time(key)
-        if created_at is None or not self._is_ours(created_at, owner_since, now):
+        if created_at is None or not self._is_grantable(created_at, owner_since, now):
             return ClaimResult(ClaimState.UNKNOWN)
         if len(self._entries) >= self._max_keys:
             return ClaimResult(ClaimState.FULL)
@@ -139,12 +139,12 @@
         return ClaimResult(ClaimState.DONE, entry.answer)
 
     @staticmethod
-    def _is_ours(created_at: float, owner_since: float, now: float) -> bool:
+    def _is_grantable(created_at: float, owner_since: float, now: float) -> bool:
         """Check that no other instance can have granted a key created at a given time."""
         is_recent = now - KEY_LIFETIME_S + MAX_CLOCK_SKEW_S < created_at < now + MAX_CLOCK_SKEW_S
         return is_recent and created_at - MAX_CLOCK_SKEW_S > owner_since
 
-    def _expire(self, now: float) -> None:
+    def _remove_expired(self, now: float) -> None:
         """Remove expired keys; the entries are ordered by the time of their grant."""
         expired = []
         for key, entry in self._entries.items():
--- a/cleatlink/routing/endpoint_limits_test.py
+++ b/cleatlink/routing/endpoint_limits_test.py
@@ -18,7 +18,7 @@
 
 def limits_with(rate_per_s: float = 2.0, now: float = 0.0) -> EndpointLimits:
     limits = EndpointLimits(0.0)
-    limits.note_answer(INCARNATION, rate_per_s, now)
+    limits.note_response(INCARNATION, rate_per_s, now)
     return limits
 
 
@@ -69,7 +69,7 @@
 
 def test_callback_runs_for_each_unit_taken_or_returned() -> None:
     limits, changes = limits_with(2.0), []
-    limits.set_change_callback(lambda: changes.append(True))
+    limits.set_unit_listener(lambda: changes.append(True))
     limits.reserve("a", INCARNATION, 10.0)
     limits.cancel_reservation("a", 10.0)
     limits.count_sent_call(INCARNATION, 10.0)
@@ -79,9 +79,9 @@
 def test_limit_ends_with_an_answer_that_does_not_announce_it() -> None:
     limits = limits_with(2.0, now=10.0)
     # The answer may be older than the announcement: answers can arrive out of order.
-    assert not limits.note_answer(INCARNATION, None, 10.2)
+    assert not limits.note_response(INCARNATION, None, 10.2)
     assert limits.rate_per_s(INCARNATION) == 2.0
-    assert limits.note_answer(INCARNATION, None, 10.7)
+    assert limits.note_response(INCARNATION, None, 10.7)
     assert limits.rate_per_s(INCARNATION) is None
     assert limits.due_in_s(INCARNATION, 10.7) == 0.0
 
@@ -89,8 +89,8 @@
 def test_limit_announced_again_starts_empty_and_totals_never_decrease() -> None:
     limits = limits_with(2.0)
     limits.count_sent_call(INCARNATION, 10.0)
-    limits.note_answer(INCARNATION, None, 11.0)
-    limits.note_answer(INCARNATION, 2.0, 20.0)
+    limits.note_response(INCARNATION, None, 11.0)
+    limits.note_response(INCARNATION, 2.0, 20.0)
     assert limits.level(INCARNATION, 20.0) == 0.0
     limits.count_sent_call(INCARNATION, 21.0)
     assert limits.totals(21.0) == {INCARNATION: 2}
@@ -99,7 +99,7 @@
 def test_changing_the_limit_up_and_down_adds_no_units() -> None:
     limits = limits_with(2.0, now=10.0)
     for step in range(10):
-        limits.note_answer(INCARNATION, 200.0 if step % 2 else 2.0, 10.0)
+        limits.note_response(INCARNATION, 200.0 if step % 2 else 2.0, 10.0)
     assert limits.level(INCARNATION, 10.0) == 0.0
 
 
@@ -117,7 +117,8 @@
     limits.note_peer_announcement(AnnouncedLimit("i-2", 3.0, 1.0), 10.0)
     assert limits.announcements(10.5, 10) == [AnnouncedLimit(INCARNATION, 2.0, 0.5)]
     assert {
-        report.incarnation for report in limits.announcements(10.5, 10, include_from_peers=True)
+        announced.incarnation
+        for announced in limits.announcements(10.5, 10, include_from_peers=True)
     } == {
         INCARNATION,
         "i-2",
@@ -200,7 +201,7 @@
         def mark_changed() -> None:
             self.has_changes[number] = True
 
-        self.instances[number].set_change_callback(mark_changed)
+        self.instances[number].set_unit_listener(mark_changed)
 
     def announced_rate(self, now: float) -> float:
         """Return the limit that the endpoint announces."""
@@ -212,16 +213,16 @@
         sides = one < self.count / 2, other < self.count / 2
         return self.scenario.is_partitioned and 8 <= now < 14 and sides[0] != sides[1]
 
-    def report(self, number: int, now: float, *, whole: bool = False) -> None:
+    def report(self, number: int, now: float, *, include_unchanged: bool = False) -> None:
         """Send the report of an instance to all others."""
         limits = self.instances[number]
         totals = PeerTotals(
             str(number),
             self.incarnations[number],
-            limits.totals(now, include_unchanged=whole),
+            limits.totals(now, include_unchanged=include_unchanged),
             limits.used_name_count,
             now - self.started_at[number],
-            limits.returned(now, include_unchanged=whole),
+            limits.returned(now, include_unchanged=include_unchanged),
         )
         for other in range(self.count):
             if other == number or self.is_unreachable(number, other, now):
@@ -257,7 +258,7 @@
         self.report(number, now)
         for other in range(self.count):
             if other != number:
-                self.report(other, now, whole=True)
+                self.report(other, now, include_unchanged=True)
 
     def deliver(self, now: float) -> None:
         """Deliver datagrams that are due, and update the share of reachable instances."""
@@ -267,7 +268,7 @@
             self.received_at[receiver][sender] = now
             for report in reports:
                 self.instances[receiver].note_peer_announcement(report, now)
-            self.instances[receiver].take_totals(totals, now)
+            self.instances[receiver].record_peer_totals(totals, now)
         if int(now / self.TICK_S) % 20 == 0:
             for number, limits in enumerate(self.instances):
                 reachable = sum(now - at <= 1.6 for at in self.received_at[number])
@@ -282,7 +283,7 @@
         for _, number in due:
             self.instances[number].count_sent_call(INCARNATION, now)
             self.sent_at.append(now)
-            self.instances[number].note_answer(INCARNATION, self.announced_rate(now), now)
+            self.instances[number].note_response(INCARNATION, self.announced_rate(now), now)
 
     def add_calls(self, now: float) -> None:
         """Add new calls; calls that would wait too long go to another endpoint instead."""
--- a/cleatlink/routing/forecast_test.py
+++ b/cleatlink/routing/forecast_test.py
@@ -27,8 +27,8 @@
 def test_stream_gets_the_endpoint_that_first_frees_enough_memory() -> None:
     capacity = capacity_of("x", "y")
     capacity.reserve("1", Reservation("x", Role.DECODE, 700, 5.0))
-    capacity.peer_reserve("p", "2", Reservation("y", Role.DECODE, 400, 3.0))
-    capacity.peer_reserve("p", "3", Reservation("y", Role.DECODE, 400, 7.0))
+    capacity.add_peer_reservation("p", "2", Reservation("y", Role.DECODE, 400, 3.0))
+    capacity.add_peer_reservation("p", "3", Reservation("y", Role.DECODE, 400, 7.0))
     assert wait_s(capacity, 300) == 0.0
     # The first stream to end frees too little memory for this one, the second frees enough.
     assert wait_s(capacity, 600) == 2.0
@@ -57,8 +57,8 @@
     capacity.reserve("1/p", Reservation("x", Role.PREFILL, 100, 1.5, 0.5))
     forecast = CapacityForecast("s", TRAITS, capacity, 1.0)
     assert forecast.wait_s(StreamDemand(100, 10.0)) == 0.0
-    direct = StreamDemand(100, 10.0, prompt_s=0.2)
-    assert forecast.wait_s(direct, [direct]) == pytest.approx(0.7)
+    prompt_on_decode = StreamDemand(100, 10.0, prompt_s=0.2)
+    assert forecast.wait_s(prompt_on_decode, [prompt_on_decode]) == pytest.approx(0.7)
 
 
 def test_overdue_streams_are_expected_to_continue_for_a_while() -> None:
--- a/cleatlink/routing/notices.py
+++ b/cleatlink/routing/notices.py
@@ -13,7 +13,7 @@
 
 # How long a leaving notice is kept after its last report, in seconds: many times as long as a
 # leaving endpoint still serves, and as a copy of the registrations can lag behind.
-_LEAVING_KEPT_S = 600.0
+_LEAVING_RETENTION_S = 600.0
 # Number of calls that may be in progress at an endpoint right after a back-off. It is doubled with
 # each answer, and the limit ends beyond _MAX_TRIAL_CALLS, the number of connections that are kept
 # open. Without the limit all callers would call at once and be refused again.
@@ -46,11 +46,11 @@
 class _Backoff:
     """A back-off of an endpoint, and the limited calls after it."""
 
-    __slots__ = ("allowed", "calls", "until")
+    __slots__ = ("calls", "max_calls", "until")
 
     def __init__(self, until: float) -> None:
         self.until = until
-        self.allowed = _MIN_TRIAL_CALLS
+        self.max_calls = _MIN_TRIAL_CALLS
         self.calls: set[str] = set()
 
 
@@ -84,7 +84,7 @@
         if known is None:
             known = self._backoffs[incarnation] = _Backoff(now)
         known.until = max(known.until, now + backoff_s)
-        known.allowed = _MIN_TRIAL_CALLS
+        known.max_calls = _MIN_TRIAL_CALLS
         return begins
 
     def newest_leaving(self, limit: int) -> list[str]:
@@ -130,7 +130,7 @@
     def may_begin_call(self, incarnation: str, now: float) -> bool:
         """Check whether an endpoint may get another call: none in its back-off, few after it."""
         backoff = self._backoffs.get(incarnation)
-        return backoff is None or (now >= backoff.until and len(backoff.calls) < backoff.allowed)
+        return backoff is None or (now >= backoff.until and len(backoff.calls) < backoff.max_calls)
 
     def begin_work(self, incarnation: str, key: str) -> None:
         """Record that work begins at an endpoint."""
@@ -149,8 +149,8 @@
         backoff = self._backoffs.get(incarnation)
         if backoff is None or now < backoff.until:
             return
-        backoff.allowed *= 2
-        if backoff.allowed > _MAX_TRIAL_CALLS:
+        backoff.max_calls *= 2
+        if backoff.max_calls > _MAX_TRIAL_CALLS:
             del self._backoffs[incarnation]
 
     def drop_old(self, now: float) -> None:
@@ -158,7 +158,7 @@
         self._leaving = {
             incarnation: leaving
             for incarnation, leaving in self._leaving.items()
-            if now - leaving.reported_at < _LEAVING_KEPT_S
+            if now - leaving.reported_at < _LEAVING_RETENTION_S
         }
         self._backoffs = {
             incarnation: backoff
--- a/cleatlink/routing/rejection_bounds_test.py
+++ b/cleatlink/routing/rejection_bounds_test.py
@@ -46,7 +46,9 @@
     def count_attempts(without: frozenset[Mechanism]) -> int:
         instances = [capacity_with("e1", without=without) for _ in range(82)]
         for instance in instances:
-            instance.peer_reserve("p", "k", Reservation("e1", Role.DECODE, 20_000, 9.0, 9.0))
+            instance.add_peer_reservation(
+                "p", "k", Reservation("e1", Role.DECODE, 20_000, 9.0, 9.0)
+            )
         count = 0
         for step in range(82):
             now = 1.0 + step * 0.01
@@ -58,19 +60,19 @@
                     )
         return count
 
-    assert count_attempts(frozenset({Mechanism.SHED_LIMITS})) == 82
+    assert count_attempts(frozenset({Mechanism.REJECTION_BOUNDS})) == 82
     assert count_attempts(frozenset()) == 1
 
 
 def test_engine_is_tried_again_after_work_ends_or_the_bound_expires() -> None:
     capacity = capacity_with("e1")
     for key in ("k1", "k2", "k3"):
-        capacity.peer_reserve("p", key, Reservation("e1", Role.DECODE, 4_200, 9.0, 9.0))
+        capacity.add_peer_reservation("p", key, Reservation("e1", Role.DECODE, 4_200, 9.0, 9.0))
     capacity.note_memory_refusal("e1", 4_200, 1.0)
     assert place(capacity, 1.1) is None
-    capacity.peer_release("p", "k1")
+    capacity.remove_peer_reservation("p", "k1")
     assert place(capacity, 1.1) is not None
-    capacity.peer_reserve("p", "k1", Reservation("e1", Role.DECODE, 4_200, 9.0, 9.0))
+    capacity.add_peer_reservation("p", "k1", Reservation("e1", Role.DECODE, 4_200, 9.0, 9.0))
     assert place(capacity, 1.1) is None
     assert place(capacity, 2.1) is not None
 
@@ -78,7 +80,7 @@
 def test_rejection_does_not_block_other_engines_or_smaller_streams() -> None:
     capacity = capacity_with("e1", "e2")
     for name in ("e1", "e2"):
-        capacity.peer_reserve("p", name, Reservation(name, Role.DECODE, 4_200, 9.0, 9.0))
+        capacity.add_peer_reservation("p", name, Reservation(name, Role.DECODE, 4_200, 9.0, 9.0))
     capacity.note_memory_refusal("e1", 4_200, 1.0)
     chosen = place(capacity, 1.1)
     assert chosen is not None
@@ -94,7 +96,7 @@
 
 def test_accepted_stream_that_reaches_the_bound_removes_it() -> None:
     capacity = capacity_with("e1")
-    capacity.peer_reserve("p", "k", Reservation("e1", Role.DECODE, 4_200, 9.0, 9.0))
+    capacity.add_peer_reservation("p", "k", Reservation("e1", Role.DECODE, 4_200, 9.0, 9.0))
     capacity.note_memory_refusal("e1", 4_200, 1.0)
     assert place(capacity, 1.1) is None
     capacity.reserve("k", Reservation("e1", Role.DECODE, 4_200, 9.0, 9.0))
@@ -108,12 +110,12 @@
     )
 )
 def test_bound_lasts_one_second_and_is_at_most_the_rejected_size(
-    refusals: list[tuple[int, int, float]],
+    rejections: list[tuple[int, int, float]],
 ) -> None:
-    limits = RejectionBounds()
+    bounds = RejectionBounds()
     now = 0.0
-    for held, tokens, pause_s in refusals:
+    for held, tokens, pause_s in rejections:
         now += pause_s
-        limits.note_rejected("e", held, tokens, now)
-        assert limits.bound_tokens("e", now) <= held + tokens
-    assert limits.bound_tokens("e", now + 1.0) > 40_000 + 10_000
+        bounds.note_rejected("e", held, tokens, now)
+        assert bounds.bound_tokens("e", now) <= held + tokens
+    assert bounds.bound_tokens("e", now + 1.0) > 40_000 + 10_000
--- /dev/null
+++ b/soak/fault_schedule.py
@@ -0,0 +1,211 @@
+"""The schedule of the faults in a run, generated from a seed alone."""
+
+import random
+from enum import StrEnum
+from typing import NamedTuple
+
+__all__ = [
+    "CLOCK_KINDS",
+    "CRASH_KINDS",
+    "MIXED_BUILD_KINDS",
+    "MOVING_CLOCK_KINDS",
+    "NOTICE_KINDS",
+    "ORGANISATION_KINDS",
+    "RESTORE_KINDS",
+    "STOP_KINDS",
+    "WORKER_LIMIT_KINDS",
+    "FaultKind",
+    "PlannedFault",
+    "plan_faults",
+]
+
+# Seconds without faults at the start of the traffic.
+_FIRST_FAULT_AT_S = 2.0
+_MIN_DURATION_S = 0.3
+# No fault starts later than this before the end of the traffic.
+_MAX_DURATION_S = 3.0
+# Probability that a fault is repeated, as a series.
+_SERIES_PROBABILITY = 0.3
+
+
+class FaultKind(StrEnum):
+    """Kinds of faults; the values describe the faults in the output of a failed run."""
+
+    INSTANCE_STOP = "an instance is stopped gracefully and restarted"
+    INSTANCE_SIGNALS = "an instance is stopped gracefully and gets more signals until it exits"
+    INSTANCE_ROLL = "all instances are stopped gracefully in turn, with overlapping stops"
+    INSTANCE_KILL = "an instance is killed and restarted"
+    INSTANCE_PAUSE = "an instance is paused"
+    INSTANCE_SUSPEND = "an instance's machine is suspended while its clock continues"
+    INSTANCE_CLOCK = "an instance's wall clock jumps forward or back, and returns later"
+    INSTANCE_RELOAD = "an instance reloads changed or invalid settings"
+    STORE_LINK_DELAY = "an instance's link to the store delays data"
+    STORE_LINK_RESET = "an instance's link to the store closes connections"
+    STORE_LINK_SILENCE = "an instance's link to the store carries no data"
+    STORE_LINK_ONE_WAY = "an instance's link to the store carries no responses"
+    STORE_BUSY = "the store rejects all requests"
+    STORE_SILENT = "the store does not respond"
+    STORE_RESET = "the store closes its connections"
+    STORE_FORGETS = "the store discards its change history"
+    STORE_OLD_READ = "the store returns an older configuration for a while"
+    STORE_LOSES = "the store drops its pending watches"
+    WORKER_LINK_DELAY = "a worker's link delays data"
+    WORKER_LINK_RESET = "a worker's link closes connections"
+    WORKER_LINK_SILENCE = "a worker's link carries no data"
+    WORKER_LINK_ONE_WAY = "a worker's link carries no responses"
+    WORKER_FAULTS = "a worker fails or sends a wrong response a few times"
+    WORKER_CRASH = "a worker crashes and another one starts at its address"
+    WORKER_DRAIN = "a worker is replaced, and drains before it exits"
+    CONFIGURATION = "a route moves to another service"
+    KEY = "an API key is replaced by another one while connections are open"
+    LIMIT = "the rate limit of an organisation changes"
+    WORKER_WORD = "a worker announces its shutdown in response headers only"
+    WORKER_REST = "a worker rejects all requests and requests a backoff"
+    WORKER_LIMIT = "a worker announces its rate limit over all instances"
+    STORE_RESTORE = "the store is unavailable and is then restored from a copy that is seconds old"
+    UPGRADE = "all instances are replaced in turn by instances of the other build version"
+    CRASHING_REQUEST = "a request that crashes every worker that runs it is sent repeatedly"
+
+
+# Planned operations only; none of them may interrupt a request.
+STOP_KINDS = (
+    FaultKind.INSTANCE_STOP,
+    FaultKind.INSTANCE_ROLL,
+    FaultKind.INSTANCE_SIGNALS,
+    FaultKind.INSTANCE_RELOAD,
+    FaultKind.CONFIGURATION,
+)
+
+# Kinds that need a run with organisations.
+ORGANISATION_KINDS = (FaultKind.KEY, FaultKind.LIMIT)
+
+# Notices that workers send in response headers.
+NOTICE_KINDS = (FaultKind.WORKER_WORD, FaultKind.WORKER_REST)
+# These notices, combined with an unavailable or restored store and with instances that are stopped,
+# killed and paused.
+RESTORE_KINDS = (
+    *NOTICE_KINDS,
+    FaultKind.STORE_RESTORE,
+    FaultKind.STORE_SILENT,
+    FaultKind.WORKER_DRAIN,
+    FaultKind.WORKER_CRASH,
+    FaultKind.CONFIGURATION,
+    FaultKind.KEY,
+    FaultKind.INSTANCE_STOP,
+    FaultKind.INSTANCE_KILL,
+    FaultKind.INSTANCE_PAUSE,
+)
+# Rate limits that workers announce, combined with instances that are stopped, killed, paused and
+# disconnected from the store.
+WORKER_LIMIT_KINDS = (
+    FaultKind.WORKER_LIMIT,
+    FaultKind.WORKER_FAULTS,
+    FaultKind.WORKER_REST,
+    FaultKind.WORKER_DRAIN,
+    FaultKind.STORE_SILENT,
+    FaultKind.CONFIGURATION,
+    FaultKind.INSTANCE_STOP,
+    FaultKind.INSTANCE_KILL,
+    FaultKind.INSTANCE_PAUSE,
+    FaultKind.INSTANCE_RELOAD,
+)
+CLOCK_KINDS = (FaultKind.INSTANCE_SUSPEND, FaultKind.INSTANCE_CLOCK)
+# Clock changes, combined with instances that lead and are stopped, killed, paused and disconnected
+# from the store.
+MOVING_CLOCK_KINDS = (
+    *CLOCK_KINDS,
+    FaultKind.INSTANCE_STOP,
+    FaultKind.INSTANCE_KILL,
+    FaultKind.INSTANCE_PAUSE,
+    FaultKind.INSTANCE_RELOAD,
+    FaultKind.STORE_LINK_SILENCE,
+    FaultKind.WORKER_LIMIT,
+    FaultKind.WORKER_REST,
+    FaultKind.WORKER_DRAIN,
+    FaultKind.WORKER_FAULTS,
+    FaultKind.CONFIGURATION,
+)
+# Faults for runs in which instances run two different builds of the program.
+MIXED_BUILD_KINDS = (
+    FaultKind.INSTANCE_KILL,
+    FaultKind.INSTANCE_PAUSE,
+    FaultKind.STORE_SILENT,
+    FaultKind.STORE_LINK_SILENCE,
+    FaultKind.STORE_FORGETS,
+    FaultKind.WORKER_DRAIN,
+    FaultKind.WORKER_CRASH,
+    FaultKind.WORKER_FAULTS,
+    FaultKind.CONFIGURATION,
+    FaultKind.KEY,
+    FaultKind.LIMIT,
+    FaultKind.CRASHING_REQUEST,
+)
+
+# Requests that crash workers, combined with instances that are killed, paused, stopped and
+# disconnected from the store.
+CRASH_KINDS = (
+    FaultKind.CRASHING_REQUEST,
+    FaultKind.INSTANCE_KILL,
+    FaultKind.INSTANCE_PAUSE,
+    FaultKind.INSTANCE_STOP,
+    FaultKind.STORE_LINK_SILENCE,
+)
+# Kinds that a run has to name. Adding one to the default kinds would change the schedules of the
+# recorded seeds.
+_OPT_IN_KINDS = (
+    *ORGANISATION_KINDS,
+    *NOTICE_KINDS,
+    *CLOCK_KINDS,
+    FaultKind.WORKER_LIMIT,
+    FaultKind.STORE_RESTORE,
+    FaultKind.UPGRADE,
+    FaultKind.CRASHING_REQUEST,
+)
+_DEFAULT_KINDS = tuple(kind for kind in FaultKind if kind not in _OPT_IN_KINDS)
+
+
+class PlannedFault(NamedTuple):
+    """One scheduled fault.
+
+    Attributes:
+        at_s: Start time, in seconds from the start of the traffic.
+        duration_s: Duration in seconds, for the kinds that have one.
+        kind: Kind of the fault.
+        target: Number that selects the target among those present at the start time, modulo
+            their count.
+    """
+
+    at_s: float
+    duration_s: float
+    kind: FaultKind
+    target: int
+
+
+def plan_faults(
+    seed: int, traffic_s: float, faults_per_s: float, kinds: tuple[FaultKind, ...] = ()
+) -> list[PlannedFault]:
+    """Generate the faults of a run, in the order of their start times.
+
+    Args:
+        seed: Seed of the random generator.
+        traffic_s: Duration of the traffic in seconds.
+        faults_per_s: Average number of faults per second; faults overlap, and some are repeated
+            as a series.
+        kinds: Kinds to choose from; if empty, the default kinds.
+    """
+    rng = random.Random(seed)
+    faults: list[PlannedFault] = []
+    at_s = _FIRST_FAULT_AT_S
+    kinds = kinds or _DEFAULT_KINDS
+    last_start_s = traffic_s - _MAX_DURATION_S
+    while at_s < last_start_s:
+        kind = rng.choice(kinds)
+        target = rng.randrange(1000)
+        series_length = 3 if rng.random() < _SERIES_PROBABILITY else 1
+        for number in range(series_length):
+            duration_s = rng.uniform(_MIN_DURATION_S, _MAX_DURATION_S)
+            start_s = at_s + 0.6 * number
+            if start_s < last_start_s:
+                faults.append(PlannedFault(start_s, duration_s, kind, target + number))
+        at_s += rng.expovariate(faults_per_s / 1.6)
+    return sorted(faults)
--- a/standins/relay/__init__.py
+++ b/standins/relay/__init__.py
@@ -1,6 +1,6 @@
-"""Stand-ins of what the relay meets: a configuration store, engines, plain services."""
+"""Simulated servers for tests of the relay: a configuration store, engines, plain services."""
 
-from standins.relay.http import RawCall, RawServer
+from standins.relay.raw_server import RawCall, RawServer
 from standins.relay.store import Store, StoreMode
 from standins.relay.worker import Fault, Run, Worker
 
