--- a/cleatlink/analysis/__init__.py
+++ b/cleatlink/analysis/__init__.py
@@ -1,4 +1,4 @@
-"""Analyzes the relay's logs: what became of requests, and which were lost and why."""
+"""Analyzes the relay's logs: the outcomes of requests, and the causes of losses."""
 
 from cleatlink.analysis.log_reader import LogLine, LogReader
 from cleatlink.analysis.report import Report, render_html, render_text
--- a/cleatlink/analysis/outcomes.py
+++ b/cleatlink/analysis/outcomes.py
@@ -32,10 +32,10 @@
     """The requests of a route that arrived within one second.
 
     Attributes:
-        second: The second.
+        second: Start of the second, as a time in seconds.
         route: Name of the route.
         counts: Number of requests by outcome.
-        retries: Number of sends beyond the first of each request.
+        retries: Number of retries of these requests.
     """
 
     second: int
@@ -77,7 +77,8 @@
         """Start without any requests.
 
         Args:
-            on_end: Called with the final line of a request and its outcome.
+            on_end: Called with the final line of a request and its outcome; not called for requests
+                that count as UNKNOWN.
         """
         self._on_end = on_end or (lambda line, outcome: None)
         self._pending: dict[str, _PendingRequest] = {}
--- a/cleatlink/analysis/report.py
+++ b/cleatlink/analysis/report.py
@@ -97,7 +97,7 @@
 
 
 def _request_table(rows: Iterable[RouteSecond]) -> Table:
-    shown = [
+    table_rows = [
         (
             str(row.second),
             row.route,
@@ -107,11 +107,11 @@
         for row in rows
     ]
     header = ("second", "route", *(outcome.value for outcome in Outcome), "retries")
-    return Table("Requests by second of arrival and route", header, shown)
+    return Table("Requests by second of arrival and route", header, table_rows)
 
 
 def _organisation_table(rows: Iterable[OrganisationRow]) -> Table:
-    shown = [
+    table_rows = [
         (
             row.organisation,
             row.data_centre,
@@ -131,11 +131,11 @@
         "over its limit",
         "limit per second",
     )
-    return Table("Organisations", header, shown)
+    return Table("Organisations", header, table_rows)
 
 
 def _suspect_table(rows: Iterable[SuspectRow]) -> Table:
-    shown = [
+    table_rows = [
         (
             row.identity,
             str(row.endpoint_count),
@@ -151,7 +151,9 @@
     ]
     header = ("request identity", "crashed endpoints", "first", "last", "quarantined at")
     return Table(
-        "Requests in progress at crashes", (*header, "refused attempts", "tries", "cleared"), shown
+        "Requests in progress at crashes",
+        (*header, "refused attempts", "tries", "cleared"),
+        table_rows,
     )
 
 
@@ -195,7 +197,7 @@
 def render_text(tables: Sequence[Table]) -> str:
     """Render tables as text, without the empty ones.
 
-    Long tables are cut; their last line says how many rows are missing.
+    Long tables are truncated; their last line states the number of omitted rows.
     """
     return "\n\n".join(_render_table(table) for table in tables if table.rows) + "\n"
 
--- a/cleatlink/analysis/report_test.py
+++ b/cleatlink/analysis/report_test.py
@@ -131,12 +131,12 @@
     ]  # fmt: skip
     file, page = tmp_path / "n1.log", tmp_path / "page.html"
     file.write_text("".join(json.dumps(row) + "\n" for row in rows) + "not a line\n")
-    ran = CliRunner().invoke(main, ["analyze", str(file), "--html", str(page)])
-    assert ran.exit_code == 0, ran.output
-    assert "4 lines read, 1 unreadable" in ran.output
-    assert "end unknown" in ran.output
+    result = CliRunner().invoke(main, ["analyze", str(file), "--html", str(page)])
+    assert result.exit_code == 0, result.output
+    assert "4 lines read, 1 unreadable" in result.output
+    assert "end unknown" in result.output
     # The role change was planned at 4.0 s, and the engine first served as a decode at 5.2 s.
-    assert [line for line in ran.output.splitlines() if line.startswith("e1") and "1.2" in line]
+    assert [line for line in result.output.splitlines() if line.startswith("e1") and "1.2" in line]
     text = page.read_text()
     assert "e&lt;1&gt;" in text
     assert "e<1>" not in text
@@ -164,8 +164,8 @@
     ]  # fmt: skip
     file, picture = tmp_path / "n1.log", tmp_path / "outcomes.png"
     file.write_text("".join(json.dumps(row) + "\n" for row in rows))
-    ran = CliRunner().invoke(main, ["analyze", str(file), "--plot", str(picture)])
-    assert ran.exit_code == 0, ran.output
+    result = CliRunner().invoke(main, ["analyze", str(file), "--plot", str(picture)])
+    assert result.exit_code == 0, result.output
     assert picture.read_bytes().startswith(b"\x89PNG")
 
 
