--- a/cleatlink/scripts/commands.py
+++ b/cleatlink/scripts/commands.py
@@ -153,10 +153,10 @@
 
 def _flatten(group: ExceptionGroup[ErrorT]) -> list[ErrorT]:
     """Return the errors in an exception group and in the groups that it contains."""
-    found: list[ErrorT] = []
+    errors: list[ErrorT] = []
     for error in group.exceptions:
-        found += _flatten(error) if isinstance(error, ExceptionGroup) else [error]
-    return found
+        errors += _flatten(error) if isinstance(error, ExceptionGroup) else [error]
+    return errors
 
 
 def _print_faults(file: Path, faults: list[str]) -> None:
--- a/cleatlink/scripts/process_exit.py
+++ b/cleatlink/scripts/process_exit.py
@@ -13,8 +13,8 @@
     flushed. Threads are not joined, exit handlers do not run, and the kernel frees the memory.
 
     Args:
-        code: The code of a ``SystemExit``. If it is a text, this function returns instead, so that
-            the interpreter prints the text.
+        code: The code of a ``SystemExit``. If it is a string, this function returns instead, so
+            that the interpreter prints it.
     """
     if isinstance(code, str):
         return
