--- a/cleatlink/serving/caller_app.py
+++ b/cleatlink/serving/caller_app.py
@@ -106,12 +106,12 @@
     """Tracks one request from its admission until its response is written."""
 
     def __init__(self) -> None:
-        self._leave: Callable[[], None] | None = None
+        self._end_request: Callable[[], None] | None = None
         self._driver: ModelRequestDriver | None = None
 
     def begin(self, components: CallerComponents) -> str:
         """Count the request as in progress, and return its name."""
-        self._leave = components.end_request
+        self._end_request = components.end_request
         return components.begin_request()
 
     def attach_driver(self, driver: ModelRequestDriver) -> None:
@@ -125,8 +125,8 @@
                 self._driver.close()
                 await self._driver.close_stream()
         finally:
-            if self._leave is not None:
-                self._leave()
+            if self._end_request is not None:
+                self._end_request()
 
 
 def _get_lifetime() -> _RequestLifetime:
@@ -233,7 +233,7 @@
     with eliot.start_action(action_type="request: model", request=name):
         responder = _ModelResponder(driver, classified, components, arrived_at)
         return await (
-            responder.stream_response() if classified.stream else responder.whole_response()
+            responder.stream_response() if classified.stream else responder.complete_response()
         )
 
 
@@ -266,7 +266,7 @@
         response.timeout = None
         return response
 
-    async def whole_response(self) -> Response:
+    async def complete_response(self) -> Response:
         """Respond with one JSON document when the answer is complete."""
         while True:
             output = await self._next_output()
--- a/cleatlink/serving/canceller.py
+++ b/cleatlink/serving/canceller.py
@@ -63,7 +63,7 @@
                 await trio.sleep(backoff_s)
                 backoff_s = min(_MAX_BACKOFF_S, 2 * backoff_s)
             self._metrics.count_cancel("given_up")
-            self._log.say(
+            self._log.log_message(
                 "endpoint did not acknowledge a cancellation, stops retrying",
                 address=address,
                 request=request,
--- a/cleatlink/serving/daemon.py
+++ b/cleatlink/serving/daemon.py
@@ -43,7 +43,7 @@
             app = entry.start(nursery)
             timeout_s = settings.caller_timeout_s
             callers = await serve_app(nursery, app, settings.listen, stopped.wait, timeout_s)
-            _LOG.say("listens.", callers=str(callers), peers=str(peers))
+            _LOG.log_message("listens.", callers=str(callers), peers=str(peers))
             on_listening(callers, peers)
             await _wait_for_signal(signals)
             await entry.stop()
--- a/cleatlink/serving/document_store.py
+++ b/cleatlink/serving/document_store.py
@@ -78,7 +78,9 @@
 
     def _offer_configuration(self, document: Document) -> bool:
         if not isinstance(document.value, str):
-            self._log.say("configuration is not a string, ignores it", revision=document.revision)
+            self._log.log_message(
+                "configuration is not a string, ignores it", revision=document.revision
+            )
             return False
         result = self._active_configuration.offer(
             PublishedConfiguration(document.revision, document.value)
@@ -86,18 +88,18 @@
         self._metrics.count_configuration_offer(result.value, self._active_configuration.revision)
         if result is OfferResult.INVALID:
             faults = [str(fault) for fault in self._active_configuration.faults[:10]]
-            self._log.say(
+            self._log.log_message(
                 "configuration is invalid, keeps the current one",
                 revision=document.revision,
                 faults=faults,
             )
         elif result is OfferResult.CONFLICT:
-            self._log.say(
+            self._log.log_message(
                 "configuration differs from the current one with the same revision, ignores it",
                 revision=document.revision,
             )
         elif result is OfferResult.ADOPTED and self._active_configuration.configuration is not None:
-            self._log.say("applied a configuration", revision=document.revision)
+            self._log.log_message("applied a configuration", revision=document.revision)
             self._on_configuration(self._active_configuration.configuration)
         return result is OfferResult.ADOPTED
 
@@ -107,7 +109,9 @@
         try:
             fleet = parse_fleet(document)
         except PlatformError as error:
-            self._log.say("instance list is invalid, keeps the current one", reason=str(error))
+            self._log.log_message(
+                "instance list is invalid, keeps the current one", reason=str(error)
+            )
             return False
         self._fleet_document = document
         self._on_fleet(fleet)
@@ -135,14 +139,14 @@
             if document is not None:
                 store.offer(kind, document)
             if backoff_s > _MIN_BACKOFF_S:
-                log.say("answers as expected again", document=kind.value)
+                log.log_message("answers as expected again", document=kind.value)
             # Backs off because a platform that immediately returns an old or empty document would
             # otherwise be polled without a pause.
             is_stale = document is not None and document.revision < store.get_revision(kind)
             backoff_s = _MAX_BACKOFF_S if is_stale else _MIN_BACKOFF_S
         except PlatformError as error:
             if backoff_s == _MIN_BACKOFF_S:
-                log.say(
+                log.log_message(
                     "failed to read a document, retries", document=kind.value, reason=str(error)
                 )
             backoff_s = min(_MAX_BACKOFF_S, 2 * backoff_s)
--- a/cleatlink/serving/endpoints.py
+++ b/cleatlink/serving/endpoints.py
@@ -97,7 +97,7 @@
     """One event of an engine's stream.
 
     Attributes:
-        attempt_id: Request and attempt that the event names as its own, ``request.attempt``.
+        attempt_id: Request and attempt that the event belongs to, as ``request.attempt``.
         position: Position of the event in the answer.
         data: Content of the event.
         end: Whether this is the last event of the stream.
@@ -168,7 +168,7 @@
         """Request an endpoint's load, and its cache events with numbers above ``after``."""
 
     @abstractmethod
-    async def send_command(self, endpoint: Endpoint, order: FencedCommand) -> None:
+    async def send_command(self, endpoint: Endpoint, command: FencedCommand) -> None:
         """Order an endpoint to change to a desired state.
 
         Raises:
@@ -346,10 +346,10 @@
         except (httpx.HTTPError, msgspec.MsgspecError, TypeError, ValueError) as error:
             raise EndpointError(f"failed to read the load report: {error!r}") from error
 
-    async def send_command(self, endpoint: Endpoint, order: FencedCommand) -> None:
+    async def send_command(self, endpoint: Endpoint, command: FencedCommand) -> None:
         """Order an endpoint to change to a desired state."""
         try:
-            response = await self._send(endpoint.address, "/v1/orders", order._asdict(), {})
+            response = await self._send(endpoint.address, "/v1/orders", command._asdict(), {})
         except EndpointRefusedError as error:
             raise StaleFenceError(str(error)) from error
         await response.aclose()
--- a/cleatlink/serving/entry.py
+++ b/cleatlink/serving/entry.py
@@ -91,7 +91,7 @@
         self._request_count = 0
         self._ready = False
         self._stopping = False
-        self._polled_endpoints: set[str] = set()
+        self._endpoints_being_polled: set[str] = set()
         self._log = Log("entry")
 
     @property
@@ -131,13 +131,13 @@
         """Perform a planned stop: refuse new requests and finish all work in progress."""
         self._stopping = True
         self._peers.set_state(ReportedState.LEAVING)
-        self._log.say(
+        self._log.log_message(
             "begins a planned stop, waits for requests in progress", in_flight=self._in_flight
         )
         while self._in_flight or self._canceller.pending:
             await trio.sleep(_STATE_POLL_INTERVAL_S)
         self._peers.set_state(ReportedState.LEAVING)
-        self._log.say("completed its planned stop")
+        self._log.log_message("completed its planned stop")
 
     def _use_configuration(self, configuration: Configuration) -> None:
         self._view.set_configuration(configuration)
@@ -178,14 +178,14 @@
             get_admission_refusal=self._check_admission,
             begin_request=self._begin_request,
             end_request=self._end_request,
-            get_driver_components=self._get_flight_parts,
+            get_driver_components=self._get_driver_components,
             peers=self._peers,
             metrics=self._metrics,
             nursery=nursery,
             describe=self._describe,
         )
 
-    def _get_flight_parts(self) -> DriverComponents:
+    def _get_driver_components(self) -> DriverComponents:
         assert self._driver_components is not None, "requests are admitted only when ready"
         return self._driver_components
 
@@ -214,8 +214,8 @@
     async def _become_ready(self, nursery: trio.Nursery) -> None:
         """Read the documents from the platform and the peers, then accept requests.
 
-        The peers are asked even if the platform answers: its data may be out of date,
-        while the peers have the configuration in force.
+        The documents of the peers are read even if the platform answers: its data may be out
+        of date, while the peers have the configuration in force.
         """
         await self._watch_documents(nursery)
         await self._request_peer_documents(nursery)
@@ -226,7 +226,7 @@
         await self._poll_endpoints()
         self._ready = True
         self._peers.set_state(ReportedState.READY)
-        self._log.say(
+        self._log.log_message(
             "accepts new requests", revision=self._document_store.active_configuration.revision
         )
 
@@ -270,11 +270,11 @@
         async with trio.open_nursery() as nursery:
             for endpoint in self._view.fleet.endpoints:
                 pool = configuration.pools.get(endpoint.pool)
-                if pool is not None and endpoint.name not in self._polled_endpoints:
+                if pool is not None and endpoint.name not in self._endpoints_being_polled:
                     nursery.start_soon(self._poll_endpoint, endpoint.name, pool.role)
 
     async def _poll_endpoint(self, name: str, role: Role) -> None:
-        self._polled_endpoints.add(name)
+        self._endpoints_being_polled.add(name)
         try:
             endpoint = self._view.endpoint(name)
             if endpoint is not None:
@@ -287,7 +287,7 @@
             # The endpoint becomes unusable when its last report is too old.
             pass
         finally:
-            self._polled_endpoints.discard(name)
+            self._endpoints_being_polled.discard(name)
 
     def _describe(self) -> dict[str, object]:
         now = trio.current_time()
--- a/cleatlink/serving/logs.py
+++ b/cleatlink/serving/logs.py
@@ -13,7 +13,7 @@
     def __init__(self, component: str) -> None:
         self._component = component
 
-    def say(self, message: str, **fields: object) -> None:
+    def log_message(self, message: str, **fields: object) -> None:
         """Log a message with additional fields.
 
         Args:
--- a/cleatlink/serving/model_request_driver.py
+++ b/cleatlink/serving/model_request_driver.py
@@ -84,7 +84,7 @@
     "classify_failure",
 ]
 
-# A placement that is older than this was found before this process was paused.
+# An older placement is not used, because this process was paused after it was found.
 PLACEMENT_MAX_AGE_S = 1.0
 _OPEN_STREAM_TIMEOUT_S = 5.0
 _LOG = Log("request")
@@ -201,7 +201,7 @@
                 case Finish():
                     return Finished()
                 case Refuse(refusal):
-                    _LOG.say(
+                    _LOG.log_message(
                         "ends with an error", request=self._request.name, kind=refusal.kind.value
                     )
                     return Refused(refusal)
@@ -264,7 +264,9 @@
                 self._components.metrics.count_wasted_prefill(self._request.prompt_tokens)
             case CountRetry(reason):
                 self._components.metrics.count_retry(reason)
-                _LOG.say("retries after a failure", request=self._request.name, reason=reason)
+                _LOG.log_message(
+                    "retries after a failure", request=self._request.name, reason=reason
+                )
 
     async def _find_placement(self, excluded: frozenset[str]) -> Event:
         """Find a placement, waiting for capacity for at most the maximum wait of the class."""
--- a/cleatlink/serving/outdated_configuration_test.py
+++ b/cleatlink/serving/outdated_configuration_test.py
@@ -80,14 +80,14 @@
 
 def test_newer_configuration_is_fetched_over_a_slow_link(monkeypatch: pytest.MonkeyPatch) -> None:
     """With a timeout of two seconds in total, large documents never arrive on a slow link."""
-    ask_without_delay = FakeLink.send_request
+    send_without_delay = FakeLink.send_request
 
-    async def ask_slowly(self: FakeLink, address: str, path: str, body: bytes) -> bytes:
+    async def send_slowly(self: FakeLink, address: str, path: str, body: bytes) -> bytes:
         await trio.sleep(6.0)
-        return await ask_without_delay(self, address, path, body)
+        return await send_without_delay(self, address, path, body)
 
     async def scenario(world: World) -> None:
-        monkeypatch.setattr(FakeLink, "send_request", ask_slowly)
+        monkeypatch.setattr(FakeLink, "send_request", send_slowly)
         world.entries["e2"].platform.cut = True
         world.platform.publish("config", _NEW_CONFIGURATION)
         await trio.sleep(12.0)
@@ -101,14 +101,14 @@
 
     It would request them again and again, and never become ready.
     """
-    ask_without_delay = FakeLink.send_request
+    send_without_delay = FakeLink.send_request
 
-    async def ask_slowly(self: FakeLink, address: str, path: str, body: bytes) -> bytes:
+    async def send_slowly(self: FakeLink, address: str, path: str, body: bytes) -> bytes:
         await trio.sleep(6.0)
-        return await ask_without_delay(self, address, path, body)
+        return await send_without_delay(self, address, path, body)
 
     async def scenario(world: World) -> None:
-        monkeypatch.setattr(FakeLink, "send_request", ask_slowly)
+        monkeypatch.setattr(FakeLink, "send_request", send_slowly)
         world.settings["peers"] = (world.entries["e1"].link.address,)
         await world.start_entry("e3", "a")
         world.entries["e3"].platform.cut = True
--- a/cleatlink/serving/parsers_test.py
+++ b/cleatlink/serving/parsers_test.py
@@ -62,7 +62,7 @@
     assert message is None or isinstance(message.value, Heartbeat | InFlightNote | str)
 
 
-def test_read_fleet_rejects_invalid_instance_lists() -> None:
+def test_parse_fleet_rejects_invalid_instance_lists() -> None:
     item = {"name": "d1", "address": "x", "data_centre": "a", "pool": "p", "state": "leaving"}
     fleet = parse_fleet(Document(3, {"endpoints": [item], "instances": []}))
     assert fleet.endpoints == (Endpoint("d1", "x", "a", "p", True),)
--- a/cleatlink/serving/peers.py
+++ b/cleatlink/serving/peers.py
@@ -39,7 +39,7 @@
 # sending.
 _DOCUMENTS_TIMEOUT_S = 60.0
 _CLAIM_PATH = "claim"
-_SETTLE_PATH = "settle"
+_OUTCOME_PATH = "settle"
 _DOCUMENTS_PATH = "documents"
 # Maximum wait at the owner of a key for the outcome of a call that is running.
 _RUNNING_CLAIM_WAIT_S = 1.0
@@ -142,35 +142,42 @@
         self._send_heartbeats()
 
     def send_note(
-        self, name: str, attempt: int, endpoints: tuple[str, ...], expires_in_s: float
+        self, request_name: str, attempt: int, addresses: tuple[str, ...], expires_in_s: float
     ) -> None:
-        """Send a note on a request in flight to two peers; call this before sending its order."""
+        """Send a note on a request in flight to two peers; call this before sending its order.
+
+        Args:
+            request_name: Name of the request.
+            attempt: Number of the attempt.
+            addresses: Addresses of the endpoints that receive its orders.
+            expires_in_s: Seconds until the deadline of the request.
+        """
         now = trio.current_time()
         settings = self._components.settings
         note = InFlightNote(
-            name, settings.name, settings.incarnation, attempt, endpoints, expires_in_s
+            request_name, settings.name, settings.incarnation, attempt, addresses, expires_in_s
         )
-        if name not in self._note_keepers:
-            self._note_keepers[name] = self._members.choose_note_keepers(name, now)
-        for peer in self._note_keepers[name]:
-            self._unacknowledged_notes[peer.address, name] = note
+        if request_name not in self._note_keepers:
+            self._note_keepers[request_name] = self._members.choose_note_keepers(request_name, now)
+        for peer in self._note_keepers[request_name]:
+            self._unacknowledged_notes[peer.address, request_name] = note
             self._send(peer.address, "note", note)
 
-    def drop_note(self, name: str) -> None:
+    def drop_note(self, request_name: str) -> None:
         """Tell the peers that keep a request's note that the request has ended."""
-        for peer in self._note_keepers.pop(name, ()):
-            self._unacknowledged_notes.pop((peer.address, name), None)
-            self._send(peer.address, "drop", name)
+        for peer in self._note_keepers.pop(request_name, ()):
+            self._unacknowledged_notes.pop((peer.address, request_name), None)
+            self._send(peer.address, "drop", request_name)
 
-    async def claim(self, order: ClaimRequest, home_data_centre: str) -> ClaimResult:
+    async def claim(self, claim_request: ClaimRequest, home_data_centre: str) -> ClaimResult:
         """Ask the owner of a key for permission to run a call under it."""
-        owner = self._members.owner(order.key, home_data_centre, trio.current_time())
+        owner = self._members.owner(claim_request.key, home_data_centre, trio.current_time())
         if owner is None:
             return ClaimResult(ClaimState.UNAVAILABLE)
         if owner.name == self._members.name:
-            return await self._claim_locally(order)
+            return await self._claim_locally(claim_request)
         try:
-            data = await self._send_request(owner.address, _CLAIM_PATH, order)
+            data = await self._send_request(owner.address, _CLAIM_PATH, claim_request)
             return msgspec.msgpack.decode(data, type=ClaimResult)
         except PeerUnreachableError:
             return ClaimResult(ClaimState.UNAVAILABLE)
@@ -178,20 +185,20 @@
             # The owner may have granted the key to this claim, and its answer may be lost.
             return ClaimResult(ClaimState.UNKNOWN)
 
-    async def report_outcome(self, settlement: KeyOutcome, home_data_centre: str) -> None:
+    async def report_outcome(self, outcome: KeyOutcome, home_data_centre: str) -> None:
         """Report the outcome of a call to the owner of its key; if that fails, it stays unknown."""
-        owner = self._members.owner(settlement.key, home_data_centre, trio.current_time())
+        owner = self._members.owner(outcome.key, home_data_centre, trio.current_time())
         if owner is None:
             return
         if owner.name == self._members.name:
-            self._settle_locally(settlement)
+            self._record_outcome_locally(outcome)
             return
         try:
-            await self._send_request(owner.address, _SETTLE_PATH, settlement)
+            await self._send_request(owner.address, _OUTCOME_PATH, outcome)
         except PeerError as error:
-            self._log.say(
+            self._log.log_message(
                 "failed to report the outcome of a key to its owner",
-                key=settlement.key,
+                key=outcome.key,
                 reason=repr(error),
             )
 
@@ -223,7 +230,7 @@
         """Log a failed fetch of documents, once per peer until a fetch succeeds."""
         if address not in self._failed_fetches:
             self._failed_fetches.add(address)
-            self._log.say(
+            self._log.log_message(
                 "failed to fetch the documents of a peer", peer=address, reason=repr(error)
             )
 
@@ -245,36 +252,39 @@
             return self._make_documents()
         if path == _CLAIM_PATH:
             return await self._claim_locally(msgspec.msgpack.decode(body, type=ClaimRequest))
-        if path == _SETTLE_PATH:
-            self._settle_locally(msgspec.msgpack.decode(body, type=KeyOutcome))
+        if path == _OUTCOME_PATH:
+            self._record_outcome_locally(msgspec.msgpack.decode(body, type=KeyOutcome))
             return None
         raise PeerError(f"unknown path of a peer request: {path}")
 
-    async def _claim_locally(self, order: ClaimRequest) -> ClaimResult:
+    async def _claim_locally(self, claim_request: ClaimRequest) -> ClaimResult:
         """Evaluate a claim; while a call with the key is running, wait briefly for its outcome."""
-        claim = self._evaluate_claim(order)
+        claim = self._evaluate_claim(claim_request)
         with trio.move_on_after(_RUNNING_CLAIM_WAIT_S):
             while claim.state is ClaimState.RUNNING:
                 await self._outcome_recorded.wait()
-                claim = self._evaluate_claim(order)
+                claim = self._evaluate_claim(claim_request)
         return claim
 
-    def _settle_locally(self, settlement: KeyOutcome) -> None:
-        self._keys.record_outcome(settlement.key, settlement.answer)
+    def _record_outcome_locally(self, outcome: KeyOutcome) -> None:
+        self._keys.record_outcome(outcome.key, outcome.answer)
         self._outcome_recorded.notify_all()
 
-    def _evaluate_claim(self, order: ClaimRequest) -> ClaimResult:
+    def _evaluate_claim(self, claim_request: ClaimRequest) -> ClaimResult:
         now = trio.current_time()
-        confirmed_at = self._members.owner_since(now)
+        owner_since = self._members.owner_since(now)
         # Keys contain wall-clock times of callers; ownership uses the monotonic clock.
-        confirmed_unix_s = self._components.unix_time_s() - (now - confirmed_at)
+        owner_since_unix_s = self._components.unix_time_s() - (now - owner_since)
         # Grants no new keys after a pause until the peers have been checked again, because another
         # instance may have become the owner, and none during a planned stop.
         was_paused = now - self._last_check_at > _PROCESS_PAUSE_S
         if was_paused or self._state is ReportedState.LEAVING:
-            confirmed_unix_s = math.inf
+            owner_since_unix_s = math.inf
         return self._keys.claim(
-            order.key, order.fingerprint, confirmed_unix_s, self._components.unix_time_s()
+            claim_request.key,
+            claim_request.fingerprint,
+            owner_since_unix_s,
+            self._components.unix_time_s(),
         )
 
     def _make_documents(self) -> PeerDocuments:
@@ -319,7 +329,7 @@
         return known_addresses | {str(address) for address in self._components.settings.peers}
 
     def _resend_notes(self) -> None:
-        """Send the notes that peers have not acknowledged again."""
+        """Resend the notes that peers have not acknowledged."""
         for (address, _), note in self._unacknowledged_notes.items():
             self._send(address, "note", note)
 
@@ -376,7 +386,7 @@
                 self._members.restart_silence_timers(now)
                 continue
             for name, incarnation in self._members.remove_dead(now):
-                self._log.say("removed a peer that sent no heartbeats", peer=name)
+                self._log.log_message("removed a peer that sent no heartbeats", peer=name)
                 self._notes.mark_dead(name, incarnation, now)
             for orphan in self._notes.take_due(now):
                 self._components.canceller.cancel(orphan.address, orphan.request, orphan.attempt)
--- a/cleatlink/serving/platform.py
+++ b/cleatlink/serving/platform.py
@@ -98,14 +98,14 @@
     """
     try:
         value = document.value
-        endpoints = tuple(_read_endpoint(item) for item in value["endpoints"])
-        instances = tuple(_read_instance(item) for item in value["instances"])
+        endpoints = tuple(_parse_endpoint(item) for item in value["endpoints"])
+        instances = tuple(_parse_instance(item) for item in value["instances"])
     except (KeyError, TypeError, AttributeError) as error:
         raise PlatformError(f"invalid instance list: {error!r}") from error
     return Fleet(document.revision, endpoints, instances)
 
 
-def _read_endpoint(item: dict[str, Any]) -> Endpoint:
+def _parse_endpoint(item: dict[str, Any]) -> Endpoint:
     return Endpoint(
         str(item["name"]),
         str(item["address"]),
@@ -115,7 +115,7 @@
     )
 
 
-def _read_instance(item: dict[str, Any]) -> Instance:
+def _parse_instance(item: dict[str, Any]) -> Instance:
     return Instance(
         str(item["name"]),
         str(item["peer_address"]),
--- a/cleatlink/serving/refusals_test.py
+++ b/cleatlink/serving/refusals_test.py
@@ -1,4 +1,4 @@
-"""How the endpoint client reads an endpoint's refusal: back-off, shutdown and execution status."""
+"""How the endpoint client reads an endpoint's refusal: backoff, shutdown and execution status."""
 
 import httpx
 import pytest
