--- a/bench/control.py
+++ b/bench/control.py
@@ -39,7 +39,8 @@
 
     Returns:
         One row. Bytes and processor time are means per entry, the memory is that of the
-        largest entry, and the times are until the last entry knows.
+        largest entry, and the times are until the last entry has applied the configuration or
+        detected the failure.
     """
     cluster = Cluster()
     try:
@@ -71,10 +72,10 @@
 async def _measure_idle(cluster: Cluster) -> dict[str, float]:
     entries = list(cluster.entries.values())
     before_s = [processor_time_s(entry) for entry in entries]
-    sent_bytes = await _peer_bytes(cluster)
+    bytes_before = await _peer_bytes(cluster)
     await trio.sleep(_IDLE_DURATION_S)
     after_s = [processor_time_s(entry) for entry in entries]
-    sent_bytes = await _peer_bytes(cluster) - sent_bytes
+    sent_bytes = await _peer_bytes(cluster) - bytes_before
     core_shares = [
         (after - before) / _IDLE_DURATION_S for before, after in zip(before_s, after_s, strict=True)
     ]
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -109,7 +109,7 @@
 
 
 class _TokenBucket:
-    """A token bucket."""
+    """A token bucket; its level is negative after a cost above the burst."""
 
     def __init__(self, level: float, now: float) -> None:
         self.level = level
@@ -195,9 +195,9 @@
 
     def _totals_message(self, now: float) -> PeerTotals:
         limits = self._limits
-        totals, age_s = limits.totals(now), limits.uptime_s(now)
+        totals, uptime_s = limits.totals(now), limits.uptime_s(now)
         return PeerTotals(
-            str(self.number), self._incarnation, totals, limits.used_name_count, age_s
+            str(self.number), self._incarnation, totals, limits.used_name_count, uptime_s
         )
 
     def heartbeat_message(self, now: float) -> Any:
@@ -234,7 +234,7 @@
         self._leased_tokens = 0.0
         self._lease_ends_at = 0.0
         self._reachable = list(range(instance_count))
-        self.lease_requests = 0
+        self.lease_request_count = 0
 
     def admit(self, cost: int, now: float) -> bool:
         """Take the cost from the lease, or request another lease from the owner."""
@@ -243,7 +243,7 @@
         if self._leased_tokens < cost:
             wanted_tokens = max(float(cost), 0.2 * self.limit.rate / self.instance_count)
             owner = Owner.fleet[min(self._reachable, key=lambda number: (number * 7919) % 1009)]
-            self.lease_requests += 1
+            self.lease_request_count += 1
             if not owner.grant_lease(
                 wanted_tokens, len(self._reachable) / self.instance_count, now
             ):
@@ -289,7 +289,7 @@
         self._request_rng = random.Random(seed + 1)
         self._fleet = [strategy(number, instance_count, 0.0) for number in range(instance_count)]
         self._central_bucket = _TokenBucket(_LIMIT.burst, 0.0)
-        self._heard_at = [[0.0] * instance_count for _ in range(instance_count)]
+        self._last_received_at = [[0.0] * instance_count for _ in range(instance_count)]
         self._in_transit: list[tuple[float, int, int, Any]] = []
         self._admitted: list[tuple[float, int]] = []
         self._next_heartbeats_at = [
@@ -297,7 +297,7 @@
         ]
         self._next_urgent_at = [0.0] * instance_count
         self._centrally_admitted: list[tuple[float, int]] = []
-        self.urgent_datagrams = 0
+        self.urgent_datagram_count = 0
 
     def run(self) -> None:
         """Run the whole pattern."""
@@ -333,7 +333,7 @@
         due = [item for item in self._in_transit if item[0] <= now]
         self._in_transit = [item for item in self._in_transit if item[0] > now]
         for _, sender, receiver, message in due:
-            self._heard_at[receiver][sender] = now
+            self._last_received_at[receiver][sender] = now
             if message is not None:
                 self._fleet[receiver].receive(sender, message, now)
 
@@ -346,14 +346,14 @@
                 urgent_message = strategy.urgent_message(now)
                 if urgent_message is not None:
                     self._next_urgent_at[number] = now + _URGENT_INTERVAL_S
-                    self.urgent_datagrams += self._instance_count - 1
+                    self.urgent_datagram_count += self._instance_count - 1
                     self._send(number, urgent_message, now)
 
     def _update_reachable(self, number: int, now: float) -> None:
         reachable = [
             other
             for other in range(self._instance_count)
-            if other == number or now - self._heard_at[number][other] <= PEER_TIMEOUT_S
+            if other == number or now - self._last_received_at[number][other] <= PEER_TIMEOUT_S
         ]
         self._fleet[number].set_reachable(reachable, now)
 
@@ -365,11 +365,11 @@
                 self._in_transit.append((now + _NETWORK_DELAY_S, sender, receiver, message))
 
     def _submit_requests(self, now: float) -> None:
-        expected = self._pattern.demand_factor(now) * _LIMIT.rate * _TICK_S / _MEAN_TOKENS
+        expected_count = self._pattern.demand_factor(now) * _LIMIT.rate * _TICK_S / _MEAN_TOKENS
         start, end = self._pattern.receiving_range(now)
-        count = int(expected) + (self._request_rng.random() < expected % 1)
+        request_count = int(expected_count) + (self._request_rng.random() < expected_count % 1)
         limit = self._limit(now)
-        for _ in range(count):
+        for _ in range(request_count):
             cost = _STREAM_TOKENS if self._request_rng.random() < _STREAM_SHARE else _CALL_TOKENS
             position = start + (end - start) * self._request_rng.random()
             strategy = self._fleet[
@@ -385,32 +385,36 @@
 
     def peak_window_share(self) -> float:
         """Return the fullest window as a share of what the tolerance allows."""
-        peak, first, total = 0.0, 0, 0
+        peak_share, oldest, window_tokens = 0.0, 0, 0
         window_s = _TOLERANCE.window_s
-        for at, cost in self._admitted:
-            total += cost
-            while self._admitted[first][0] <= at - window_s:
-                total -= self._admitted[first][1]
-                first += 1
+        for admitted_at, cost in self._admitted:
+            window_tokens += cost
+            while self._admitted[oldest][0] <= admitted_at - window_s:
+                window_tokens -= self._admitted[oldest][1]
+                oldest += 1
             # A reduced limit applies one window later.
-            limit = self._limit(max(0.0, at - window_s)) if self._limit(at) != _LIMIT else _LIMIT
+            limit = (
+                self._limit(max(0.0, admitted_at - window_s))
+                if self._limit(admitted_at) != _LIMIT
+                else _LIMIT
+            )
             bound = (limit.rate * window_s + limit.burst) * (1 + _TOLERANCE.overshoot)
-            peak = max(peak, total / (bound + _TOLERANCE.slack))
-        return peak
+            peak_share = max(peak_share, window_tokens / (bound + _TOLERANCE.slack))
+        return peak_share
 
     def shortfall_share(self) -> float:
         """Return how much less was admitted than by the central bucket, as a share of the latter.
 
         Each window is compared separately; windows in which more was admitted count as 0.
         """
-        windows: dict[int, int] = {}
-        for at, cost in self._centrally_admitted:
-            number = int(at / _TOLERANCE.window_s)
-            windows[number] = windows.get(number, 0) + cost
-        total = sum(windows.values())
-        for at, cost in self._admitted:
-            windows[int(at / _TOLERANCE.window_s)] -= cost
-        return sum(max(0, shortfall) for shortfall in windows.values()) / total
+        shortfalls: dict[int, int] = {}
+        for admitted_at, cost in self._centrally_admitted:
+            window = int(admitted_at / _TOLERANCE.window_s)
+            shortfalls[window] = shortfalls.get(window, 0) + cost
+        centrally_admitted_tokens = sum(shortfalls.values())
+        for admitted_at, cost in self._admitted:
+            shortfalls[int(admitted_at / _TOLERANCE.window_s)] -= cost
+        return sum(max(0, tokens) for tokens in shortfalls.values()) / centrally_admitted_tokens
 
 
 def measure_limit(strategy: str, pattern: str, instance_count: int, seed: int) -> dict[str, Any]:
@@ -436,5 +440,5 @@
         "instances": instance_count,
         "window": simulation.peak_window_share(),
         "refused": simulation.shortfall_share(),
-        "news": simulation.urgent_datagrams / instance_count / _DURATION_S,
+        "news": simulation.urgent_datagram_count / instance_count / _DURATION_S,
     }
--- a/bench/peers.py
+++ b/bench/peers.py
@@ -187,31 +187,35 @@
 async def _generate_load(instance: _Instance, rng: random.Random) -> None:
     """Place streams and plain calls on the endpoints, about one of each per second."""
     capacity = instance.capacity
-    waiting: list[WaitingGroup] = []
-    capacity.shared_wait_queues.set_local_source(lambda: waiting)
-    local = [
+    waiting_groups: list[WaitingGroup] = []
+    capacity.shared_wait_queues.set_local_source(lambda: waiting_groups)
+    local_endpoints = [
         name
-        for name, item in capacity.endpoints.items()
-        if item.data_centre == instance.data_centre
+        for name, endpoint in capacity.endpoints.items()
+        if endpoint.data_centre == instance.data_centre
     ]
-    engines = [name for name in local if name.startswith("engine")]
-    count = 0
+    engines = [name for name in local_endpoints if name.startswith("engine")]
+    request_count = 0
     await trio.sleep(rng.random())
     while True:
-        count += 1
+        request_count += 1
         now = trio.current_time()
         capacity.plain_load.note_arrival("p", 1, now)
         worker = f"worker-{rng.randrange(_WORKER_COUNT)}"
         capacity.plain_load.call_started(worker, now)
         if rng.random() < _WAITING_SHARE:
-            waiting.append(WaitingGroup("s", 0, False, 1, 3000, 0.0, 2.0))
+            waiting_groups.append(WaitingGroup("s", 0, False, 1, 3000, 0.0, 2.0))
             capacity.shared_wait_queues.notify_change()
             await trio.sleep(_WAIT_S)
-            waiting.clear()
+            waiting_groups.clear()
             capacity.shared_wait_queues.notify_change()
         await trio.sleep(_CALL_DURATION_S)
         capacity.plain_load.call_ended(worker, CallOutcome.COMPLETED, trio.current_time())
-        key, engine, now = f"{instance.name}-{count}/1/d", rng.choice(engines), trio.current_time()
+        key, engine, now = (
+            f"{instance.name}-{request_count}/1/d",
+            rng.choice(engines),
+            trio.current_time(),
+        )
         stream = Reservation(
             engine, Role.DECODE, 3000, now + _STREAM_DURATION_S, _STREAM_DURATION_S, 900
         )
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -34,6 +34,7 @@
 _COMPLETION_TIME_S = 25.0
 _CANCEL_SHARE = 0.2
 _BYTES_PER_TOKEN = 4
+# Pool of each engine.
 _POOLS = {"p1": "prefill", "p2": "prefill", "d1": "decode", "d2": "decode", "d3": "decode"}
 
 
@@ -81,12 +82,12 @@
     Attributes:
         workload_class: Class of the request.
         caller: Caller that sent the request.
-        cancelled: Whether the caller is to cancel the request.
+        will_cancel: Whether the caller cancels the request early, if it has not ended by then.
     """
 
     workload_class: WorkloadClass
     caller: Caller
-    cancelled: bool
+    will_cancel: bool
 
 
 class Cell(NamedTuple):
@@ -174,10 +175,10 @@
     caller = world.start_model_request(
         entry, tokens, prompt, {"x-request-class": workload_class.name}
     )
-    cancelled = cell.faults == "cancels" and rng.random() < _CANCEL_SHARE
-    if cancelled:
+    will_cancel = cell.faults == "cancels" and rng.random() < _CANCEL_SHARE
+    if will_cancel:
         world.nursery.start_soon(_cancel, caller, rng.uniform(0.0, 0.1))
-    return SentRequest(workload_class, caller, cancelled)
+    return SentRequest(workload_class, caller, will_cancel)
 
 
 async def _cancel(caller: Caller, after_s: float) -> None:
@@ -204,9 +205,11 @@
 
 
 def _summarise(workload_class: WorkloadClass, sent: list[SentRequest]) -> dict[str, Any]:
-    """Summarise one class as seen by its callers; cancelled requests are not counted."""
+    """Summarise one class as seen by its callers; requests to be cancelled are not counted."""
     callers = [
-        item.caller for item in sent if item.workload_class is workload_class and not item.cancelled
+        item.caller
+        for item in sent
+        if item.workload_class is workload_class and not item.will_cancel
     ]
     completed = [caller for caller in callers if caller.end_mark_count]
     rejections = Counter(caller.error["code"] for caller in callers if caller.status >= 400)
