--- a/demo/evidence.py
+++ b/demo/evidence.py
@@ -196,12 +196,18 @@
 
 
 def _check_configuration(evidence: Evidence) -> Finding:
-    reverted = [name for name, seen in evidence.revisions.items() if seen != sorted(seen)]
+    reverted = [
+        name for name, revisions in evidence.revisions.items() if revisions != sorted(revisions)
+    ]
     ended = (evidence.stopped_entry, evidence.killed_entry)
     last_revisions = {
-        name: seen[-1] for name, seen in evidence.revisions.items() if seen and name not in ended
+        name: revisions[-1]
+        for name, revisions in evidence.revisions.items()
+        if revisions and name not in ended
     }
-    outdated = [name for name, seen in last_revisions.items() if seen < evidence.expected_revision]
+    outdated = [
+        name for name, revision in last_revisions.items() if revision < evidence.expected_revision
+    ]
     detail = (
         f"in force on {len(last_revisions)} entries after {evidence.activation_s:.2f} s; "
         f"{len(reverted)} entries reverted, {len(outdated)} outdated"
--- a/demo/evidence_test.py
+++ b/demo/evidence_test.py
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize(
-    ("changes", "guarantees"),
+    ("changes", "violated"),
     [
         ({"engine_memory_tokens": {"p1": 0, "d1": 40}}, [0]),
         ({"model_results": [COMPLETE, COMPLETE._replace(event_ids=(0, 0, 1))]}, [1]),
@@ -62,5 +62,5 @@
         ({"activation_s": 6.0}, [7]),
     ],
 )
-def test_violation_is_reported(changes: dict[str, object], guarantees: list[int]) -> None:
-    assert violated_guarantees(VALID._replace(**changes)) == guarantees
+def test_violation_is_reported(changes: dict[str, object], violated: list[int]) -> None:
+    assert violated_guarantees(VALID._replace(**changes)) == violated
--- a/demo/main.py
+++ b/demo/main.py
@@ -173,9 +173,9 @@
         """Make an endpoint report that it is leaving, while the platform lists it as live."""
         await self._cluster.set_faults(name, leaving=True)
         await trio.sleep(_LEAVING_WAIT_S)
-        earlier_orders = await self._count_orders(name)
+        orders_before = await self._count_orders(name)
         await trio.sleep(_FREEZE_S)
-        self._orders_after_leaving = await self._count_orders(name) - earlier_orders
+        self._orders_after_leaving = await self._count_orders(name) - orders_before
 
     async def _count_orders(self, name: str) -> int:
         counts = (await self._cluster.ledger(name))["counts"]
--- a/demo/traffic.py
+++ b/demo/traffic.py
@@ -47,13 +47,13 @@
     model = {"translation": "bublina-translate", "tagging": "bublina-tagger"}.get(
         request_class, "conseiller"
     )
-    pages = (
+    page_count = (
         rng.randrange(100, 400) if request_class in ("tagging", "verdict") else rng.randrange(1, 6)
     )
     return ModelRequest(
         request_class,
         model,
-        f"{number}: {request_class}. " + _PROMPT_PAGE * pages,
+        f"{number}: {request_class}. " + _PROMPT_PAGE * page_count,
         rng.randrange(8, 40),
     )
 
@@ -118,7 +118,7 @@
         self._texts: list[str] = []
         self._end_marks = 0
         self._error_code = ""
-        self._token_times: list[float] = []
+        self._token_times_s: list[float] = []
         self._started_at = time.monotonic()
         self.outcome = "cut"
 
@@ -146,8 +146,8 @@
 
     def result(self) -> ModelResult:
         """Return the result as observed by the caller."""
-        ttft_s = self._token_times[0] - self._started_at if self._token_times else 0.0
-        intervals = max(1, len(self._token_times) - 1)
+        ttft_s = self._token_times_s[0] - self._started_at if self._token_times_s else 0.0
+        interval_count = max(1, len(self._token_times_s) - 1)
         return ModelResult(
             self._request.request_class,
             self.outcome,
@@ -157,8 +157,8 @@
             "".join(expected_tokens(self._request.prompt, self._request.max_tokens)),
             self._end_marks,
             ttft_s,
-            (self._token_times[-1] - self._token_times[0]) / intervals
-            if self._token_times
+            (self._token_times_s[-1] - self._token_times_s[0]) / interval_count
+            if self._token_times_s
             else 0.0,
             self._entry,
         )
@@ -180,7 +180,7 @@
                 self.outcome, self._error_code = "broken", data["error"]["code"]
                 return True
             self._texts.append(data["choices"][0]["text"])
-            self._token_times.append(time.monotonic())
+            self._token_times_s.append(time.monotonic())
             if (
                 self._request.cancel_after_tokens is not None
                 and len(self._event_ids) >= self._request.cancel_after_tokens
