--- a/tools/kinds/bench_run.py
+++ b/tools/kinds/bench_run.py
@@ -106,17 +106,19 @@
         )
 
 
-def _run_day(bench: Path, run: BenchRun, report: Path) -> RunResult:
+def _run_day(bench: Path, run: BenchRun, report_file: Path) -> RunResult:
     command = [str(bench), "run", str(run.site), run.day, "--seed", str(run.seed)]
-    why = f"trial: {run.tree.label}, engines: {run.variant}, {run.day}"
+    purpose = f"trial: {run.tree.label}, engines: {run.variant}, {run.day}"
     command += ["--log", "all"] if run.counts_orders else []
-    completed = _run_command([*command, "--report", str(report), "--why", why], run.tree.folder)
-    if not report.exists():
+    completed = _run_command(
+        [*command, "--report", str(report_file), "--why", purpose], run.tree.folder
+    )
+    if not report_file.exists():
         return RunResult(run, None, _last_line(completed.stdout + completed.stderr))
-    found = msgspec.json.decode(report.read_bytes(), type=_Report)
-    if found.fault is not None or found.breaks:
-        return RunResult(run, None, found.fault or f"rules broken: {', '.join(found.breaks)}")
-    return RunResult(run, found.worth, "", completed.stdout.count(_ORDER_LOG_TEXT))
+    report = msgspec.json.decode(report_file.read_bytes(), type=_Report)
+    if report.fault is not None or report.breaks:
+        return RunResult(run, None, report.fault or f"rules broken: {', '.join(report.breaks)}")
+    return RunResult(run, report.worth, "", completed.stdout.count(_ORDER_LOG_TEXT))
 
 
 def _run_command(command: list[str], folder: Path) -> "subprocess.CompletedProcess[str]":
--- a/tools/kinds/calm.py
+++ b/tools/kinds/calm.py
@@ -55,8 +55,8 @@
         for number in range(1, plays + 1)
         for tree in trees
     ]
-    with tempfile.TemporaryDirectory() as name:
-        results = run_all(bench.resolve(), runs, jobs, Path(name))
+    with tempfile.TemporaryDirectory() as directory:
+        results = run_all(bench.resolve(), runs, jobs, Path(directory))
     text, passed = render(results)
     click.echo(text)
     sys.exit(0 if passed else 1)
--- a/tools/kinds/main.py
+++ b/tools/kinds/main.py
@@ -57,10 +57,13 @@
 
     Exits with 1 if a mean worth fell by more than 0.03, or a run failed or violated a rule.
     """
-    with tempfile.TemporaryDirectory() as name:
-        scratch = Path(name)
+    with tempfile.TemporaryDirectory() as directory:
+        scratch = Path(directory)
         trees = [WorkTree("before", before.resolve()), WorkTree("now", now.resolve())]
-        trees += [copy_without_mechanism(trees[1], item, scratch / item) for item in without]
+        trees += [
+            copy_without_mechanism(trees[1], mechanism, scratch / mechanism)
+            for mechanism in without
+        ]
         kinds = [kind for kind in ENGINE_PROFILES if not names or kind.name in names]
         try:
             sites = write_variants(site, kinds, settings, scratch)
@@ -120,8 +123,8 @@
     for variant, day in dict.fromkeys((item.run.variant, item.run.day) for item in results):
         matching = [item for item in results if (item.run.variant, item.run.day) == (variant, day)]
         means = [
-            _mean_worth([item for item in matching if item.run.tree.label == name])
-            for name in labels
+            _mean_worth([item for item in matching if item.run.tree.label == label])
+            for label in labels
         ]
         first, second = means[0], means[1]
         change = None if first is None or second is None else second - first
--- a/tools/repeat.py
+++ b/tools/repeat.py
@@ -50,16 +50,21 @@
 
 
 def repeat(
-    tests: tuple[str, ...], times: int, folder: Path, *, busy: int = 0, at_a_time: int = 1
+    tests: tuple[str, ...],
+    run_count: int,
+    folder: Path,
+    *,
+    busy_count: int = 0,
+    max_concurrent_runs: int = 1,
 ) -> list[Run]:
     """Run tests a number of times.
 
     Args:
         tests: Tests as arguments of pytest; if empty, each run is a full run of the verdict.
-        times: Number of runs.
+        run_count: Number of runs.
         folder: Folder for the output of failed runs, a file for each.
-        busy: Number of busy processes in parallel with the tests.
-        at_a_time: Maximum number of concurrent runs.
+        busy_count: Number of busy processes in parallel with the tests.
+        max_concurrent_runs: Maximum number of concurrent runs.
 
     Returns:
         The runs that failed, by number.
@@ -74,8 +79,8 @@
             output.unlink()
         return Run(number, completed.returncode, output)
 
-    with busy_processes(busy), ThreadPoolExecutor(at_a_time) as pool:
-        runs = list(pool.map(run, range(1, times + 1)))
+    with busy_processes(busy_count), ThreadPoolExecutor(max_concurrent_runs) as pool:
+        runs = list(pool.map(run, range(1, run_count + 1)))
     return [item for item in runs if item.exit_code != 0]
 
 
@@ -93,7 +98,7 @@
 )
 def main(tests: tuple[str, ...], times: int, busy: int, at_a_time: int, folder: Path) -> None:
     """Run tests many times, with busy processes in parallel; exits with 1 if a run failed."""
-    failed_runs = repeat(tests, times, folder, busy=busy, at_a_time=at_a_time)
+    failed_runs = repeat(tests, times, folder, busy_count=busy, max_concurrent_runs=at_a_time)
     for item in failed_runs:
         click.echo(f"run {item.number} exited with code {item.exit_code}: {item.output}")
         lines = item.output.read_text("utf-8", "replace").splitlines()
--- a/tools/runtime_lock.py
+++ b/tools/runtime_lock.py
@@ -44,8 +44,8 @@
     """
     blocks = re.split(r"(?m)^(?=[a-zA-Z0-9])", lock)
     selected = [block for block in blocks if re.split(r"[=\[ ]", block, maxsplit=1)[0] in names]
-    found = {re.split(r"[=\[ ]", block, maxsplit=1)[0] for block in selected}
-    missing = set(names) - found
+    selected_names = {re.split(r"[=\[ ]", block, maxsplit=1)[0] for block in selected}
+    missing = set(names) - selected_names
     if missing:
         raise ValueError(f"libraries not in the lock file: {sorted(missing)}")
     return _FILE_HEAD + "".join(selected)
