--- a/features/calls_test.py
+++ b/features/calls_test.py
@@ -76,7 +76,7 @@
 
 def disconnect_data_centres(world: World) -> None:
     addresses = {name: item.link.address for name, item in world.entries.items()}
-    world.network.cut([addresses["e1"], addresses["e2"]], [addresses["e3"], addresses["e4"]])
+    world.network.disconnect([addresses["e1"], addresses["e2"]], [addresses["e3"], addresses["e4"]])
 
 
 @when("the data centres are disconnected and orders with one key are posted in both")
@@ -95,7 +95,7 @@
 def _(run: ScenarioRun) -> None:
     async def action(world: World) -> None:
         addresses = {name: item.link.address for name, item in world.entries.items()}
-        world.network.cut([addresses["e1"]], [addresses["e2"]])
+        world.network.disconnect([addresses["e1"]], [addresses["e2"]])
         await trio.sleep(20)
         run.key = world.make_idempotency_key("a")
         await world.call("e1", run.key)
--- a/features/memory_test.py
+++ b/features/memory_test.py
@@ -41,7 +41,7 @@
         caller = world.start_model_request("e1", tokens)
         await wait_for_phase(world, caller, "streaming")
         addresses = {name: item.link.address for name, item in world.entries.items()}
-        world.network.cut([addresses["e1"]], [addresses["e2"], addresses["e3"]])
+        world.network.disconnect([addresses["e1"]], [addresses["e2"], addresses["e3"]])
         await wait_for_tokens(caller, tokens + 1)
 
     run.tokens = tokens
--- a/standins/ablations.py
+++ b/standins/ablations.py
@@ -107,7 +107,7 @@
     return await run()
 
 
-def _do_nothing(*arguments: Any, **named: Any) -> Any:
+def _do_nothing(*arguments: Any, **keywords: Any) -> Any:
     return []
 
 
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -28,7 +28,7 @@
 
 # Time for which an engine refuses late orders of a cancelled request, in seconds.
 _CANCELLATION_RETENTION_S = 120.0
-# Prompts whose first bytes, up to this length, are equal share cached KV.
+# Prompts share cached KV if their first bytes, up to this length, are equal.
 PREFIX_BYTES = 1024
 
 
@@ -112,7 +112,7 @@
     """An order from a router to prefill or decode a prompt.
 
     Attributes:
-        request: Name of the request.
+        request: Id of the request.
         attempt: Number that increases with each attempt of the request.
         prompt: Text of the prompt.
         max_tokens: Length of the whole answer in tokens.
@@ -134,7 +134,7 @@
     Attributes:
         engine: Name of the engine that computed the KV; over HTTP, the address of an engine other
             than the importing one.
-        request: Name of the request.
+        request: Id of the request.
         attempt: Attempt of the request.
     """
 
@@ -254,23 +254,23 @@
         """
         await self._hang_if_faulty()
         self._check_admission(order)
-        size = prompt_tokens(order.prompt + order.resumed_text)
-        self._reserve((order.request, order.attempt, "prefill"), size)
-        kv: KvReference = await self._run_detached(partial(self._compute, order, size))
+        token_count = prompt_tokens(order.prompt + order.resumed_text)
+        self._reserve((order.request, order.attempt, "prefill"), token_count)
+        kv: KvReference = await self._run_detached(partial(self._compute, order, token_count))
         return kv
 
-    async def _compute(self, order: Order, size: int) -> KvReference:
+    async def _compute(self, order: Order, token_count: int) -> KvReference:
         key = (order.request, order.attempt, "prefill")
-        self._queued_tokens += size
+        self._queued_tokens += token_count
         scope = self._prefill_scopes[key] = trio.CancelScope()
         with scope:
             async with self._prefill_lock:
-                self.counts["prefill_tokens"] += size
-                computed = size - self._use_cached_prefix(order.prompt, size)
-                self.counts["computed_tokens"] += computed
-                slow_s = self.faults.get("slow_prefill_s", 0.0)
-                await trio.sleep(computed / self.settings.prefill_rate + slow_s)
-        self._queued_tokens -= size
+                self.counts["prefill_tokens"] += token_count
+                computed_tokens = token_count - self._use_cached_prefix(order.prompt, token_count)
+                self.counts["computed_tokens"] += computed_tokens
+                additional_s = self.faults.get("slow_prefill_s", 0.0)
+                await trio.sleep(computed_tokens / self.settings.prefill_rate + additional_s)
+        self._queued_tokens -= token_count
         del self._prefill_scopes[key]
         if scope.cancelled_caught:
             raise OrderRefusedError(409, "cancelled")
@@ -285,14 +285,14 @@
         Raises:
             OrderRefusedError: The KV has expired or is unknown.
         """
-        size = self.memory.get((request, attempt, "prefill"))
-        if size is None or (request, attempt) not in self._kv_expires_at:
+        token_count = self.memory.get((request, attempt, "prefill"))
+        if token_count is None or (request, attempt) not in self._kv_expires_at:
             raise OrderRefusedError(410, "kv_gone")
-        await trio.sleep(size / self.settings.link_rate)
+        await trio.sleep(token_count / self.settings.link_rate)
         self._release((request, attempt, "prefill"))
         self.counts["kv_used"] += 1
-        self.counts["kv_used_tokens"] += size
-        return size
+        self.counts["kv_used_tokens"] += token_count
+        return token_count
 
     async def decode(self, order: Order, kv: KvReference) -> AsyncIterator[Chunk]:
         """Import KV, start to decode and return the stream.
@@ -375,10 +375,10 @@
         ]
         last_number = visible[-1]["number"] if visible else 0
         events = [event for event in visible if event["number"] > after]
-        lost = self.faults.pop("lose_events", 0)
-        return {"cache_events": events[lost:], "last_event": last_number}
+        lost_count = self.faults.pop("lose_events", 0)
+        return {"cache_events": events[lost_count:], "last_event": last_number}
 
-    def _use_cached_prefix(self, prompt: str, size: int) -> int:
+    def _use_cached_prefix(self, prompt: str, token_count: int) -> int:
         """Return the number of cached tokens of a prompt, and cache its prefix."""
         data = prompt.encode()[:PREFIX_BYTES]
         prefix = xxhash.xxh3_64_intdigest(data)
@@ -391,7 +391,7 @@
             oldest = next(iter(self._prefix_used_at))
             del self._prefix_used_at[oldest]
             self._record_cache_event(oldest, stored=False)
-        return min(size, len(data) // 4) if is_cached else 0
+        return min(token_count, len(data) // 4) if is_cached else 0
 
     def _record_cache_event(self, prefix: int, stored: bool) -> None:
         self._cache_event_count += 1
@@ -451,10 +451,10 @@
         if order.attempt <= attempt:
             raise OrderRefusedError(409, "cancelled")
 
-    def _reserve(self, key: tuple[str, int, str], size: int) -> None:
-        if self.memory_used + size > self.settings.memory_tokens:
+    def _reserve(self, key: tuple[str, int, str], token_count: int) -> None:
+        if self.memory_used + token_count > self.settings.memory_tokens:
             raise OrderRefusedError(503, "memory")
-        self.memory[key] = size
+        self.memory[key] = token_count
 
     def _release(self, key: tuple[str, int, str]) -> None:
         self.memory.pop(key, None)
--- a/standins/fakes.py
+++ b/standins/fakes.py
@@ -290,24 +290,24 @@
 
     Attributes:
         links: Links by address.
-        cuts: Pairs of addresses that cannot reach each other.
+        disconnected_pairs: Pairs of addresses that cannot reach each other.
         lost_message_kinds: Kinds of messages that are lost.
     """
 
     def __init__(self) -> None:
         self.links: dict[str, FakeLink] = {}
-        self.cuts: set[frozenset[str]] = set()
+        self.disconnected_pairs: set[frozenset[str]] = set()
         self.lost_message_kinds: set[str] = set()
 
-    def cut(self, left: list[str], right: list[str]) -> None:
+    def disconnect(self, left: list[str], right: list[str]) -> None:
         """Disconnect each address of one side from each address of the other."""
-        self.cuts |= {frozenset((a, b)) for a in left for b in right}
+        self.disconnected_pairs |= {frozenset((a, b)) for a in left for b in right}
 
     def is_connected(self, sender: str, receiver: str) -> bool:
         """Check that both instances are alive and the connection between them works."""
         links = self.links
         alive = all(name in links and not links[name].dead for name in (sender, receiver))
-        return alive and frozenset((sender, receiver)) not in self.cuts
+        return alive and frozenset((sender, receiver)) not in self.disconnected_pairs
 
 
 class FakeLink(PeerLink):
--- a/standins/relay/fleet.py
+++ b/standins/relay/fleet.py
@@ -34,7 +34,7 @@
         self.end_events: list[trio.Event] = []
         self.callers: list[Caller] = []
         self._settings: list[RelaySettings] = []
-        self._sources: list[PlatformStore] = []
+        self._platform_stores: list[PlatformStore] = []
         self._nursery = nursery
         self._version = 3
         self.routes: list[dict[str, Any]] = []
@@ -152,9 +152,9 @@
             lease_s=0.2,
             without=frozenset(without),
         )
-        source = PlatformStore(settings.store)
-        self._sources.append(source)
-        instance = RelayInstance(settings, PROTOCOL, source, number)
+        platform_store = PlatformStore(settings.store)
+        self._platform_stores.append(platform_store)
+        instance = RelayInstance(settings, PROTOCOL, platform_store, number)
         stop, ended = trio.Event(), trio.Event()
         self.instances.append(instance)
         self.stop_events.append(stop)
@@ -168,28 +168,28 @@
         self._nursery.start_soon(run)
         return instance
 
-    def refuse_store_access(self, instance: int) -> None:
+    def refuse_store_access(self, instance_index: int) -> None:
         """Make an instance's connections to the store fail from now on."""
-        source = self._sources[instance]
-        for client in (source._client, source._table_client):
+        platform_store = self._platform_stores[instance_index]
+        for client in (platform_store._client, platform_store._table_client):
             client.close()
             client._address = free_address()
 
-    def caller(self, instance: int = 0) -> Caller:
+    def caller(self, instance_index: int = 0) -> Caller:
         """Return a new caller of an instance."""
-        caller = Caller(str(self._settings[instance].listen))
+        caller = Caller(str(self._settings[instance_index].listen))
         self.callers.append(caller)
         return caller
 
-    def readiness_client(self, instance: int = 0) -> Caller:
+    def readiness_client(self, instance_index: int = 0) -> Caller:
         """Return a client of an instance's readiness check."""
-        caller = Caller(str(self._settings[instance].ready_listen))
+        caller = Caller(str(self._settings[instance_index].ready_listen))
         self.callers.append(caller)
         return caller
 
-    def peer_address(self, instance: int = 0) -> str:
+    def peer_address(self, instance_index: int = 0) -> str:
         """Return the address at which an instance serves its peers."""
-        return str(self._settings[instance].peer_listen)
+        return str(self._settings[instance_index].peer_listen)
 
     async def wait_until(self, condition: Any, within_s: float = _READY_TIMEOUT_S) -> None:
         """Wait until a condition holds, or raise ``trio.TooSlowError`` after the time limit."""
--- a/standins/relay/raw_client.py
+++ b/standins/relay/raw_client.py
@@ -12,7 +12,7 @@
 
 
 class Reply(NamedTuple):
-    """A response as received; ``whole`` tells whether it was received completely."""
+    """A response as received; ``is_complete`` tells whether all of it was received."""
 
     status: int
     headers: dict[str, str]
@@ -104,20 +104,20 @@
         pairs = (line.partition(":") for line in lines)
         headers = {name.lower(): value.strip() for name, _, value in pairs}
         if headers.get("transfer-encoding") == "chunked":
-            body, whole = await self._read_chunked_body()
+            body, is_complete = await self._read_chunked_body()
         else:
-            body, whole = await self._read_bytes(int(headers.get("content-length", "0")))
-        if not whole or headers.get("connection") == "close":
+            body, is_complete = await self._read_bytes(int(headers.get("content-length", "0")))
+        if not is_complete or headers.get("connection") == "close":
             self.close()
-        return Reply(int(status_line.split(" ")[1]), headers, body, whole)
+        return Reply(int(status_line.split(" ")[1]), headers, body, is_complete)
 
     async def _read_chunked_body(self) -> tuple[bytes, bool]:
         """Read a chunked body; return what was received and whether it is complete."""
         body = b""
         while await self._fill_until_delimiter(b"\r\n"):
             size, _, self._buffer = self._buffer.partition(b"\r\n")
-            data, whole = await self._read_bytes(int(size, 16) + 2)
-            if not whole:
+            data, is_complete = await self._read_bytes(int(size, 16) + 2)
+            if not is_complete:
                 return body + data, False
             body += data[:-2]
             if size == b"0":
--- a/standins/relay/store.py
+++ b/standins/relay/store.py
@@ -49,8 +49,8 @@
         self.response_body_override: bytes | None = None
         self._items: dict[str, tuple[Any, int]] = {}
         self._history: list[dict[str, Any]] = []
-        self._forgotten_revision = 0
-        self._last_forgotten_call = 0
+        self._dropped_revision = 0
+        self._last_abandoned_call = 0
         self._changed = trio.Event()
 
     @property
@@ -101,12 +101,12 @@
     def drop_history(self) -> None:
         """Drop the history; watches after an earlier revision get status 410."""
         self._history.clear()
-        self._forgotten_revision = self.revision
+        self._dropped_revision = self.revision
 
     def abandon_watches(self) -> None:
         """Report no changes to the watches that are open now; they end empty at their timeout."""
         self._changed = trio.Event()
-        self._last_forgotten_call = self.calls
+        self._last_abandoned_call = self.calls
 
     def _record_event(self, event: dict[str, Any]) -> None:
         self._history.append(event)
@@ -164,7 +164,7 @@
         call_number = self.calls
         with trio.move_on_after(int(call.query("wait_ms")) / 1000):
             while True:
-                if after < self._forgotten_revision or after > self.revision:
+                if after < self._dropped_revision or after > self.revision:
                     return 410, {}
                 events = [
                     event
@@ -174,6 +174,6 @@
                 if events:
                     return 200, {"events": events, "at": self.revision}
                 await self._changed.wait()
-                if call_number <= self._last_forgotten_call:
+                if call_number <= self._last_abandoned_call:
                     await trio.sleep_forever()
         return 200, {"events": [], "at": self.revision}
--- a/standins/relay/worker.py
+++ b/standins/relay/worker.py
@@ -37,7 +37,7 @@
 
 
 class Run:
-    """One run of a request; ``dropped`` tells whether its connection closed before the end."""
+    """A run of a request; ``connection_closed`` is set if its connection closed before the end."""
 
     def __init__(self, request: str, call: RawCall, began_at: float) -> None:
         self.request = request
@@ -73,7 +73,7 @@
         self.leaving = False
         # Whether its response headers announce that it shuts down.
         self.announces_leaving = False
-        # Back-off that it requests with each rejection, in seconds; None requests none.
+        # Backoff that it requests with each rejection, in seconds; None requests none.
         self.requested_backoff_s: float | None = None
         # Limit on calls per second from all instances together, as written into the header; None
         # announces none.
@@ -206,7 +206,7 @@
         return {**headers, **self.extra_headers}
 
     def _backoff_headers(self) -> dict[str, str]:
-        """Return the header that requests a back-off, if one is set."""
+        """Return the header that requests a backoff, if one is set."""
         return (
             {}
             if self.requested_backoff_s is None
--- a/standins/world.py
+++ b/standins/world.py
@@ -1,4 +1,4 @@
-"""Runs scenarios in virtual time on a small fleet with whole entry instances in this process."""
+"""Runs scenarios in virtual time on a small fleet with complete entry instances in this process."""
 
 import random
 import uuid
@@ -156,7 +156,7 @@
         self.platform.publish("config", self.configuration)
 
     async def start_entry(self, name: str, data_centre: str) -> None:
-        """Start an entry instance and add it to ``listed``."""
+        """Start an entry instance and add it to ``listed_data_centres``."""
         started = trio.Event()
         self._incarnation += 1
 
