--- a/features/cache_test.py
+++ b/features/cache_test.py
@@ -1,7 +1,8 @@
 """Tests that cache events reduce the tokens that prefills compute.
 
 When an engine returns, hashing alone assigns its prefixes to it again, although the other
-engine has cached them meanwhile. With cache events they are found there.
+engine has cached them meanwhile. With cache events, the router sends their prefills to that
+other engine.
 """
 
 import pytest
--- a/features/fleet_test.py
+++ b/features/fleet_test.py
@@ -43,13 +43,14 @@
 async def count_late_orders(
     run: ScenarioRun, world: World, announce: Callable[[World], None], grace_s: float
 ) -> None:
+    """Count the orders that d1 receives more than ``grace_s`` seconds after ``announce``."""
     await trio.sleep(2)
     run.observed["early_orders"] = world.fleet.orders["d1"]
     announce(world)
     await trio.sleep(grace_s)
-    orders = world.fleet.orders["d1"]
+    orders_at_end_of_grace = world.fleet.orders["d1"]
     await trio.sleep(20)
-    run.observed["late_orders"] = world.fleet.orders["d1"] - orders
+    run.observed["late_orders"] = world.fleet.orders["d1"] - orders_at_end_of_grace
     run.observed["orders_to_d2"] = world.fleet.orders["d2"]
 
 
--- a/features/scenario_run.py
+++ b/features/scenario_run.py
@@ -59,5 +59,5 @@
     """Record how many seconds engines go on to hold memory; infinite if more than 60."""
     started_at = trio.current_time()
     await world.wait_for_free_memory(60)
-    held = any(world.fleet.memory().values())
-    run.observed["held_s"] = math.inf if held else trio.current_time() - started_at
+    is_held = any(world.fleet.memory().values())
+    run.observed["held_s"] = math.inf if is_held else trio.current_time() - started_at
