--- a/soak/ablations.py
+++ b/soak/ablations.py
@@ -97,9 +97,9 @@
 
 
 def _find_current_or_old_key(self: KeyTable, digest: bytes) -> Organisation | None:
-    found = _original_find_key(self, digest)
-    if found is not None:
-        _keys_seen[digest] = found
+    organisation = _original_find_key(self, digest)
+    if organisation is not None:
+        _keys_seen[digest] = organisation
     return _keys_seen.get(digest)
 
 
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -43,31 +43,37 @@
 
 def _check_unrepeatable_runs(history: History) -> Iterator[Violation]:
     """Check that requests that must not be repeated run at most once."""
-    runs = Counter(run.request for run in history.runs)
+    runs = Counter(run.request_id for run in history.runs)
     for request in history.requests:
-        if request.kind in _UNREPEATABLE_KINDS and runs[request.name] > 1:
+        if request.kind in _UNREPEATABLE_KINDS and runs[request.request_id] > 1:
             yield Violation(
-                "", f"{request.kind} request ran {runs[request.name]} times", (request.name,)
+                "",
+                f"{request.kind} request ran {runs[request.request_id]} times",
+                (request.request_id,),
             )
 
 
 def _check_not_executed_answers(history: History) -> Iterator[Violation]:
     """Check that a request that was rejected as not executed never runs."""
-    executed_ids = {run.request for run in history.runs}
+    executed_ids = {run.request_id for run in history.runs}
     for request in history.requests:
         if (
             request.status in _NOT_EXECUTED_STATUSES
             and request.kind in _UNREPEATABLE_KINDS
-            and request.name in executed_ids
+            and request.request_id in executed_ids
         ):
-            yield Violation("", f"status {request.status}, but the request ran", (request.name,))
+            yield Violation(
+                "", f"status {request.status}, but the request ran", (request.request_id,)
+            )
 
 
 def _check_retry_after(history: History) -> Iterator[Violation]:
     """Check that rejections with a status that allows a retry have a Retry-After header."""
     for request in history.requests:
         if request.status in (429, 503) and not request.retry_after:
-            yield Violation("", f"status {request.status} without Retry-After", (request.name,))
+            yield Violation(
+                "", f"status {request.status} without Retry-After", (request.request_id,)
+            )
 
 
 def _check_answer_contents(history: History) -> Iterator[Violation]:
@@ -75,26 +81,30 @@
     for request in history.requests:
         if request.extra_bytes:
             yield Violation(
-                "", f"extra bytes {request.extra_bytes[:40]!r} on the connection", (request.name,)
+                "",
+                f"extra bytes {request.extra_bytes[:40]!r} on the connection",
+                (request.request_id,),
             )
         if not 200 <= request.status < 300 or request.caller_left:
             continue
-        if request.answer_id != request.name or not request.is_signed:
+        if request.answer_id != request.request_id or not request.is_signed:
             yield Violation(
-                "", f"answer has the ID {request.answer_id!r} or no signature", (request.name,)
+                "",
+                f"answer has the ID {request.answer_id!r} or no signature",
+                (request.request_id,),
             )
         elif request.is_complete and not _is_complete_body(request):
             yield Violation(
-                "", f"complete answer with the body {request.body[-60:]!r}", (request.name,)
+                "", f"complete answer with the body {request.body[-60:]!r}", (request.request_id,)
             )
 
 
 def _is_complete_body(request: Request) -> bool:
     if request.kind not in _STREAM_KINDS:
         return request.body == b"served"
-    name = request.name.encode()
+    request_id = request.request_id.encode()
     events = (
-        b"id: %d\ndata: %s %d\n\n" % (number, name, number)
+        b"id: %d\ndata: %s %d\n\n" % (number, request_id, number)
         for number in range(1, 1 + _EVENTS_PER_STREAM)
     )
     return request.body == b"".join(events)
@@ -106,11 +116,11 @@
         if request.kind not in _STREAM_KINDS or request.status != 200:
             continue
         events = request.body.split(b"\n\n")[:-1]
-        name = request.name.encode()
-        expected = [b"id: %d\ndata: %s %d" % (n, name, n) for n in range(1, 1 + len(events))]
+        request_id = request.request_id.encode()
+        expected = [b"id: %d\ndata: %s %d" % (n, request_id, n) for n in range(1, 1 + len(events))]
         if events != expected:
             yield Violation(
-                "", f"wrong sequence of events, ending with {events[-3:]!r}", (request.name,)
+                "", f"wrong sequence of events, ending with {events[-3:]!r}", (request.request_id,)
             )
 
 
@@ -131,15 +141,15 @@
         """Return the violation; ``event`` names the announcement that preceded the arrival."""
         late_s = self.arrival.at - self.left_at
         detail = f"{self.arrival.worker} received a request {late_s:.2f} s after {event}"
-        return Violation("", detail, (self.request.name,))
+        return Violation("", detail, (self.request.request_id,))
 
 
 def _find_late_arrivals(history: History) -> Iterator[_LateArrival]:
     """Return requests that reached workers too late after registrations announced leaving."""
     left_at = {item.worker: item.at for item in history.withdrawals}
-    requests_by_id = {request.name: request for request in history.requests}
+    requests_by_id = {request.request_id: request for request in history.requests}
     for arrival in history.arrivals:
-        at, request = left_at.get(arrival.worker), requests_by_id.get(arrival.request)
+        at, request = left_at.get(arrival.worker), requests_by_id.get(arrival.request_id)
         if at is None or request is None or arrival.at <= at + DRAIN_S + SLACK_S:
             continue
         yield _LateArrival(arrival, request, at)
@@ -168,7 +178,7 @@
 
 def _check_store_calls(history: History) -> Iterator[Violation]:
     """Check that the number of calls to the store is bounded, whatever the store answers."""
-    bound = MAX_STORE_CALLS_PER_S * history.instances * history.seconds
+    bound = MAX_STORE_CALLS_PER_S * history.instance_count * history.traffic_s
     if history.store_calls > bound:
         yield Violation(
             "", f"{history.store_calls} calls to the store, above the limit of {bound:.0f}"
@@ -189,56 +199,60 @@
 
 def _check_configuration_applies(history: History) -> Iterator[Violation]:
     """Check that a new configuration applies in time."""
-    for arrival, request in _find_switch_arrivals(history):
-        current = _find_switch(history, request.sent_at)
+    for arrival, request in _find_moving_route_arrivals(history):
+        current = _find_last_route_move(history, request.sent_at)
         if current is None or arrival.service == current.service:
             continue
         if request.sent_at < current.at + APPLY_S + SLACK_S:
             continue
-        if any(current.at < switch.at <= arrival.at for switch in history.route_moves):
+        if any(current.at < move.at <= arrival.at for move in history.route_moves):
             continue
         if _store_and_instance_undisturbed(history, request, current.at - CATCH_UP_S, arrival.at):
             late_s = request.sent_at - current.at
             yield Violation(
-                "", f"earlier service {late_s:.2f} s after the route changed", (request.name,)
+                "", f"earlier service {late_s:.2f} s after the route changed", (request.request_id,)
             )
 
 
 def _check_configuration_order(history: History) -> Iterator[Violation]:
     """Check that a process never returns to a configuration that it has replaced."""
     seen: dict[tuple[int, int], int] = {}
-    numbers = {switch.service: number for number, switch in enumerate(history.route_moves)}
+    move_numbers = {move.service: number for number, move in enumerate(history.route_moves)}
     for arrival, request in sorted(
-        _find_switch_arrivals(history), key=lambda item: item[1].sent_at
+        _find_moving_route_arrivals(history), key=lambda item: item[1].sent_at
     ):
         process = (request.instance, request.incarnation)
-        number = numbers.get(arrival.service, -1)
+        number = move_numbers.get(arrival.service, -1)
         if number < seen.get(process, -1):
             yield Violation(
-                "", f"{arrival.service} after a newer configuration was in use", (request.name,)
+                "",
+                f"{arrival.service} after a newer configuration was in use",
+                (request.request_id,),
             )
         seen[process] = max(number, seen.get(process, -1))
 
 
-def _find_switch_arrivals(history: History) -> list[tuple[Arrival, Request]]:
+def _find_moving_route_arrivals(history: History) -> list[tuple[Arrival, Request]]:
+    """Return the requests on the moving route that reached workers, with their arrivals."""
     requests_by_id = {
-        item.name: item for item in history.requests if item.kind is RequestKind.SWITCH
+        item.request_id: item for item in history.requests if item.kind is RequestKind.SWITCH
     }
     return [
-        (arrival, requests_by_id[arrival.request])
+        (arrival, requests_by_id[arrival.request_id])
         for arrival in history.arrivals
-        if arrival.request in requests_by_id
+        if arrival.request_id in requests_by_id
     ]
 
 
-def _find_switch(history: History, time: float) -> RouteMove | None:
-    before = [switch for switch in history.route_moves if switch.at <= time]
+def _find_last_route_move(history: History, time: float) -> RouteMove | None:
+    """Return the last route move up to a time; None if there was none."""
+    before = [move for move in history.route_moves if move.at <= time]
     return before[-1] if before else None
 
 
 def _check_planned_stops(history: History) -> Iterator[Violation]:
     """Check that a planned stop interrupts no request and that its process exits with 0."""
-    executed_ids = {run.request for run in history.runs}
+    executed_ids = {run.request_id for run in history.runs}
     for stop in history.stops:
         instance = f"instance {stop.instance}"
         if stop.code != 0:
@@ -255,24 +269,30 @@
             if not history.is_undisturbed(instance, since, request.ended_at):
                 continue
             waited_s = request.ended_at - request.sent_at
-            if request.name in executed_ids or waited_s > _IN_TRANSIT_S:
+            if request.request_id in executed_ids or waited_s > _IN_TRANSIT_S:
                 yield Violation(
-                    "", f"{instance} interrupted the request in a planned stop", (request.name,)
+                    "",
+                    f"{instance} interrupted the request in a planned stop",
+                    (request.request_id,),
                 )
 
 
 def _workers_undisturbed(history: History, since: float, until: float) -> bool:
     disturbed = {
-        spell.component for spell in history.disturbances if spell.component.startswith("i-")
+        disturbance.component
+        for disturbance in history.disturbances
+        if disturbance.component.startswith("i-")
     }
     return all(history.is_undisturbed(worker, since, until) for worker in disturbed)
 
 
 def _check_disconnected_callers(history: History) -> Iterator[Violation]:
     """Check that workers stop running the requests of callers that have disconnected."""
-    disconnected = {request.name: request for request in history.requests if request.caller_left}
+    disconnected = {
+        request.request_id: request for request in history.requests if request.caller_left
+    }
     for run in history.runs:
-        request = disconnected.get(run.request)
+        request = disconnected.get(run.request_id)
         if request is None:
             continue
         instance = f"instance {request.instance}"
@@ -285,7 +305,7 @@
             run.worker, since, until
         ):
             detail = f"{run.worker} ran it for {late_s:.2f} s after its caller disconnected"
-            yield Violation("", detail, (run.request,))
+            yield Violation("", detail, (run.request_id,))
 
 
 def _check_single_leader(history: History) -> Iterator[Violation]:
@@ -313,7 +333,7 @@
         seen: set[tuple[str, bool]] = set()
         extra_times = []
         for arrival in arrivals:
-            key = (arrival.request, arrival.is_prefill)
+            key = (arrival.request_id, arrival.is_prefill)
             if key in seen:
                 extra_times.append(arrival.at)
             seen.add(key)
@@ -327,23 +347,23 @@
 
 def _check_organisation_headers(history: History) -> Iterator[Violation]:
     """Check that workers receive the organisation of a request, and never its API key."""
-    requests_by_id = {request.name: request for request in history.requests}
+    requests_by_id = {request.request_id: request for request in history.requests}
     for arrival in history.arrivals:
-        request = requests_by_id.get(arrival.request)
+        request = requests_by_id.get(arrival.request_id)
         if request is None:
             continue
         if arrival.organisation != request.caller.organisation:
             detail = f"organisation {arrival.organisation!r}, not {request.caller.organisation!r}"
-            yield Violation("", detail, (request.name,))
+            yield Violation("", detail, (request.request_id,))
         if arrival.authorization:
-            yield Violation("", "the API key reached a worker", (request.name,))
+            yield Violation("", "the API key reached a worker", (request.request_id,))
 
 
 def _check_keys(history: History) -> Iterator[Violation]:
     """Check that a revoked API key is rejected in time, and a new one accepted in time."""
     revoked_at = {change.old_key: change.at for change in history.key_changes}
     issued_at = {change.new_key: change.at for change in history.key_changes}
-    executed_ids = {run.request for run in history.runs}
+    executed_ids = {run.request_id for run in history.runs}
     for request in history.requests:
         api_key, bound_s = request.caller.api_key, APPLY_S + SLACK_S
         is_valid = api_key not in revoked_at
@@ -353,24 +373,26 @@
             history, request, since - CATCH_UP_S, request.ended_at
         ):
             continue
-        if not is_valid and request.name in executed_ids:
+        if not is_valid and request.request_id in executed_ids:
             late_s = request.sent_at - since
             detail = f"request ran with an API key {late_s:.2f} s after the key was revoked"
-            yield Violation("", detail, (request.name,))
+            yield Violation("", detail, (request.request_id,))
         if is_valid and request.status == 401:
             yield Violation(
-                "", "rejected as unauthorised although its API key is valid", (request.name,)
+                "", "rejected as unauthorised although its API key is valid", (request.request_id,)
             )
 
 
 def _check_organisation_limits(history: History) -> Iterator[Violation]:
     """Check that the runs of an organisation stay within its limit over all instances."""
-    organisation_by_id = {request.name: request.caller.organisation for request in history.requests}
+    organisation_by_id = {
+        request.request_id: request.caller.organisation for request in history.requests
+    }
     for organisation in {limit.organisation for limit in history.limit_changes}:
         times = sorted(
             run.began_at
             for run in history.runs
-            if organisation_by_id.get(run.request) == organisation
+            if organisation_by_id.get(run.request_id) == organisation
         )
         for at in times:
             count = sum(at - LIMIT_WINDOW_S < other <= at for other in times)
--- a/soak/checks_test.py
+++ b/soak/checks_test.py
@@ -29,23 +29,23 @@
 SUCCESS = Request("r1", RequestKind.SAFE, 1, 1, 50.0, 50.1, 200, "r1", True, True, b"served")
 
 
-def stream(name: str, *numbers: int) -> bytes:
-    return b"".join(b"id: %d\ndata: %s %d\n\n" % (n, name.encode(), n) for n in numbers)
+def stream(request_id: str, *numbers: int) -> bytes:
+    return b"".join(b"id: %d\ndata: %s %d\n\n" % (n, request_id.encode(), n) for n in numbers)
 
 
-def run(name: str, began_at: float = 50.0, ended_at: float = 50.1) -> WorkerRun:
-    return WorkerRun(name, "i-1", "plain", began_at, ended_at, False)
+def run(request_id: str, began_at: float = 50.0, ended_at: float = 50.1) -> WorkerRun:
+    return WorkerRun(request_id, "i-1", "plain", began_at, ended_at, False)
 
 
-def arrival(name: str, at: float, service: str = "plain") -> Arrival:
-    return Arrival(name, "i-1", service, at, False)
+def arrival(request_id: str, at: float, service: str = "plain") -> Arrival:
+    return Arrival(request_id, "i-1", service, at, False)
 
 
 UNSAFE = SUCCESS._replace(kind=RequestKind.UNSAFE)
 STREAM = SUCCESS._replace(kind=RequestKind.RESUMABLE, body=stream("r1", *range(1, 9)))
 SWITCH = SUCCESS._replace(kind=RequestKind.SWITCH)
 INTERRUPTED = SUCCESS._replace(status=0, answer_id="", is_signed=False, is_complete=False, body=b"")
-SWITCHES = [RouteMove("s0", 10.0), RouteMove("s1", 40.0)]
+ROUTE_MOVES = [RouteMove("s0", 10.0), RouteMove("s1", 40.0)]
 
 VIOLATING_HISTORIES = {
     "requests that crash workers stop": EMPTY_HISTORY._replace(
@@ -74,7 +74,7 @@
     "a worker's word is heard": EMPTY_HISTORY._replace(
         leaving_notices=(WorkerLeavingNotice("i-1", 40.0),),
         requests=[
-            SUCCESS._replace(name="r0", answer_id="r0", sent_at=41.0, ended_at=41.1),
+            SUCCESS._replace(request_id="r0", answer_id="r0", sent_at=41.0, ended_at=41.1),
             SUCCESS,
         ],
         runs=[run("r0", 41.0, 41.1)],
@@ -83,7 +83,9 @@
     "rests are kept": EMPTY_HISTORY._replace(
         backoffs=(RequestedBackoff("i-1", 40.0, 44.0, 3.0),),
         requests=[
-            SUCCESS._replace(name=f"q{n}", answer_id=f"q{n}", sent_at=40.0 + n, ended_at=40.1 + n)
+            SUCCESS._replace(
+                request_id=f"q{n}", answer_id=f"q{n}", sent_at=40.0 + n, ended_at=40.1 + n
+            )
             for n in range(1, 5)
         ],
         arrivals=[arrival(f"q{n}", 41.0 + 0.7 * (n - 1)) for n in range(1, 5)],
@@ -91,26 +93,28 @@
     "limits of workers hold": EMPTY_HISTORY._replace(
         announced_limits=(AnnouncedWorkerLimit("i-1", 40.0, 60.0, 1.0),),
         requests=[
-            SUCCESS._replace(name=f"q{n}", answer_id=f"q{n}", sent_at=41.0 + n, ended_at=41.1 + n)
+            SUCCESS._replace(
+                request_id=f"q{n}", answer_id=f"q{n}", sent_at=41.0 + n, ended_at=41.1 + n
+            )
             for n in range(13)
         ],
         runs=[run("q0", 41.0, 41.1)],
         arrivals=[arrival(f"q{n}", 43.0 + 0.3 * n) for n in range(13)],
     ),
-    "calls to the store stay few": EMPTY_HISTORY._replace(store_calls=3_000, instances=2),
+    "calls to the store stay few": EMPTY_HISTORY._replace(store_calls=3_000, instance_count=2),
     "a leaving worker gets nothing": EMPTY_HISTORY._replace(
         requests=[SUCCESS], arrivals=[arrival("r1", 50.0)], withdrawals=[Withdrawal("i-1", 46.0)]
     ),
     "a configuration is in force": EMPTY_HISTORY._replace(
-        requests=[SWITCH], arrivals=[arrival("r1", 50.0, "s0")], route_moves=SWITCHES
+        requests=[SWITCH], arrivals=[arrival("r1", 50.0, "s0")], route_moves=ROUTE_MOVES
     ),
     "a configuration never reverts": EMPTY_HISTORY._replace(
         requests=[
             SWITCH._replace(sent_at=41.0),
-            SWITCH._replace(name="r2", answer_id="r2", sent_at=41.5),
+            SWITCH._replace(request_id="r2", answer_id="r2", sent_at=41.5),
         ],
         arrivals=[arrival("r1", 41.0, "s1"), arrival("r2", 41.5, "s0")],
-        route_moves=SWITCHES,
+        route_moves=ROUTE_MOVES,
     ),
     "a planned stop cuts nothing off": EMPTY_HISTORY._replace(
         requests=[INTERRUPTED], runs=[run("r1")], stops=[Stop(1, 1, 49.9, 53.0, 0)]
@@ -135,7 +139,9 @@
     ),
     "limits hold over all": EMPTY_HISTORY._replace(
         requests=[
-            SUCCESS._replace(name=f"r{n}", answer_id=f"r{n}", caller=CallerIdentity("first", "k1"))
+            SUCCESS._replace(
+                request_id=f"r{n}", answer_id=f"r{n}", caller=CallerIdentity("first", "k1")
+            )
             for n in range(35)
         ],
         runs=[run(f"r{n}") for n in range(35)],
@@ -151,12 +157,12 @@
 
 
 def test_history_without_violations_passes() -> None:
-    requests = [SUCCESS, UNSAFE._replace(name="r2", answer_id="r2"), STREAM]
+    requests = [SUCCESS, UNSAFE._replace(request_id="r2", answer_id="r2"), STREAM]
     assert check_history(EMPTY_HISTORY._replace(requests=requests, runs=[run("r2")])) == []
 
 
 @pytest.mark.parametrize(
-    ("name", "spell"),
+    ("name", "disturbance"),
     [
         # The instance may not have read the registration before the store failed. Once it has read
         # it, an unavailable store is no excuse.
@@ -168,19 +174,19 @@
     ],
 )
 def test_disturbance_excuses_only_the_component_and_time_it_affects(
-    name: str, spell: Disturbance
+    name: str, disturbance: Disturbance
 ) -> None:
     history = VIOLATING_HISTORIES[name]
-    assert check_history(history._replace(disturbances=[spell])) == []
-    earlier = spell._replace(began_at=1.0, ended_at=2.0)
+    assert check_history(history._replace(disturbances=[disturbance])) == []
+    earlier = disturbance._replace(began_at=1.0, ended_at=2.0)
     assert check_history(history._replace(disturbances=[earlier])) != []
 
 
 def test_later_store_outage_does_not_excuse_sends_to_a_worker_known_to_leave() -> None:
     history = VIOLATING_HISTORIES["a leaving worker gets nothing"]
     later = Disturbance("store", 47.5, 48.0)
-    found = check_history(history._replace(disturbances=[later]))
-    assert {violation.check for violation in found} == {"what is known to leave gets nothing"}
+    violations = check_history(history._replace(disturbances=[later]))
+    assert {violation.check for violation in violations} == {"what is known to leave gets nothing"}
 
 
 def test_truncated_answer_must_not_end_as_complete() -> None:
@@ -203,14 +209,14 @@
 
 def test_valid_key_is_accepted_and_never_reaches_a_worker() -> None:
     changes = (KeyChange("k0", "k1", 40.0),)
-    refused = SUCCESS._replace(
+    rejected = SUCCESS._replace(
         status=401, answer_id="", is_signed=False, caller=CallerIdentity("first", "k1")
     )
     assert [
         item.check
-        for item in check_history(EMPTY_HISTORY._replace(requests=[refused], key_changes=changes))
+        for item in check_history(EMPTY_HISTORY._replace(requests=[rejected], key_changes=changes))
     ] == ["keys in force"]
-    early = refused._replace(sent_at=41.0)
+    early = rejected._replace(sent_at=41.0)
     assert check_history(EMPTY_HISTORY._replace(requests=[early], key_changes=changes)) == []
     leaked = arrival("r1", 50.0)._replace(authorization="Bearer k1")
     assert check_history(EMPTY_HISTORY._replace(requests=[SUCCESS], arrivals=[leaked]))
--- a/soak/fault_injector.py
+++ b/soak/fault_injector.py
@@ -278,10 +278,10 @@
             nursery.cancel_scope.cancel()
 
     async def _send_signals(self, instance: InstanceProcess) -> None:
-        life = instance.incarnation
-        while instance.incarnation == life:
+        incarnation = instance.incarnation
+        while instance.incarnation == incarnation:
             await trio.sleep(_SIGNAL_INTERVAL_S * self._rng.uniform(0.5, 1.5))
-            if instance.incarnation == life:
+            if instance.incarnation == incarnation:
                 self._rng.choice((instance.stop, instance.reload))()
 
     async def _roll_instances(self, fault: PlannedFault) -> None:
@@ -309,7 +309,7 @@
             await self._inject_exclusively(instance.name, instance_fault, self._stop_instance)
 
     async def _stop(self, instance: InstanceProcess) -> None:
-        began_at, life = trio.current_time(), instance.incarnation
+        began_at, incarnation = trio.current_time(), instance.incarnation
         is_earlier_build = instance.is_earlier_build
         instance.stop()
         code = await instance.wait_for_exit(_EXIT_TIMEOUT_S)
@@ -317,7 +317,7 @@
         self._fleet.stops.append(
             Stop(
                 instance.number,
-                life,
+                incarnation,
                 began_at,
                 ended_at,
                 -9 if code is None else code,
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -122,8 +122,8 @@
 
     def write_settings(self, instance: InstanceProcess, retry_allowance: int) -> None:
         """Write an instance's settings file, with a retry allowance."""
-        store = self.store_links[instance.number - 1].address
-        instance.write_settings(store, retry_allowance)
+        store_address = self.store_links[instance.number - 1].address
+        instance.write_settings(store_address, retry_allowance)
 
     def close(self) -> None:
         """Kill every process and close every socket."""
@@ -206,6 +206,6 @@
             self.platform.organisations = self.organisations.entries()
         self.platform.configure(_ENGINE_SETTINGS)
 
-    def note_disturbance(self, target: str, began_at: float) -> None:
-        """Record that a target was disturbed from a time until now."""
-        self.disturbances.append(Disturbance(target, began_at, trio.current_time()))
+    def note_disturbance(self, component: str, began_at: float) -> None:
+        """Record that a component was disturbed from a time until now."""
+        self.disturbances.append(Disturbance(component, began_at, trio.current_time()))
--- a/soak/processes.py
+++ b/soak/processes.py
@@ -99,12 +99,12 @@
         """Address for callers."""
         return f"{self.ip}:{self.ports.front}"
 
-    def write_settings(self, store: str, retry_allowance: int = 50) -> None:
+    def write_settings(self, store_address: str, retry_allowance: int = 50) -> None:
         """Write the settings file."""
         write_instance_settings(
             self._settings_path,
             self.ports,
-            store,
+            store_address,
             name=f"n{self.number}",
             zone="abc"[self.number % 3],
             ip=self.ip,
--- a/soak/records.py
+++ b/soak/records.py
@@ -76,7 +76,7 @@
     """One request of a caller and its result.
 
     Attributes:
-        name: ID of the request.
+        request_id: ID of the request.
         kind: Its kind, which determines how often it may run.
         instance: Number of the instance that it was sent to.
         incarnation: Which process of that instance, counted from the first start.
@@ -94,7 +94,7 @@
         caller: Organisation and key of the caller.
     """
 
-    name: str
+    request_id: str
     kind: RequestKind
     instance: int
     incarnation: int
@@ -115,7 +115,7 @@
     """A request as it reached a worker, whether the worker ran it or not.
 
     Attributes:
-        request: ID of the request.
+        request_id: ID of the request.
         worker: Name of the worker.
         service: Service of the worker.
         at: When it arrived.
@@ -125,7 +125,7 @@
             there was none.
     """
 
-    request: str
+    request_id: str
     worker: str
     service: str
     at: float
@@ -138,7 +138,7 @@
     """A run of a request on a worker.
 
     Attributes:
-        request: ID of the request.
+        request_id: ID of the request.
         worker: Name of the worker.
         service: Service of the worker.
         began_at: When the run began.
@@ -146,7 +146,7 @@
         is_cancelled: Whether the connection closed before the run ended.
     """
 
-    request: str
+    request_id: str
     worker: str
     service: str
     began_at: float
@@ -291,8 +291,8 @@
         backoffs: Periods in which workers requested backoffs.
         announced_limits: Periods in which workers announced rate limits over all instances.
         store_calls: Number of calls to the store, from all instances.
-        instances: Number of instances.
-        seconds: Duration of the run, in seconds.
+        instance_count: Number of instances.
+        traffic_s: Duration of the traffic with faults, in seconds.
     """
 
     requests: list[Request]
@@ -314,12 +314,14 @@
     backoffs: tuple[RequestedBackoff, ...] = ()
     announced_limits: tuple[AnnouncedWorkerLimit, ...] = ()
     store_calls: int = 0
-    instances: int = 1
-    seconds: float = 30.0
+    instance_count: int = 1
+    traffic_s: float = 30.0
 
     def is_undisturbed(self, component: str, since: float, until: float) -> bool:
         """Return whether no fault disturbed a component between two times."""
         return not any(
-            spell.component == component and spell.began_at < until and spell.ended_at > since
-            for spell in self.disturbances
+            disturbance.component == component
+            and disturbance.began_at < until
+            and disturbance.ended_at > since
+            for disturbance in self.disturbances
         )
--- a/soak/regressions.py
+++ b/soak/regressions.py
@@ -49,7 +49,8 @@
     ),
     Regression(
         STOPS_IN_SERIES._replace(seed=1009),
-        "the same after eight measurements of short intervals, by chance none of a slow stream",
+        "a stopping instance accepted a long stream after eight measurements of short intervals, "
+        "by chance none of a slow stream",
     ),
     Regression(
         STOPS_IN_SERIES._replace(seed=3101),
--- a/soak/run.py
+++ b/soak/run.py
@@ -129,9 +129,12 @@
 
 
 async def _build_history(settings: RunSettings, fleet: SoakFleet, traffic: Traffic) -> History:
-    unserved = [item.number for item in fleet.instances if not await _serves(item)]
+    unserving_instances = [item.number for item in fleet.instances if not await _serves(item)]
     exited = [item for item in fleet.instances if item.exit_code() is not None]
-    exits = [*fleet.process_failures, *(f"{item.name} exited unexpectedly" for item in exited)]
+    process_failures = [
+        *fleet.process_failures,
+        *(f"{item.name} exited unexpectedly" for item in exited),
+    ]
     workers = fleet.workers
     return History(
         requests=traffic.requests,
@@ -142,8 +145,8 @@
         route_moves=fleet.route_moves,
         stops=fleet.stops,
         disturbances=fleet.disturbances,
-        process_failures=exits,
-        unserving_instances=unserved,
+        process_failures=process_failures,
+        unserving_instances=unserving_instances,
         extra_send_allowance=_MAX_RETRY_ALLOWANCE,
         ended_at=trio.current_time(),
         key_changes=tuple(fleet.organisations.key_changes)
@@ -157,8 +160,8 @@
         backoffs=tuple(fleet.backoffs),
         announced_limits=tuple(fleet.announced_limits),
         store_calls=fleet.platform.store.calls,
-        instances=len(fleet.instances),
-        seconds=settings.seconds,
+        instance_count=len(fleet.instances),
+        traffic_s=settings.seconds,
     )
 
 
--- a/soak/shifted_clocks_test.py
+++ b/soak/shifted_clocks_test.py
@@ -34,5 +34,5 @@
     file = tmp_path / "clocks"
     write_offsets(file, ClockOffsets(12.0, -300.0))
     command = [sys.executable, "-c", PROGRAM, str(file)]
-    found = subprocess.run(command, capture_output=True, text=True, check=True)
-    assert found.stdout.split() == ["12", "-300"]
+    completed = subprocess.run(command, capture_output=True, text=True, check=True)
+    assert completed.stdout.split() == ["12", "-300"]
--- a/soak/traffic.py
+++ b/soak/traffic.py
@@ -46,10 +46,10 @@
         """Make every caller stop after its current request."""
         self._stopping = True
 
-    async def run(self, callers: int) -> None:
+    async def run(self, caller_count: int) -> None:
         """Send requests from a number of callers until ``stop``."""
         async with trio.open_nursery() as nursery:
-            for number in range(callers):
+            for number in range(caller_count):
                 nursery.start_soon(self._run_caller, number)
 
     async def _run_caller(self, number: int) -> None:
@@ -68,12 +68,12 @@
             finally:
                 caller.close()
 
-    async def _send_request(self, caller: Caller, number: int) -> bool:
+    async def _send_request(self, caller: Caller, instance_number: int) -> bool:
         """Send one request and record its result; return whether to reuse the connection."""
         kind = self._rng.choice(list(RequestKind))
         path, method = _PATHS[kind]
         is_stream = kind in (RequestKind.STREAM, RequestKind.RESUMABLE)
-        incarnation = self._fleet.instances[number - 1].incarnation
+        incarnation = self._fleet.instances[instance_number - 1].incarnation
         extra_bytes = caller.unread_data
         organisations = self._fleet.organisations
         identity = organisations.pick_caller() if organisations is not None else ANONYMOUS
@@ -81,7 +81,7 @@
         if identity.api_key:
             headers["Authorization"] = f"Bearer {identity.api_key}"
         try:
-            name = await caller.send(
+            request_id = await caller.send(
                 path,
                 method,
                 body=b"body" if method == "POST" else b"",
@@ -90,13 +90,13 @@
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             return False
         sent_at = trio.current_time()
-        leave_s = 0.25 * self._rng.random() if self._rng.random() < _LEAVE_SHARE else None
-        reply = await self._receive(caller, leave_s)
+        leave_after_s = 0.25 * self._rng.random() if self._rng.random() < _LEAVE_SHARE else None
+        reply = await self._receive(caller, leave_after_s)
         ended_at = trio.current_time()
         request = Request(
-            name,
+            request_id,
             kind,
-            number,
+            instance_number,
             incarnation,
             sent_at,
             ended_at,
@@ -123,8 +123,8 @@
         closes = not reply.is_complete or reply.headers.get("connection") == "close"
         return not closes and self._rng.random() < _REUSE_SHARE
 
-    async def _receive(self, caller: Caller, leave_s: float | None) -> Reply | None:
+    async def _receive(self, caller: Caller, leave_after_s: float | None) -> Reply | None:
         """Receive an answer; return None if the caller gave up before it was complete."""
-        with trio.move_on_after(_ANSWER_TIMEOUT_S if leave_s is None else leave_s):
+        with trio.move_on_after(_ANSWER_TIMEOUT_S if leave_after_s is None else leave_after_s):
             return await caller.receive()
         return None
--- a/soak/workers.py
+++ b/soak/workers.py
@@ -43,14 +43,22 @@
     async def serve(self, call: RawCall, stream: trio.SocketStream) -> bool:
         """Record a request that arrives for this worker, then answer it."""
         expected = call.headers.get("expected-instance", self.name)
-        name = call.headers.get("attempt-id")
-        if name is not None and expected == self.name:
+        request_id = call.headers.get("attempt-id")
+        if request_id is not None and expected == self.name:
             is_prefill = call.headers.get("stage") == "prefill"
             now = trio.current_time()
             organisation = call.headers.get("tenant", "")
             authorization = call.headers.get("authorization", "")
             self.recorded_arrivals.append(
-                Arrival(name, self.name, self.service, now, is_prefill, organisation, authorization)
+                Arrival(
+                    request_id,
+                    self.name,
+                    self.service,
+                    now,
+                    is_prefill,
+                    organisation,
+                    authorization,
+                )
             )
         return await super().serve(call, stream)
 
