--- a/cleatlink/organisations/access.py
+++ b/cleatlink/organisations/access.py
@@ -39,7 +39,7 @@
         self.limits = limits
 
     @property
-    def checks_api_keys(self) -> bool:
+    def checks_keys(self) -> bool:
         """Whether the active route table lists organisations, so that keys are checked."""
         return self._keys is not None
 
--- a/cleatlink/organisations/access_test.py
+++ b/cleatlink/organisations/access_test.py
@@ -25,13 +25,13 @@
 def test_table_without_organisations_accepts_every_request() -> None:
     access = OrganisationAccess(OrganisationLimits(LimitTolerance(), 0.0))
     access.use_table(None)
-    assert not access.checks_api_keys
+    assert not access.checks_keys
     assert access.identify([], PRIVATE) == access.identify(K1, PRIVATE) == ANONYMOUS
 
 
 def test_empty_list_of_organisations_rejects_every_key() -> None:
     access = access_for()
-    assert access.checks_api_keys
+    assert access.checks_keys
     assert access.identify(K1, PRIVATE) is None
     assert access.identify([], PUBLIC) == ANONYMOUS
 
--- a/cleatlink/relay/callers/service.py
+++ b/cleatlink/relay/callers/service.py
@@ -200,7 +200,7 @@
             raw.headers,
             raw.body,
             arrived_at,
-            removes_api_key=self._components.organisation_access.checks_api_keys,
+            removes_api_key=self._components.organisation_access.checks_keys,
         )
 
     def _identify(self, headers: Headers, route: Route) -> CallerIdentity | None:
--- a/soak/ablations.py
+++ b/soak/ablations.py
@@ -219,7 +219,7 @@
         (FaultKind.LIMIT,),
     ),
     "key-withheld": Ablation(
-        _make_patch(OrganisationAccess, "checks_api_keys", False),
+        _make_patch(OrganisationAccess, "checks_keys", False),
         "workers are told whose a request is",
         (FaultKind.INSTANCE_RELOAD,),
     ),
